--- a/src/core/admission/api-keys.ts
+++ b/src/core/admission/api-keys.ts
@@ -1,22 +1,23 @@
 /**
- * Keys that callers and operators prove themselves with. Only the SHA-256 of a key is
- * ever kept, and digests are compared in constant time. Pure.
+ * API keys that authenticate callers and operators. Only the SHA-256 digest of a key is
+ * stored, and digests are compared in constant time. Pure.
  */
 import { createHash, timingSafeEqual } from 'node:crypto';
 
-/** Hexadecimal digits of a digest by which it is looked up; the rest is compared in constant time. */
+/** Leading hexadecimal digits of a digest that index the lookup table; full digests are then compared in constant time. */
 const PREFIX_DIGITS = 8;
 
-/** SHA-256 of a key in hexadecimal. */
+/** Returns the SHA-256 digest of a key in hexadecimal. */
 export function hashKey(key: string): string {
   return createHash('sha256').update(key, 'utf8').digest('hex');
 }
 
 /**
- * Hash of the key in an Authorization header; undefined if it has none of that scheme.
+ * Returns the digest of the key in an Authorization header, or undefined if the header carries no
+ * key of that scheme.
  *
  * @param header - Value of the header.
- * @param scheme - Word before the key, in any case, such as "Bearer".
+ * @param scheme - Authentication scheme before the key, such as "Bearer"; case-insensitive.
  */
 export function credentialHash(header: string | undefined, scheme: string): string | undefined {
   if (header === undefined) return undefined;
@@ -26,34 +27,34 @@
   return key === '' ? undefined : hashKey(key);
 }
 
-/** Whether a hash is among those that open a door. */
+/** Returns whether a key digest is in the list of allowed digests. */
 export function isAllowed(hash: string, allowed: readonly string[]): boolean {
-  const given = Buffer.from(hash, 'hex');
-  return allowed.some((entry) => timingSafeEqual(given, Buffer.from(entry, 'hex')));
+  const candidate = Buffer.from(hash, 'hex');
+  return allowed.some((entry) => timingSafeEqual(candidate, Buffer.from(entry, 'hex')));
 }
 
-/** Finds the owner of a key among many. Immutable. */
+/** Maps key digests to the owners of the keys. Immutable. */
 export class KeyRing<Owner> {
-  /** By the first digits of the digest. */
+  /** Entries by digest prefix of {@link PREFIX_DIGITS} digits. */
   private readonly entries = new Map<string, { digest: Buffer; owner: Owner }[]>();
 
-  /** @param keys - Digests in hexadecimal and their owners; of two owners of a key the first counts. */
+  /** @param keys - Digests in hexadecimal with their owners. If a digest occurs twice, its first owner is used. */
   constructor(keys: Iterable<readonly [digest: string, owner: Owner]>) {
     for (const [digest, owner] of keys) {
       if (this.ownerOf(digest) !== undefined) continue;
       const prefix = digest.slice(0, PREFIX_DIGITS);
-      const alike = this.entries.get(prefix) ?? [];
-      alike.push({ digest: Buffer.from(digest, 'hex'), owner });
-      this.entries.set(prefix, alike);
+      const samePrefix = this.entries.get(prefix) ?? [];
+      samePrefix.push({ digest: Buffer.from(digest, 'hex'), owner });
+      this.entries.set(prefix, samePrefix);
     }
   }
 
-  /** The owner of the key with this digest; undefined if nobody has it. */
+  /** Returns the owner of the key with this digest, or undefined if the digest is not registered. */
   ownerOf(digest: string): Owner | undefined {
-    const alike = this.entries.get(digest.slice(0, PREFIX_DIGITS)) ?? [];
-    const given = Buffer.from(digest, 'hex');
-    return alike.find((entry) => {
-      return entry.digest.length === given.length && timingSafeEqual(entry.digest, given);
+    const samePrefix = this.entries.get(digest.slice(0, PREFIX_DIGITS)) ?? [];
+    const candidate = Buffer.from(digest, 'hex');
+    return samePrefix.find((entry) => {
+      return entry.digest.length === candidate.length && timingSafeEqual(entry.digest, candidate);
     })?.owner;
   }
 }
--- a/src/core/admission/expected-work.ts
+++ b/src/core/admission/expected-work.ts
@@ -1,33 +1,33 @@
-/** How much work a request asks of a backend, from what its head names. Pure. */
+/** Estimates the work that a request causes at a backend from the token counts in its headers. Pure. */
 
-/** Tokens. A head that names more is wrong, or not worth believing: it counts as if it named none. */
-const MOST_TOKENS = 1_000_000;
+/** Largest token count that is accepted. A larger one is wrong or implausible and is treated as missing. */
+const MAX_TOKENS = 1_000_000;
 /**
- * Work of a prompt's token in tokens of the answer: a prompt is read many tokens at once, an
- * answer is made one after another.
+ * Work of one prompt token, in answer tokens. It is small because a backend processes many prompt
+ * tokens at once but generates answer tokens one after another.
  */
-const PROMPT_TOKEN_WORK = 0.02;
+const PROMPT_TOKEN_COST = 0.02;
 
-/** What a request's head names; anything may be missing or wrong. */
+/** Token counts from the headers of a request. Any of them may be missing or invalid. */
 export interface NamedTokens {
   readonly prompt: number | undefined;
-  /** The most that the answer may have. */
+  /** Maximum length of the answer. */
   readonly longestAnswer: number | undefined;
-  /** What the caller expects of the answer. */
+  /** Length of the answer that the caller expects. */
   readonly answerHint: number | undefined;
 }
 
-/** Expected work in tokens of an answer; undefined if the head does not tell. */
+/** Returns the expected work in answer tokens, or undefined if the headers do not give enough counts. */
 export function expectedWork(named: NamedTokens): number | undefined {
-  const prompt = cleanCount(named.prompt);
-  const longest = cleanCount(named.longestAnswer);
-  const hint = cleanCount(named.answerHint);
+  const prompt = validCount(named.prompt);
+  const longest = validCount(named.longestAnswer);
+  const hint = validCount(named.answerHint);
   if (prompt === undefined || (hint === undefined && longest === undefined)) return undefined;
   const answer = Math.min(hint ?? Infinity, longest ?? Infinity);
-  return prompt * PROMPT_TOKEN_WORK + answer;
+  return prompt * PROMPT_TOKEN_COST + answer;
 }
 
-function cleanCount(count: number | undefined): number | undefined {
+function validCount(count: number | undefined): number | undefined {
   if (count === undefined || !Number.isInteger(count)) return undefined;
-  return count >= 0 && count <= MOST_TOKENS ? count : undefined;
+  return count >= 0 && count <= MAX_TOKENS ? count : undefined;
 }
--- a/src/core/admission/holder-lease.ts
+++ b/src/core/admission/holder-lease.ts
@@ -1,246 +1,260 @@
 /**
- * Which daemon may lend what one daemon counts for all, a tenant's limit for example. By rank each
- * daemon works out the holder from its own view of the group, and views differ for seconds when a
- * machine is cut off or frozen. So a holder lends only under a lease: the words (votes) of a majority
- * of a few keepers (voters), aged from the question that they answer. A keeper gives its word to one holder at a
- * time, for longer than a lease lasts, so that no two holders lend at once. No clocks are compared,
- * and a message in flight lengthens nothing. `spec/holder.pml` is its model. Pure; times are
+ * Leases for resources that one daemon, the holder, counts for the whole group, such as a tenant's
+ * limit. Each daemon determines the holder by rank from its own view of the group, and views differ
+ * for seconds while a machine is partitioned or frozen. A holder therefore grants units only under a
+ * lease: votes of a majority of a few voters (keepers on the wire). A lease runs from the time at
+ * which the holder sent its request, so clocks of different machines are not compared and message
+ * delays do not extend it. A voter votes for one holder at a time, for longer than a lease lasts, so
+ * two holders never grant units at once. `spec/holder.pml` models the protocol. Pure; times are
  * milliseconds of a steady clock.
  */
 import { rankCandidates } from '../../common/rendezvous.js';
 import { NewestProof } from '../newest-proof.js';
 import type { ShareMember } from './limit-shares.js';
 
-/** A lease lasts so long after its question: two questions may get no answer. */
+/** Duration of a lease from the sending of its request. Two consecutive renewals may go unanswered. */
 export const HOLD_MS = 1_000;
-/** What a holder lends at the end of its lease may be used so much later by the daemon that asked for it. */
-const LOAN_ON_ITS_WAY_MS = 200;
-/** Clocks run at slightly different speeds, and a look at the lease takes a moment. */
+/** Time until the requesting daemon uses units that the holder granted at the very end of its lease. */
+const GRANT_IN_TRANSIT_MS = 200;
+/** Covers differences in clock speed and the time between the check of the lease and the grant. */
 const CLOCK_MARGIN_MS = 50;
-/** A keeper keeps its word for so long; short, for a successor waits for it. */
-export const WORD_MS = HOLD_MS + LOAN_ON_ITS_WAY_MS + CLOCK_MARGIN_MS;
+/** Duration for which a voter's vote binds it. It is kept short because a successor has to wait for its end. */
+export const WORD_MS = HOLD_MS + GRANT_IN_TRANSIT_MS + CLOCK_MARGIN_MS;
 /**
- * Sizes of a group of keepers: two may fail of the larger. Even ones, for of two groups that differ by
- * one keeper any two majorities have a keeper in common.
+ * Numbers of voters for a name, largest first; a group of six tolerates two failures. The numbers
+ * are even: if two groups differ by one voter, any majority of one still shares a voter with any
+ * majority of the other.
  */
-const KEEPER_COUNTS = [6, 4];
-/** Words that one keeper remembers; names come from other daemons and must not fill its memory. */
-const MOST_WORDS = 10_000;
+const VOTER_COUNTS = [6, 4];
+/** Votes that one voter stores. Names come from other daemons and must not exhaust its memory. */
+const MAX_VOTES = 10_000;
 
-/** A holder's question. */
+/** A holder's request for a vote. */
 export interface LeaseQuestion {
-  /** What is held. */
+  /** Name of the leased resource. */
   readonly name: string;
   readonly holder: string;
   /**
-   * Start of the holder's process in Unix milliseconds: tells it from its former ones, which have
-   * ended and whose count is lost.
+   * Start of the holder's process in Unix milliseconds. It distinguishes the process from earlier
+   * ones at the same address, whose counts are lost.
    */
   readonly process: number;
-  /** Higher in each later question of the holder, also after it has started again. */
+  /** Increases with each request of the holder, across restarts too. */
   readonly sequence: number;
   /**
-   * The most that the holder lends to itself until it asks again, in units of what is counted: a successor cannot learn from
-   * anybody else what one that is gone has used.
+   * Maximum number of units that the holder grants to itself before its next request. After a crash
+   * of the holder no other daemon can tell its successor how many units it has used.
    */
   readonly ownCeiling: number;
 }
 
-/** A holder that had the keeper's word before, maybe a former process at the same address. */
+/** A holder that had this voter's vote before, possibly an earlier process at the same address. */
 export interface FormerHolder {
   readonly holder: string;
-  /** The most that it can have lent to itself, as it told last. */
+  /** Maximum number of units that it can have granted to itself, by its last request. */
   readonly ownCeiling: number;
 }
 
-/** A keeper's answer. */
+/** A voter's reply to a request. */
 export interface LeaseAnswer {
   readonly isGiven: boolean;
-  /** Milliseconds for which the keeper has given its word to nobody else; it knows nothing from before its start. */
+  /** Milliseconds for which the voter has voted for no other holder, counted at most from the voter's own start. */
   readonly soleMs: number;
-  /** The last other holder, as long as that is remembered. */
+  /** The previous holder, or undefined if there was none or its record has expired. */
   readonly former: FormerHolder | undefined;
 }
 
-/** The keepers of a name, from several zones as far as there are any. */
+/** Returns the addresses of the voters for a name, spread over as many zones as possible. */
 export function keepersOf(name: string, candidates: readonly ShareMember[]): string[] {
   const zoneOf = new Map(candidates.map(({ address, zone }) => [address, zone]));
   const ranked = rankCandidates(`keeper/${name}`, [...zoneOf.keys()]);
-  const size = KEEPER_COUNTS.find((count) => count <= ranked.length) ?? ranked.length;
-  const placeInZone = new Map<string | undefined, number>();
+  const size = VOTER_COUNTS.find((count) => count <= ranked.length) ?? ranked.length;
+  const nextPlaceInZone = new Map<string | undefined, number>();
   const places = ranked.map((address, rank) => {
     const zone = zoneOf.get(address);
-    const place = placeInZone.get(zone) ?? 0;
-    placeInZone.set(zone, place + 1);
+    const place = nextPlaceInZone.get(zone) ?? 0;
+    nextPlaceInZone.set(zone, place + 1);
     return { address, rank, place };
   });
   places.sort((a, b) => a.place - b.place || a.rank - b.rank);
   return places.slice(0, size).map(({ address }) => address);
 }
 
-/** Keepers that must give their word. */
-export function majorityOf(keepers: number): number {
-  return Math.floor(keepers / 2) + 1;
+/** Returns the number of votes that form a majority. */
+export function majorityOf(voters: number): number {
+  return Math.floor(voters / 2) + 1;
 }
 
-interface OpenQuestion {
-  readonly askedAt: number;
+interface PendingRequest {
+  readonly sentAt: number;
   readonly ownCeiling: number;
-  readonly keepers: readonly string[];
-  readonly answers: Map<string, LeaseAnswer>;
+  readonly voters: readonly string[];
+  readonly votes: Map<string, LeaseAnswer>;
 }
 
-/** What the keepers say of the time before a lease. */
+/** What the voters report about the time before a lease. */
 export interface LeaseHistory {
-  /** Milliseconds for which nobody else can have had the lease, as far as the keepers know. */
+  /** Milliseconds for which no other daemon can have had the lease, by the votes. */
   readonly soleMs: number;
   readonly formers: readonly FormerHolder[];
 }
 
-/** The lease of one holder on one name. */
+/** The lease on one name, on the holder's side. */
 export class HolderLease {
-  private readonly questions = new Map<number, OpenQuestion>();
+  private readonly pendingRequests = new Map<number, PendingRequest>();
   private proof = new NewestProof();
-  private lastAskedAt = -Infinity;
-  /** The latest question that most keepers have answered. */
-  private answered = -Infinity;
-
-  /** Notes a question that is asked now. Answers to earlier ones still count, each for its own question. */
-  ask(sequence: number, ownCeiling: number, keepers: readonly string[], now: number): void {
-    this.lastAskedAt = now;
-    for (const [earlier, { askedAt }] of this.questions) {
-      if (now - askedAt > HOLD_MS) this.questions.delete(earlier);
+  private lastSentAt = -Infinity;
+  /** Sequence number of the newest request that a majority has granted. */
+  private majoritySequence = -Infinity;
+
+  /** Records a request that is sent now. Votes on earlier requests still count, each for its own request. */
+  ask(sequence: number, ownCeiling: number, voters: readonly string[], now: number): void {
+    this.lastSentAt = now;
+    for (const [earlier, { sentAt }] of this.pendingRequests) {
+      if (now - sentAt > HOLD_MS) this.pendingRequests.delete(earlier);
     }
-    this.questions.set(sequence, { askedAt: now, ownCeiling, keepers, answers: new Map() });
+    this.pendingRequests.set(sequence, { sentAt: now, ownCeiling, voters, votes: new Map() });
   }
 
   /**
-   * Takes a keeper's answer. Returns what the keepers say of the past once most have given their word to
-   * the same question, and with each further answer to it; undefined before.
+   * Records a voter's reply. Returns the history of the lease once a majority has voted for the same
+   * request, and again with each further vote for it; before that, undefined.
    */
-  hear(keeper: string, sequence: number, answer: LeaseAnswer): LeaseHistory | undefined {
-    const question = this.questions.get(sequence);
-    if (question === undefined || !question.keepers.includes(keeper)) return undefined;
-    if (!answer.isGiven) return undefined;
-    question.answers.set(keeper, answer);
-    const answers = [...question.answers.values()];
-    if (answers.length < majorityOf(question.keepers.length)) return undefined;
-    this.proof.prove(question.askedAt);
-    this.answered = Math.max(this.answered, sequence);
-    const formers = answers.flatMap(({ former }) => (former === undefined ? [] : [former]));
-    return { soleMs: Math.min(...answers.map(({ soleMs }) => soleMs)), formers };
+  hear(voter: string, sequence: number, vote: LeaseAnswer): LeaseHistory | undefined {
+    const request = this.pendingRequests.get(sequence);
+    if (request === undefined || !request.voters.includes(voter)) return undefined;
+    if (!vote.isGiven) return undefined;
+    request.votes.set(voter, vote);
+    const votes = [...request.votes.values()];
+    if (votes.length < majorityOf(request.voters.length)) return undefined;
+    this.proof.prove(request.sentAt);
+    this.majoritySequence = Math.max(this.majoritySequence, sequence);
+    const formers = votes.flatMap(({ former }) => (former === undefined ? [] : [former]));
+    return { soleMs: Math.min(...votes.map(({ soleMs }) => soleMs)), formers };
   }
 
-  /** Whether the holder may lend now: to be asked in the same turn as it lends. */
+  /** Returns whether the holder may grant units now. Call it in the same event loop turn as the grant. */
   holds(now: number): boolean {
     return this.ageMs(now) <= HOLD_MS;
   }
 
-  /** Milliseconds since the question of the lease; infinite without one. */
+  /** Returns the milliseconds since the newest granted request was sent; infinite if there is none. */
   ageMs(now: number): number {
     return this.proof.ageMs(now);
   }
 
-  /** The most that the holder may lend to itself: what the keepers know whatever questions have reached them. */
+  /**
+   * Returns the maximum number of units that the holder may grant to itself: the lowest ceiling that
+   * the voters can have recorded, whichever of the latest requests have reached them.
+   */
   ownCeiling(): number {
-    const known = [...this.questions].filter(([sequence]) => sequence >= this.answered);
+    const known = [...this.pendingRequests].filter(
+      ([sequence]) => sequence >= this.majoritySequence,
+    );
     return known.length === 0 ? 0 : Math.min(...known.map(([, { ownCeiling }]) => ownCeiling));
   }
 
-  /** Whether a question that is not old covers so much that the holder would lend to itself. */
+  /** Returns whether a request sent within the last `withinMs` milliseconds has a ceiling of at least `units`. */
   hasAskedFor(units: number, withinMs: number, now: number): boolean {
-    const { questions } = this;
-    return [...questions.values()].some(
-      ({ askedAt, ownCeiling }) => now - askedAt < withinMs && ownCeiling >= units,
+    const { pendingRequests } = this;
+    return [...pendingRequests.values()].some(
+      ({ sentAt, ownCeiling }) => now - sentAt < withinMs && ownCeiling >= units,
     );
   }
 
-  /** Milliseconds since the last question. */
+  /** Returns the milliseconds since the last request was sent. */
   sinceAskedMs(now: number): number {
-    return now - this.lastAskedAt;
+    return now - this.lastSentAt;
   }
 
-  /** The holder lends no more; answers that are on their way count for nothing. */
+  /** Gives up the lease. Votes that arrive later are ignored. */
   release(): void {
     this.proof = new NewestProof();
-    this.questions.clear();
-    this.lastAskedAt = -Infinity;
-    this.answered = -Infinity;
+    this.pendingRequests.clear();
+    this.lastSentAt = -Infinity;
+    this.majoritySequence = -Infinity;
   }
 }
 
-interface Word extends LeaseQuestion {
+interface RecordedVote extends LeaseQuestion {
   sequence: number;
   ownCeiling: number;
-  /** When the word was given last, and to this holder first; a released one has ended. */
+  /** When the vote was last given or renewed. */
   givenAt: number;
-  soleSince: number;
+  /** Start of the time for which the voter has voted for no other holder. */
+  exclusiveSince: number;
+  /** Whether the holder has given the vote back; it then no longer binds the voter. */
   isReleased: boolean;
   former: FormerHolder | undefined;
 }
 
-/** The words of one keeper. */
+/** The votes of one voter. */
 export class LeaseKeeper {
-  private readonly words = new Map<string, Word>();
+  private readonly votes = new Map<string, RecordedVote>();
 
   /**
-   * @param startedAt - Steady time. A former process at this address may have given words.
-   * @param rememberMs - Milliseconds for which former holders are remembered.
+   * @param startedAt - Steady time. An earlier process at this address may have voted before it.
+   * @param retentionMs - Milliseconds for which previous holders are remembered.
    */
   constructor(
     private readonly startedAt: number,
-    private readonly rememberMs: number,
+    private readonly retentionMs: number,
   ) {}
 
   /**
-   * Gives the keeper's word, or not: not while another holder has it, not for {@link WORD_MS} after
-   * the keeper's start, and not when its memory is full.
+   * Grants or refuses a vote. It is refused while another holder has the vote, for
+   * {@link VOTE_MS} after the voter's start, and while the vote table is full.
    *
-   * @param isOnlyKeeper - The holder is alone in the list: a former process of its own has ended.
+   * @param isOnlyVoter - Whether the holder is the only voter. An earlier process of its own has then
+   *   ended, so the wait after the start is unnecessary.
    */
-  answer(question: LeaseQuestion, now: number, isOnlyKeeper = false): LeaseAnswer {
-    const word = this.words.get(question.name);
-    const isYoung = now - this.startedAt < WORD_MS && !isOnlyKeeper;
-    const isAnothers = word !== undefined && word.holder !== question.holder;
-    const isKept = isAnothers && !word.isReleased && now - word.givenAt < WORD_MS;
-    if (isYoung || isKept || !this.hasRoom(question.name, now)) {
+  answer(request: LeaseQuestion, now: number, isOnlyVoter = false): LeaseAnswer {
+    const vote = this.votes.get(request.name);
+    const isWithinStartupWait = now - this.startedAt < WORD_MS && !isOnlyVoter;
+    const isForOtherHolder = vote !== undefined && vote.holder !== request.holder;
+    const isBinding = isForOtherHolder && !vote.isReleased && now - vote.givenAt < WORD_MS;
+    if (isWithinStartupWait || isBinding || !this.hasCapacityFor(request.name, now)) {
       return { isGiven: false, soleMs: 0, former: undefined };
     }
-    const given = this.give(question, word, now);
-    return { isGiven: true, soleMs: now - given.soleSince, former: given.former };
+    const recorded = this.record(request, vote, now);
+    return { isGiven: true, soleMs: now - recorded.exclusiveSince, former: recorded.former };
   }
 
-  /** A holder lends no more. A word that was given after its release stays. */
+  /** Ends the vote for a holder that gives up its lease. A vote on a request later than the release stays. */
   release(name: string, holder: string, sequence: number): void {
-    const word = this.words.get(name);
-    if (word === undefined || word.holder !== holder || word.sequence > sequence) return;
-    word.isReleased = true;
+    const vote = this.votes.get(name);
+    if (vote === undefined || vote.holder !== holder || vote.sequence > sequence) return;
+    vote.isReleased = true;
   }
 
-  private give(question: LeaseQuestion, word: Word | undefined, now: number): Word {
-    const { holder, process, sequence, ownCeiling } = question;
-    if (word !== undefined && word.holder === holder && word.process === process) {
-      word.sequence = Math.max(word.sequence, sequence);
-      Object.assign(word, { ownCeiling, givenAt: now, isReleased: false });
-      if (now - word.soleSince > this.rememberMs) word.former = undefined;
-      return word;
+  private record(
+    request: LeaseQuestion,
+    vote: RecordedVote | undefined,
+    now: number,
+  ): RecordedVote {
+    const { holder, process, sequence, ownCeiling } = request;
+    if (vote !== undefined && vote.holder === holder && vote.process === process) {
+      vote.sequence = Math.max(vote.sequence, sequence);
+      Object.assign(vote, { ownCeiling, givenAt: now, isReleased: false });
+      if (now - vote.exclusiveSince > this.retentionMs) vote.former = undefined;
+      return vote;
     }
-    // Who has released its word is there to tell of itself what it lent.
-    const isTold = word === undefined || word.isReleased;
-    const former = isTold ? undefined : { holder: word.holder, ownCeiling: word.ownCeiling };
-    const soleSince = word === undefined ? this.startedAt : now;
+    // A holder that released its vote is still running and reports the units it granted itself.
+    const reportsOwnUse = vote === undefined || vote.isReleased;
+    const former = reportsOwnUse ? undefined : { holder: vote.holder, ownCeiling: vote.ownCeiling };
+    const exclusiveSince = vote === undefined ? this.startedAt : now;
     const isReleased = false;
-    const given = { ...question, givenAt: now, soleSince, isReleased, former };
-    this.words.set(question.name, given);
-    return given;
+    const recorded = { ...request, givenAt: now, exclusiveSince, isReleased, former };
+    this.votes.set(request.name, recorded);
+    return recorded;
   }
 
-  /** Words that matter to nobody any more make room for others. */
-  private hasRoom(name: string, now: number): boolean {
-    if (this.words.size < MOST_WORDS || this.words.has(name)) return true;
-    for (const [other, { givenAt }] of this.words) {
-      if (now - givenAt > this.rememberMs) this.words.delete(other);
+  /** Returns whether a vote on the name can be stored. Deletes expired votes if the table is full. */
+  private hasCapacityFor(name: string, now: number): boolean {
+    if (this.votes.size < MAX_VOTES || this.votes.has(name)) return true;
+    for (const [other, { givenAt }] of this.votes) {
+      if (now - givenAt > this.retentionMs) this.votes.delete(other);
     }
-    return this.words.size < MOST_WORDS;
+    return this.votes.size < MAX_VOTES;
   }
 }
--- a/src/core/admission/holder-silence.ts
+++ b/src/core/admission/holder-silence.ts
@@ -1,61 +1,63 @@
 /**
- * What a daemon may do that hears nothing from a holder. Requests far below a limit do not wait for
- * the holder's word, but each daemon asks for one now and then: who is cut off notices, before it
- * has let much pass, that nobody counts what it tells. Pure; times are milliseconds of a steady clock.
+ * Detects that the holder of a limit does not reply, and decides what a daemon may admit meanwhile.
+ * Requests far below a limit are admitted without waiting for the holder, but each daemon requests an
+ * acknowledgment periodically. A daemon that is partitioned from the holder thus notices, before it
+ * has admitted many units, that the holder does not count them. Pure; times are milliseconds of a
+ * steady clock.
  */
 
-/** A word is asked for again after so long: a few datagrams a second, however many the requests. */
-const WORD_PERIOD_MS = 250;
-/** Without a word by then the holder is silent: many times what a datagram takes. */
-const SILENT_AFTER_MS = 200;
+/** Interval between requests for an acknowledgment: a few datagrams a second at any request rate. */
+const ACKNOWLEDGMENT_PERIOD_MS = 250;
+/** The holder counts as unresponsive after this time without a reply; a datagram takes a small part of it. */
+const REPLY_TIMEOUT_MS = 200;
 /**
- * A daemon counts its own share alone after so long without a word: by then a holder that is cut off
- * has lost its lease, and one that has a lease sees that this daemon is cut off and lends its share
- * to nobody. Membership takes about two seconds for that.
+ * Time without a reply after which a daemon counts its own share of the limit alone. By then a
+ * partitioned holder has lost its lease, and a holder with a lease has noticed that this daemon is
+ * partitioned and grants its share to no other daemon. Membership needs about two seconds for that.
  */
-const ALONE_AFTER_MS = 2_500;
+const INDEPENDENT_AFTER_MS = 2_500;
 
-/** One daemon's silence on one name. */
+/** One daemon's contact with the holder of one name. */
 export class HolderSilence {
-  private heardAt = -Infinity;
-  /** When a word was asked for first that has not come. */
-  private silentSince: number | undefined;
-  /** Units told since the last word. */
-  private unheardUnits = 0;
+  private lastReplyAt = -Infinity;
+  /** When the first reply was requested that has not arrived; undefined if none is outstanding. */
+  private waitingSince: number | undefined;
+  /** Units reported to the holder since its last reply. */
+  private unacknowledgedUnits = 0;
 
-  /** Notes units that the holder is told; returns whether to ask it for a word. */
+  /** Records units that are reported to the holder. Returns whether to request an acknowledgment. */
   tell(units: number, now: number): boolean {
-    this.unheardUnits += units;
-    const wantsWord = now - this.heardAt >= WORD_PERIOD_MS;
-    if (wantsWord) this.ask(now);
-    return wantsWord;
+    this.unacknowledgedUnits += units;
+    const needsAcknowledgment = now - this.lastReplyAt >= ACKNOWLEDGMENT_PERIOD_MS;
+    if (needsAcknowledgment) this.ask(now);
+    return needsAcknowledgment;
   }
 
-  /** A word was asked for. */
+  /** Records that a reply was requested from the holder. */
   ask(now: number): void {
-    this.silentSince ??= now;
+    this.waitingSince ??= now;
   }
 
-  /** A holder with a lease has said something. */
+  /** Records a message from a holder that has a lease. */
   hear(now: number): void {
-    this.heardAt = now;
-    this.silentSince = undefined;
-    this.unheardUnits = 0;
+    this.lastReplyAt = now;
+    this.waitingSince = undefined;
+    this.unacknowledgedUnits = 0;
   }
 
   /**
-   * Whether the holder may be taken to count what it is told.
+   * Returns whether the holder can be assumed to receive and count the reported units.
    *
-   * @param units - Units of the request at hand.
-   * @param share - The most units that may pass without a word: this daemon's equal share of the limit.
+   * @param units - Units of the current request.
+   * @param share - Maximum number of units between two replies: this daemon's equal share of the limit.
    */
   isHeard(units: number, share: number, now: number): boolean {
-    const isLate = this.silentSince !== undefined && now - this.silentSince > SILENT_AFTER_MS;
-    return !isLate && this.unheardUnits + units <= share;
+    const isOverdue = this.waitingSince !== undefined && now - this.waitingSince > REPLY_TIMEOUT_MS;
+    return !isOverdue && this.unacknowledgedUnits + units <= share;
   }
 
-  /** Whether this daemon may use its share alone. */
+  /** Returns whether this daemon may use its own share without the holder. */
   mayCountAlone(now: number): boolean {
-    return this.silentSince !== undefined && now - this.silentSince >= ALONE_AFTER_MS;
+    return this.waitingSince !== undefined && now - this.waitingSince >= INDEPENDENT_AFTER_MS;
   }
 }
--- a/src/core/admission/limit-ledger.ts
+++ b/src/core/admission/limit-ledger.ts
@@ -1,43 +1,46 @@
 /**
  * One tenant's limit over all daemons, as its holder counts it: units in a sliding window,
- * and a pace for a tenant that comes near the limit. A request is counted when it is
- * admitted and given back if it has not run: the class "admission counted" of the paper in
- * the users' reading (_How a limit counts_), with one counter for all daemons. Pure; times
- * are milliseconds of a steady clock.
+ * with pacing of a tenant that comes near the limit. A request is counted when it is
+ * admitted, and its units are returned if it has not run. This is the class "admission
+ * counted" of the user documentation (_How a limit counts_), with one counter for all
+ * daemons. Pure; times are milliseconds of a steady clock.
  */
 import { SlidingSum } from '../sliding-sum.js';
 import { TokenBucket } from '../token-bucket.js';
 import type { HolderView, LimitDecision, RateLedger, RateLimit } from './rate-ledger.js';
 
-/** How limits are measured. */
+/** The window over which limits are enforced, and the excess that is tolerated in it. */
 export interface LimitWindow {
-  /** The operator counts units in any window of this length. */
+  /** Window length in milliseconds. The limit applies to every window of this length. */
   readonly windowMs: number;
-  /** Share of the limit that may be exceeded in a window. */
+  /** Tolerated excess in a window as a fraction of the limit. */
   readonly excess: number;
-  /** Units that may be exceeded in a window besides. */
+  /** Tolerated excess in a window in units, in addition to the fraction. */
   readonly slack: number;
 }
 
-/** Share of a window's units above which requests are paced: below it none waits for its turn. */
-const PACED_SHARE = 0.7;
-/** From this share on requests need the holder's decision first, until it falls under the other one. */
-const TIGHT_SHARE = 0.5;
-const RELAXED_SHARE = 0.35;
-/** Part of the excess that the holder grants; the rest is for what daemons admit before they hear. */
-const GRANTED_EXCESS_SHARE = 0.5;
+/** Fraction of the capacity above which requests are paced. Below it no request is delayed. */
+const PACING_THRESHOLD = 0.7;
+/**
+ * Requests need the holder's decision first once usage reaches the upper fraction of the capacity, and
+ * until it falls below the lower one.
+ */
+const APPROVAL_THRESHOLD = 0.5;
+const APPROVAL_RELEASE_THRESHOLD = 0.35;
+/** Fraction of the excess that the holder grants. The rest covers requests that daemons admit before its messages reach them. */
+const GRANTED_EXCESS_FRACTION = 0.5;
 
-/** The count of one tenant. */
+/** Counts the units of one tenant. */
 export class LimitLedger implements RateLedger {
   private readonly admitted: SlidingSum;
   private readonly bucket: TokenBucket;
-  private recalled = 0;
-  private largestCharge = 0;
-  private isNear = true;
+  private reported = 0;
+  private largestRequest = 0;
+  private isNearLimit = true;
 
   /**
-   * @param startedAt - Steady time. The holder has counted nothing before: it takes the tenant
-   *   for one that was at its limit.
+   * @param startedAt - Steady time at which counting starts. The tenant is assumed to have used its
+   *   full limit before, because the holder has no count from that time.
    */
   constructor(
     private limit: RateLimit,
@@ -48,10 +51,10 @@
     this.admitted = new SlidingSum(window.windowMs);
     const { share } = view;
     this.bucket = new TokenBucket(limit.perSecond * share, limit.burst * share, startedAt);
-    this.bucket.spend(Math.max(0, limit.burst * share - this.spare()), startedAt);
+    this.bucket.spend(Math.max(0, limit.burst * share - this.spareUnits()), startedAt);
   }
 
-  /** Puts a changed limit, or another view of the group, in force. */
+  /** Applies a changed limit or a changed view of the group. */
   configure(limit: RateLimit, view: HolderView, now: number): void {
     this.limit = limit;
     this.view = view;
@@ -59,43 +62,43 @@
   }
 
   /**
-   * Others have counted until now: the holder takes the tenant for one that was at its limit, as far as
-   * it has not been told otherwise.
+   * Restarts counting after another daemon was the holder until now. The tenant is assumed to have used
+   * its full limit before, less the units that daemons report afterwards.
    *
-   * @param unseen - Units that a former holder has admitted for itself beyond its share; nobody tells of them.
+   * @param unseen - Units that a previous holder admitted for itself beyond its share. No daemon reports them.
    */
   countFrom(now: number, unseen: number): void {
     this.startedAt = now;
-    this.recalled = this.admitted.total(now);
+    this.reported = this.admitted.total(now);
     if (unseen > 0) this.admitted.add(unseen, now);
     const { perSecond, burst } = this.limit;
     const { share } = this.view;
-    // The smaller burst takes away what the bucket holds beyond it; the usual one is then in force again.
-    this.bucket.setRate(perSecond * share, Math.min(burst * share, this.spare()), now);
+    // The smaller burst discards tokens beyond the spare units; the second call restores the usual burst.
+    this.bucket.setRate(perSecond * share, Math.min(burst * share, this.spareUnits()), now);
     this.bucket.setRate(perSecond * share, burst * share, now);
   }
 
-  /** Counts units that were admitted without a question, or gives them back. */
+  /** Counts units that were admitted without the holder's decision. Negative units are returned ones. */
   count(units: number, now: number): void {
     this.admitted.add(units, now);
     this.bucket.spend(units, now);
-    this.largestCharge = Math.max(this.largestCharge, units);
+    this.largestRequest = Math.max(this.largestRequest, units);
   }
 
-  /** Counts what a daemon has admitted in the window that ends now: it is assumed no longer. */
+  /** Counts units that a daemon reports for the window that ends now. They replace assumed usage. */
   recall(units: number, now: number): void {
     this.admitted.add(units, now);
-    this.recalled += units;
+    this.reported += units;
   }
 
-  /** Admits a request, or tells when to come back. */
+  /** Admits a request, or returns a delay after which to retry. */
   admit(units: number, now: number): LimitDecision {
     const used = this.used(now);
     const capacity = this.capacity();
     if (used + units > capacity)
-      return { type: 'over_limit', retryAfterMs: this.roomIn(units, now) };
-    const isPaced = used + units > capacity * PACED_SHARE;
-    // A request larger than the burst passes a full bucket: nothing else would ever serve it.
+      return { type: 'over_limit', retryAfterMs: this.waitForUnitsMs(units, now) };
+    const isPaced = used + units > capacity * PACING_THRESHOLD;
+    // A request larger than the burst is admitted by a full bucket; otherwise it would never be admitted.
     const needed = Math.min(units, this.limit.burst * this.view.share);
     if (isPaced && !this.bucket.holds(needed, now)) {
       return { type: 'over_limit', retryAfterMs: this.bucket.waitMs(now, needed) };
@@ -104,43 +107,44 @@
     return { type: 'granted' };
   }
 
-  /** Whether requests need the holder's decision first. */
+  /** Returns whether requests need the holder's decision before they are admitted. */
   isTight(now: number): boolean {
-    const usedShare = this.used(now) / Math.max(1, this.capacity());
-    this.isNear = usedShare >= (this.isNear ? RELAXED_SHARE : TIGHT_SHARE);
-    // One request of each daemon, before any hears, must not pass a small limit.
-    const isSmall = this.largestCharge * this.view.daemons > this.capacity();
-    return this.isNear || isSmall;
+    const usedFraction = this.used(now) / Math.max(1, this.capacity());
+    this.isNearLimit =
+      usedFraction >= (this.isNearLimit ? APPROVAL_RELEASE_THRESHOLD : APPROVAL_THRESHOLD);
+    // With a small limit, one request per daemon before the holder's first message could exceed it.
+    const isSmallLimit = this.largestRequest * this.view.daemons > this.capacity();
+    return this.isNearLimit || isSmallLimit;
   }
 
-  /** Units in the window that ends now, those assumed from before the start among them. */
+  /** Returns the units used in the window that ends now, including usage assumed before the start. */
   used(now: number): number {
-    return this.admitted.total(now) + this.assumed(now);
+    return this.admitted.total(now) + this.assumedUnits(now);
   }
 
-  /** Units that the holder grants in a window. */
+  /** Returns the units that the holder grants in a window. */
   capacity(): number {
-    return this.plainUnits() * this.view.share + this.spare();
+    return this.limitUnits() * this.view.share + this.spareUnits();
   }
 
-  private plainUnits(): number {
+  private limitUnits(): number {
     return (this.limit.perSecond * this.window.windowMs) / 1_000 + this.limit.burst;
   }
 
-  private spare(): number {
+  private spareUnits(): number {
     const { excess, slack } = this.window;
-    return (this.plainUnits() * excess + slack) * GRANTED_EXCESS_SHARE * this.view.share;
+    return (this.limitUnits() * excess + slack) * GRANTED_EXCESS_FRACTION * this.view.share;
   }
 
-  /** What a tenant at its limit has used of the window before the holder began to count. */
-  private assumed(now: number): number {
+  /** Returns the units that a tenant at its limit used in the part of the window before counting started. */
+  private assumedUnits(now: number): number {
     const uncountedMs = Math.max(0, this.window.windowMs - (now - this.startedAt));
     const atLimit = (this.limit.perSecond * this.view.share * uncountedMs) / 1_000;
-    return Math.max(0, atLimit - this.recalled);
+    return Math.max(0, atLimit - this.reported);
   }
 
-  private roomIn(units: number, now: number): number {
-    const allowed = this.capacity() - units - this.assumed(now);
+  private waitForUnitsMs(units: number, now: number): number {
+    const allowed = this.capacity() - units - this.assumedUnits(now);
     return this.admitted.untilAtMost(Math.max(0, allowed), now);
   }
 }
--- a/src/core/admission/limit-shares.ts
+++ b/src/core/admission/limit-shares.ts
@@ -1,8 +1,8 @@
 /**
- * Which part of every limit each daemon may count. A record names the daemons that have an equal share (members) and, while
- * a change of them is open, those that are to have one (next). Nobody works a share out from what it sees of the others, so
- * the shares of all daemons together never pass the whole, on all sides of a cut. `spec/shares.pml` is its model.
- * Pure; times are milliseconds of the lease clock.
+ * The share of every limit that each daemon may use. A record lists the daemons that have an equal share (members) and, while
+ * a change is in progress, the daemons that are to have one afterwards (next). No daemon derives its share from its own view
+ * of the group, so the shares of all daemons never add up to more than the limit, even across a network partition.
+ * `spec/shares.pml` models the protocol. Pure; times are milliseconds of the lease clock.
  */
 import { NewestProof } from '../newest-proof.js';
 
@@ -13,137 +13,144 @@
   readonly zone: string;
 }
 
-/** The division of all limits. The same daemons in `members` and `next` mean that it is closed. */
+/** The division of all limits among daemons. No change is in progress if `members` and `next` list the same daemons. */
 export interface ShareRecord {
-  /** Higher in each later record. */
+  /** Version of the record; increases with each change. */
   readonly number: number;
-  /** Sorted by address. */
+  /** Daemons that have a share, sorted by address. */
   readonly members: readonly ShareMember[];
-  /** Sorted by address. */
+  /** Daemons that have a share after the change, sorted by address. */
   readonly next: readonly ShareMember[];
 }
 
 /**
- * A daemon that has not proved to the platform's store for so long that it runs has no share: others may divide the limits
- * without it some time later.
+ * A daemon loses its share if it has not renewed its entry in the platform's store for this long. Some time later the other
+ * daemons may divide the limits without it.
  */
 export const RENEWAL_LAPSES_MS = 1_800_000;
-/** An entry that a former process of this daemon has left counts for so long from this one's start. */
+/** Time from the start of a process for which the store entry of the daemon's previous process stays valid. */
 export const KEPT_ENTRY_MS = 20_000;
-/** A member's answer counts for so long at a daemon that has not read the store since its start. */
+/** Time for which a member's reply is valid at a daemon that has not read the store since its start. */
 export const MEMBER_ANSWER_MS = 1_000;
 
-/** Whether no change is open. */
+/** Returns whether no change of the record is in progress. */
 export function isClosed({ members, next }: ShareRecord): boolean {
   return sameMembers(members, next);
 }
 
-/** Whether two sorted lists name the same addresses. */
+/** Returns whether two sorted lists contain the same addresses. */
 export function sameMembers(a: readonly ShareMember[], b: readonly ShareMember[]): boolean {
-  return a.length === b.length && a.every(({ address }, place) => address === b[place]?.address);
+  return a.length === b.length && a.every(({ address }, index) => address === b[index]?.address);
 }
 
-/** Members in the order of a record. */
+/** Returns the members in the order of a record, by address and without duplicates. */
 export function sortMembers(members: Iterable<ShareMember>): ShareMember[] {
   const byAddress = new Map([...members].map((member) => [member.address, member]));
   return [...byAddress.values()].sort((a, b) => (a.address < b.address ? -1 : 1));
 }
 
-/** One daemon's knowledge of the record. */
+/** The share record as one daemon knows it, and the share that the daemon may use by it. */
 export class LimitShares {
   private known: ShareRecord | undefined;
-  /** Addresses that have a share by the record, and the share of each. */
+  /** Addresses of the daemons that have a share by the record, and the share of each of them. */
   private sharers = new Set<string>();
   private share = 0;
   private hasRead = false;
   private hasLeft = false;
   private readonly renewal = new NewestProof();
-  private readonly memberAnswer = new NewestProof();
+  private readonly memberReply = new NewestProof();
 
   constructor(private readonly self: string) {}
 
-  /** The newest record that is known, whether it counts here or not. */
+  /** The newest known record, whether or not this daemon may use its share by it. */
   get record(): ShareRecord | undefined {
     return this.known;
   }
 
-  /** Whether this process has read the store since its start. */
+  /** Whether this process has read the record from the store since its start. */
   get isRead(): boolean {
     return this.hasRead;
   }
 
-  /** The store has answered with the record; returns whether it is another one than was known. */
+  /** Records a record read from the store. Returns whether it is newer than the known one. */
   read(record: ShareRecord): boolean {
     this.hasRead = true;
-    return this.take(record);
+    return this.adopt(record);
   }
 
-  /** The store has answered that there is no record yet. */
+  /** Records that the store holds no record yet. */
   readNothing(): void {
     this.hasRead = true;
   }
 
-  /** Another daemon has told of a record; returns whether it is newer than what was known. */
+  /** Records a record announced by another daemon. Returns whether it was accepted as newer than the known one. */
   hear(record: ShareRecord): boolean {
-    return this.hasRead && this.take(record);
+    return this.hasRead && this.adopt(record);
   }
 
   /**
-   * A member that has read the store has answered a question: its record counts for a time. For a daemon that has not read
-   * the store itself.
+   * Records a member's reply with a record, where the member has read the store. If this daemon has not read the store itself,
+   * it may use the record for {@link MEMBER_REPLY_VALID_MS} from the sending of the request. Returns whether the record is newer
+   * than the known one.
    */
   hearMember(record: ShareRecord, askedAt: number): boolean {
     if (this.hasRead || (this.known !== undefined && record.number < this.known.number)) {
       return this.hear(record);
     }
-    this.memberAnswer.prove(askedAt);
-    return this.take(record);
+    this.memberReply.prove(askedAt);
+    return this.adopt(record);
   }
 
-  /** The store has acknowledged that this daemon runs. */
+  /** Records that the store has acknowledged a renewal of this daemon's entry that was sent at `askedAt`. */
   renewed(askedAt: number): void {
     this.renewal.prove(askedAt);
   }
 
-  /** This daemon ends: it counts nothing more. */
+  /** Gives up this daemon's share for a planned stop. */
   leave(): void {
     this.hasLeft = true;
   }
 
-  /** Whether this daemon may count by the record: alone its own share, as a holder those of all that it sees. */
+  /**
+   * Returns whether this daemon may use the record: its own share without a holder, and as a holder the shares of all daemons
+   * that it sees.
+   */
   mayCount(now: number): boolean {
     if (this.hasLeft || !this.sharers.has(this.self)) return false;
-    if (!this.hasRead) return this.memberAnswer.ageMs(now) <= MEMBER_ANSWER_MS;
+    if (!this.hasRead) return this.memberReply.ageMs(now) <= MEMBER_ANSWER_MS;
     return this.renewal.ageMs(now) <= RENEWAL_LAPSES_MS;
   }
 
-  /** Whether others may take the record from this daemon that have not read the store. */
+  /** Returns whether daemons that have not read the store may use the record from this daemon. */
   mayTell(now: number): boolean {
     return this.hasRead && this.mayCount(now);
   }
 
-  /** The part of each limit that this daemon may count alone, from 0 to 1. */
+  /** Returns the fraction of each limit that this daemon may use without a holder, from 0 to 1. */
   ownShare(now: number): number {
     return this.mayCount(now) ? this.share : 0;
   }
 
-  /** The part of each limit that a daemon with a share has by the record. */
+  /** The fraction of each limit that each daemon with a share has by the record, from 0 to 1. */
   get usualShare(): number {
     return this.share;
   }
 
-  /** The part of each limit that this daemon may count for some daemons that have a share, from 0 to 1. */
+  /** Returns the fraction of each limit that this daemon may grant on behalf of `sharers` daemons with a share, from 0 to 1. */
   sumOf(sharers: number, now: number): number {
     return this.mayCount(now) ? sharers * this.share : 0;
   }
 
-  /** Whether a daemon has a share by the record. */
+  /** Returns whether a daemon has a share by the record. */
   isSharer(address: string): boolean {
     return this.sharers.has(address);
   }
 
-  /** Takes a record that is not older. While a change is open the smaller share counts, of those that stay. */
-  private take(record: ShareRecord): boolean {
+  /**
+   * Adopts a newer record. While a change is in progress only daemons in both lists have a share, and the share is the
+   * smaller of the old and the new one.
+   */
+  private adopt(record: ShareRecord): boolean {
     if (this.known !== undefined && record.number <= this.known.number) return false;
     this.known = record;
     const staying = new Set(record.next.map(({ address }) => address));
--- a/src/core/admission/permit-ledger.ts
+++ b/src/core/admission/permit-ledger.ts
@@ -1,33 +1,36 @@
 /**
- * Permits for requests to a backend that has named a rate limit: a token bucket for all daemons. Unlike a tenant's
- * limit, no request passes before the holder has granted it, and the burst is small: what is granted reaches the backend in bunches.
- * Pure; times are milliseconds of a steady clock.
+ * Permits for requests to a backend that has announced a rate limit: one token bucket for all daemons. Unlike with a
+ * tenant's limit, the holder must grant each request before it is sent. The burst is small because granted requests already
+ * reach the backend in batches. Pure; times are milliseconds of a steady clock.
  */
 import { TokenBucket } from '../token-bucket.js';
 import type { HolderView, LimitDecision, RateLedger, RateLimit } from './rate-ledger.js';
 
-/** Seconds of the limit that may be granted at once. */
+/** Burst in seconds of the limit's rate. */
 const BURST_SECONDS = 0.25;
-/** One request may always be granted at once. */
-const LEAST_BURST = 1;
-/** A backend that takes none, or next to none, gets a request now and then: only its answer ends the limit. */
-const LEAST_PER_SECOND = 0.25;
-/** Callers are told to come back one after another, within this time. */
-const LONGEST_QUEUE_MS = 4_000;
+/** Smallest burst in requests, so that a single request can always be granted. */
+const MIN_BURST = 1;
+/**
+ * Smallest rate in requests a second. A backend that announces a limit at or near zero still gets occasional requests,
+ * because only its response to one can lift the limit.
+ */
+const MIN_PER_SECOND = 0.25;
+/** Longest time over which the retries of refused callers are spread. */
+const MAX_RETRY_SPREAD_MS = 4_000;
 
-/** The limit that is kept where a backend names one, in requests. */
+/** Returns the limit, in requests, that is enforced for a backend that announces `perSecond` requests a second. */
 export function permitLimit(perSecond: number): RateLimit {
-  const rate = Math.max(LEAST_PER_SECOND, perSecond);
-  return { perSecond: rate, burst: Math.max(LEAST_BURST, rate * BURST_SECONDS) };
+  const rate = Math.max(MIN_PER_SECOND, perSecond);
+  return { perSecond: rate, burst: Math.max(MIN_BURST, rate * BURST_SECONDS) };
 }
 
-/** The permits of one backend's process. */
+/** Grants permits for requests to one backend process. */
 export class PermitLedger implements RateLedger {
   private readonly bucket: TokenBucket;
-  /** When those that were refused have all been told to come back. */
-  private queueEndsAt = -Infinity;
+  /** Time up to which retry times have been assigned to refused requests. */
+  private retriesAssignedUntil = -Infinity;
 
-  /** @param startedAt - Steady time: another daemon may have granted a burst until then. */
+  /** @param startedAt - Steady time. The bucket starts empty, as another daemon may just have granted a burst. */
   constructor(
     private limit: RateLimit,
     private view: HolderView,
@@ -43,7 +46,7 @@
     this.bucket.setRate(this.rate, this.burst, now);
   }
 
-  /** The former holder may have granted a whole burst just before. */
+  /** Empties the bucket, because the previous holder may just have granted a full burst. */
   countFrom(now: number): void {
     this.bucket.setRate(this.rate, 0, now);
     this.bucket.setRate(this.rate, this.burst, now);
@@ -53,16 +56,16 @@
     this.bucket.spend(units, now);
   }
 
-  /** Nothing: a bucket that begins empty covers what was granted before. */
+  /** Does nothing: the bucket starts empty, which covers permits granted before. */
   recall(): void {}
 
   admit(units: number, now: number): LimitDecision {
-    // A burst that is cut to a share of the group's may hold less than one request.
+    // A burst reduced to this holder's share may be smaller than one request.
     if (this.bucket.holds(Math.min(units, this.burst), now)) {
       this.bucket.spend(units, now);
       return { type: 'granted' };
     }
-    return { type: 'over_limit', retryAfterMs: this.nextTurnMs(units, now) };
+    return { type: 'over_limit', retryAfterMs: this.assignRetryDelayMs(units, now) };
   }
 
   isTight(): boolean {
@@ -85,12 +88,12 @@
     return this.limit.burst * this.view.share;
   }
 
-  /** Requests that are refused at the same time are told different times. */
-  private nextTurnMs(units: number, now: number): number {
+  /** Returns the delay until the next free retry time, so that requests refused together retry at different times. */
+  private assignRetryDelayMs(units: number, now: number): number {
     const waitMs = this.bucket.waitMs(now, Math.min(units, this.burst));
-    const turnAt = Math.max(now + waitMs, this.queueEndsAt);
-    const endsAt = turnAt + (units / this.rate) * 1_000;
-    this.queueEndsAt = Math.min(endsAt, now + Math.max(waitMs, LONGEST_QUEUE_MS));
-    return turnAt - now;
+    const retryAt = Math.max(now + waitMs, this.retriesAssignedUntil);
+    const endsAt = retryAt + (units / this.rate) * 1_000;
+    this.retriesAssignedUntil = Math.min(endsAt, now + Math.max(waitMs, MAX_RETRY_SPREAD_MS));
+    return retryAt - now;
   }
 }
--- a/src/core/admission/rate-ledger.ts
+++ b/src/core/admission/rate-ledger.ts
@@ -1,6 +1,6 @@
 /**
- * One limit over all daemons, as its holder counts it. An interface; `limit-ledger.ts` and `permit-ledger.ts`
- * are its policies. Times are milliseconds of a steady clock.
+ * The interface of one limit over all daemons, as its holder counts it. `limit-ledger.ts` and `permit-ledger.ts`
+ * implement it. Times are milliseconds of a steady clock.
  */
 
 /** A rate with a bounded burst. */
@@ -14,39 +14,39 @@
 /** The decision on a request. */
 export type LimitDecision =
   | { readonly type: 'granted' }
-  /** The units should be there after `retryAfterMs`. */
+  /** The limit is reached. The units are expected to be available after `retryAfterMs`. */
   | { readonly type: 'over_limit'; readonly retryAfterMs: number }
-  /** Nobody who counts has answered. */
+  /** No holder with a lease has replied. */
   | { readonly type: 'unknown' };
 
-/** What the holder knows of the group. */
+/** The group as the holder sees it. */
 export interface HolderView {
-  /** Daemons that are seen. */
+  /** Number of daemons that the holder sees. */
   readonly daemons: number;
-  /** Share of the listed daemons that are seen: the others, cut off, may count the rest of the limit. */
+  /** Fraction of the limit that belongs to the daemons it sees. Daemons across a partition may use the rest. */
   readonly share: number;
 }
 
-/** The count of one limit. */
+/** Counts the units of one limit and decides on requests under it. */
 export interface RateLedger {
-  /** Puts a changed limit, or another view of the group, in force. */
+  /** Applies a changed limit or a changed view of the group. */
   configure(limit: RateLimit, view: HolderView, now: number): void;
   /**
-   * Others have counted until now.
+   * Restarts counting after another daemon was the holder until now.
    *
-   * @param unseen - Units that a former holder has admitted for itself beyond its share; nobody tells of them.
+   * @param unseen - Units that a previous holder admitted for itself beyond its share. No daemon reports them.
    */
   countFrom(now: number, unseen: number): void;
-  /** Counts units that were admitted without a question, or gives them back. */
+  /** Counts units that were admitted without the holder's decision. Negative units are returned ones. */
   count(units: number, now: number): void;
-  /** Counts what a daemon has admitted in the window that ends now. */
+  /** Counts units that a daemon reports as admitted in the window that ends now. */
   recall(units: number, now: number): void;
-  /** Admits a request, or tells when to come back. */
+  /** Admits a request, or returns a delay after which to retry. */
   admit(units: number, now: number): LimitDecision;
-  /** Whether requests need the holder's decision first. */
+  /** Returns whether requests need the holder's decision before they are admitted. */
   isTight(now: number): boolean;
-  /** Units in use, for log lines. */
+  /** Returns the units in use, for log lines. */
   used(now: number): number;
-  /** Units that the holder grants at most, for log lines. */
+  /** Returns the maximum number of units that the holder grants, for log lines. */
   capacity(): number;
 }
--- a/src/core/admission/share-changes.ts
+++ b/src/core/admission/share-changes.ts
@@ -1,6 +1,7 @@
 /**
- * When the division of limits may change. A change is opened while all members answer, and closed once all of them know
- * it: until then joined daemons have no share, and the members the smaller one. Pure; times are milliseconds of the steady clock.
+ * Decides when the division of limits may change. The coordinator starts a change while all members reply, and completes it
+ * once all of them know the new record. Until then joining daemons have no share and members have the smaller of the old and
+ * the new share. Pure; times are milliseconds of the steady clock.
  */
 import {
   KEPT_ENTRY_MS,
@@ -11,113 +12,121 @@
 } from './limit-shares.js';
 import type { ShareMember, ShareRecord } from './limit-shares.js';
 
-/** Other daemons must have been seen for so long without a change: those that start together join together. */
+/** The set of daemons must have been stable for this long, so that daemons that start together join in one change. */
 const STABLE_MS = 1_000;
-/** An answer that is older says nothing of whether a member is in touch. */
-const ANSWER_COUNTS_MS = 1_000;
-/** After the last member's answer an older record that a member has answered with counts nowhere any more. */
-const CLOSES_AFTER_MS = MEMBER_ANSWER_MS + 300;
-/** The same where a member has ended: it may have started again just before, and kept its entry. */
-const CLOSES_AFTER_END_MS = KEPT_ENTRY_MS + 5_000;
+/** Age in milliseconds up to which a reply shows that a member is reachable. */
+const REPLY_VALID_MS = 1_000;
+/**
+ * Delay between the last member's reply and the completion of a change. After it, no daemon uses an older record any longer
+ * that a member has sent in a reply.
+ */
+const COMPLETION_DELAY_MS = MEMBER_ANSWER_MS + 300;
+/** The same delay if a member has stopped: it may have restarted just before under the entry of its previous process. */
+const COMPLETION_DELAY_AFTER_STOP_MS = KEPT_ENTRY_MS + 5_000;
 
-/** What the coordinator of changes sees. */
+/** The coordinator's view of the group. */
 export interface ShareChangeView {
   readonly live: readonly ShareMember[];
-  /** Whether a daemon has ended, as far as the platform's store tells. */
+  /** Returns whether a daemon has stopped, according to the platform's store. */
   readonly hasEnded: (address: string) => boolean;
 }
 
-/** What is left to do for a change. */
+/** The next actions for a change. */
 export interface ShareChangeStep {
-  /** Addresses of members that have to be asked which record they know. */
+  /** Addresses of members that must be queried for the record that they know. */
   readonly unanswered: readonly string[];
-  /** The next record, if it may be written now. */
+  /** The next record if it may be written now, otherwise undefined. */
   readonly next: ShareRecord | undefined;
 }
 
-interface MemberAnswer {
+interface MemberReply {
   readonly number: number;
   readonly at: number;
 }
 
-/** The coordinator's part. */
+/** Tracks the members' replies and decides on the coordinator's next step. */
 export class ShareChanges {
-  private readonly answers = new Map<string, MemberAnswer>();
-  private wanted: readonly ShareMember[] = [];
-  private wantedSince = -Infinity;
-  private completeSince: number | undefined;
+  private readonly replies = new Map<string, MemberReply>();
+  private desired: readonly ShareMember[] = [];
+  private desiredSince = -Infinity;
+  private allKnowSince: number | undefined;
 
-  /** A member, which may be this daemon, knows a record of a number. */
+  /** Records the number of the record that a member knows. The member may be this daemon. */
   hearAnswer(from: string, number: number, now: number): void {
-    this.answers.set(from, { number, at: now });
+    this.replies.set(from, { number, at: now });
   }
 
-  /** Looks at a record; undefined if no change of it is open and none is wanted. */
+  /** Returns the next step for a record, or undefined if no change is in progress and none is needed. */
   step(record: ShareRecord, view: ShareChangeView, now: number): ShareChangeStep | undefined {
     const remaining = record.members.filter(({ address }) => !view.hasEnded(address));
     return isClosed(record)
-      ? this.open(record, remaining, view, now)
-      : this.close(record, remaining, now);
+      ? this.startChange(record, remaining, view, now)
+      : this.completeChange(record, remaining, now);
   }
 
-  private open(
+  private startChange(
     record: ShareRecord,
     remaining: readonly ShareMember[],
     { live }: ShareChangeView,
     now: number,
   ): ShareChangeStep | undefined {
-    const wanted = sortMembers([...live, ...remaining]);
-    if (sameMembers(record.members, wanted)) return undefined;
-    this.completeSince = undefined;
-    const isStable = this.isStable(wanted, now);
+    const desired = sortMembers([...live, ...remaining]);
+    if (sameMembers(record.members, desired)) return undefined;
+    this.allKnowSince = undefined;
+    const isStable = this.isStable(desired, now);
     const unanswered = addressesOf(remaining).filter(
-      (address) => !this.hasAnsweredLately(address, record, now),
+      (address) => !this.hasRepliedRecently(address, record, now),
     );
     const seen = new Set(addressesOf(live));
-    const areInTouch =
+    const areReachable =
       unanswered.length === 0 && addressesOf(remaining).every((address) => seen.has(address));
-    if (!isStable || !areInTouch) return { unanswered, next: undefined };
-    const next = { number: record.number + 1, members: record.members, next: wanted };
+    if (!isStable || !areReachable) return { unanswered, next: undefined };
+    const next = { number: record.number + 1, members: record.members, next: desired };
     return { unanswered, next };
   }
 
-  private close(
+  private completeChange(
     record: ShareRecord,
     remaining: readonly ShareMember[],
     now: number,
   ): ShareChangeStep {
-    const unanswered = addressesOf(remaining).filter((address) => !this.knows(address, record));
+    const unanswered = addressesOf(remaining).filter(
+      (address) => !this.knowsRecord(address, record),
+    );
     if (unanswered.length > 0) {
-      this.completeSince = undefined;
+      this.allKnowSince = undefined;
       return { unanswered, next: undefined };
     }
-    this.completeSince ??= now;
-    const hasEndedMember = remaining.length < record.members.length;
-    const waitMs = hasEndedMember ? CLOSES_AFTER_END_MS : CLOSES_AFTER_MS;
-    if (now - this.completeSince < waitMs) return { unanswered, next: undefined };
+    this.allKnowSince ??= now;
+    const hasStoppedMember = remaining.length < record.members.length;
+    const waitMs = hasStoppedMember ? COMPLETION_DELAY_AFTER_STOP_MS : COMPLETION_DELAY_MS;
+    if (now - this.allKnowSince < waitMs) return { unanswered, next: undefined };
     const next = { number: record.number + 1, members: record.next, next: record.next };
     return { unanswered, next };
   }
 
   private isStable(members: readonly ShareMember[], now: number): boolean {
-    if (!sameMembers(this.wanted, members)) {
-      this.wanted = members;
-      this.wantedSince = now;
+    if (!sameMembers(this.desired, members)) {
+      this.desired = members;
+      this.desiredSince = now;
     }
-    return now - this.wantedSince >= STABLE_MS;
+    return now - this.desiredSince >= STABLE_MS;
   }
 
-  private knows(address: string, record: ShareRecord): boolean {
-    return (this.answers.get(address)?.number ?? 0) >= record.number;
+  private knowsRecord(address: string, record: ShareRecord): boolean {
+    return (this.replies.get(address)?.number ?? 0) >= record.number;
   }
 
-  private hasAnsweredLately(address: string, record: ShareRecord, now: number): boolean {
-    const at = this.answers.get(address)?.at ?? -Infinity;
-    return this.knows(address, record) && now - at <= ANSWER_COUNTS_MS;
+  private hasRepliedRecently(address: string, record: ShareRecord, now: number): boolean {
+    const at = this.replies.get(address)?.at ?? -Infinity;
+    return this.knowsRecord(address, record) && now - at <= REPLY_VALID_MS;
   }
 }
 
-/** The first division ever: whoever is not seen yet joins by the next one. */
+/**
+ * Returns the first record, with all live daemons as members, or undefined if there are none. Daemons that are not visible
+ * yet join by a later change.
+ */
 export function firstRecord({ live }: ShareChangeView): ShareRecord | undefined {
   const members = sortMembers(live);
   return members.length === 0 ? undefined : { number: 1, members, next: members };
--- a/src/core/admission/slot-keeping.ts
+++ b/src/core/admission/slot-keeping.ts
@@ -1,80 +1,80 @@
 /**
- * Who may use the slots of one backend, decided in one place for all daemons. The interface of the
- * ways to decide, and what they share: daemons use `slot-queue.ts`; tests measure another way against
- * it. Pure; times are milliseconds of the decider's steady clock.
+ * Allocation of one backend's slots, decided in one place for all daemons: the interface of the
+ * allocation policies, and the types and helpers that they share. Daemons use `slot-queue.ts`; tests
+ * compare it with another policy. Pure; times are milliseconds of the deciding daemon's steady clock.
  */
 
-/** A request that wants a slot of the backend. */
+/** A request for a slot of the backend. */
 export interface SlotAsk {
   readonly daemon: string;
-  /** Names the request among those of its daemon. */
+  /** Identifies the request among those of its daemon. */
   readonly ticket: number;
   /** Priority of its route or tenant; 0 is the most urgent. */
   readonly rank: number;
-  /** When it should be sent for its answer to begin in time. */
+  /** When the request should be sent so that its answer begins in time. */
   readonly dueAt: number;
-  /** When its caller can no longer be served, or leaves. */
+  /** When waiting becomes useless: the caller can no longer be served in time, or disconnects. */
   readonly giveUpAt: number;
-  /** How long its caller has waited before it was asked for here. */
+  /** Milliseconds that the caller had waited before this slot was requested. */
   readonly waitedMs: number;
-  /** Whose share of the slots it takes; empty for callers without a key, who have one share together. */
+  /** Tenant whose share of the slots is used. Empty for callers without a key, who have one share together. */
   readonly tenant: string;
-  /** Expected work in tokens; 0 if nothing is known. */
+  /** Expected work in tokens; 0 if unknown. */
   readonly work: number;
 }
 
-/** A request that was sent without a question. */
+/** A request that a daemon sent to the backend without requesting a slot first. */
 export type SlotUse = Pick<SlotAsk, 'daemon' | 'ticket' | 'tenant' | 'work'>;
 
-/** The word on an ask. */
+/** The decision on a slot request. */
 export type SlotAnswer =
   | { readonly type: 'granted' }
-  /** It waits for its turn; it will be answered again. */
+  /** The request is queued. A later decision grants or refuses it. */
   | { readonly type: 'queued'; readonly expectedWaitMs: number }
-  /** It can't be served in its time; one that comes after `retryAfterMs` probably can. */
+  /** The request cannot be served in time. A retry after `retryAfterMs` probably can. */
   | { readonly type: 'refused'; readonly retryAfterMs: number }
-  /** The backend takes no requests, or is not known here: another one must be chosen. */
+  /** The backend accepts no requests, or is not known here. The daemon must choose another backend. */
   | { readonly type: 'unknown' };
 
-/** An answer and whom it is for. */
+/** A decision and the request that it is for. */
 export interface SlotDecision {
   readonly daemon: string;
   readonly ticket: number;
   readonly answer: SlotAnswer;
-  /** Milliseconds that it has waited here; 0 if it was answered at once. */
+  /** Milliseconds that the request waited in the queue; 0 if it was decided at once. */
   readonly waitedMs: number;
 }
 
-/** What daemons are told of a backend besides. */
+/** Load of a backend, as announced to daemons. */
 export interface SlotFigures {
   readonly slots: number;
   readonly inFlight: number;
   readonly waiting: number;
-  /** Milliseconds that a request of usual rank and size would wait if it came now. */
+  /** Milliseconds that a new request of typical rank and size would wait. */
   readonly expectedWaitMs: number;
 }
 
-/** Keeps the slots of one backend. Each call returns the answers that follow from it. */
+/** Allocates the slots of one backend. Calls return the decisions that result from them. */
 export interface SlotKeeping {
-  /** A repeated ask is answered as the first one stands now. */
+  /** Handles a slot request. A repeated request gets the current state of the first one. */
   ask(ask: SlotAsk, now: number): SlotDecision[];
-  /** A request was sent without a question. */
+  /** Records a request that was sent without requesting a slot first. */
   take(use: SlotUse, now: number): void;
-  /** A request has ended, or an ask is withdrawn. What is not known is ignored. */
+  /** Records that a request has ended or that a slot request is withdrawn. Ignores unknown tickets. */
   end(daemon: string, ticket: number, now: number): SlotDecision[];
-  /** The daemon has left, or was lost: its requests and asks are void. */
+  /** Drops all requests of a daemon that has stopped or failed. */
   daemonGone(daemon: string, now: number): SlotDecision[];
-  /** Looks at the clock; call it some times a second. */
+  /** Handles elapsed timeouts. Call it several times a second. */
   look(now: number): SlotDecision[];
   figures(now: number): SlotFigures;
 }
 
-/** Whether requests need the keeper's word first: from half of the slots on, or when some wait. */
+/** Returns whether requests need a granted slot before they are sent: if half of the slots are in use or requests wait. */
 export function isTight({ slots, inFlight, waiting }: SlotFigures): boolean {
   return waiting > 0 || inFlight * 2 >= slots;
 }
 
-/** An answer to an ask, after `waitedMs` milliseconds of waiting. */
+/** Returns the decision on a slot request that has waited `waitedMs` milliseconds. */
 export function decisionOn(
   { daemon, ticket }: Pick<SlotAsk, 'daemon' | 'ticket'>,
   answer: SlotAnswer,
@@ -83,7 +83,7 @@
   return { daemon, ticket, answer, waitedMs };
 }
 
-/** Names a request among those of all daemons. */
+/** Returns a key that identifies a request among those of all daemons. */
 export function ticketKey({ daemon, ticket }: Pick<SlotAsk, 'daemon' | 'ticket'>): string {
   return `${daemon} ${ticket}`;
 }
--- a/src/core/admission/slot-queue.ts
+++ b/src/core/admission/slot-queue.ts
@@ -1,13 +1,14 @@
 /**
- * The queue before one backend, for all daemons: which requests have a slot, who waits, who is
- * next. Built for more callers than slots: without one order over all daemons whoever looks first
- * takes the slot, and an urgent request that comes late ends work half done at the backend.
+ * The queue of one backend for all daemons: which requests have a slot, which wait, and which is
+ * next. It is designed for more callers than slots. Without one order over all daemons the first
+ * daemon to notice a free slot takes it, and an urgent request that arrives late aborts half-finished
+ * work at the backend.
  *
- * Order: by rank, then tenants within their share before those beyond it, then those who can still
- * be in time, then by due time with a bounded handicap for large requests. Each {@link STEP_MS} of waiting
- * moves a request up by one step, so nobody is overtaken for ever: one of rank r is overtaken by
- * nobody who comes more than (4 r + 3) steps and its own goal with the handicap later. Pure; times
- * are milliseconds of a steady clock.
+ * Order: by rank, then tenants within their share before tenants beyond it, then requests that can
+ * still meet their due time, then by due time with a bounded penalty for large requests. Each
+ * {@link AGING_STEP_MS} of waiting moves a request up by one step, which prevents starvation: a
+ * request of rank r is not overtaken by one that arrives later than it by more than (4 r + 3) steps
+ * plus its time to its due time with the penalty. Pure; times are milliseconds of a steady clock.
  */
 import {
   decisionOn,
@@ -23,89 +24,92 @@
 import { shareLevel, type TenantUse } from './tenant-shares.js';
 import { ToldFailures } from './told-failures.js';
 
-/** Waiting for so long is worth one step in the order. */
+/** Waiting time that moves a request up by one step in the order. */
 export const STEP_MS = 300;
-/** Steps between two ranks: rank decides before shares, and shares before lateness. */
-const STEPS_A_RANK = 4;
+/** Steps between two ranks. Rank outweighs tenant shares, and tenant shares outweigh lateness. */
+const STEPS_PER_RANK = 4;
 const STEPS_OVER_SHARE = 2;
-/** A request that can't be in time any more gives way to those that can. */
+/** Steps by which a request that has missed its due time is placed behind those that can still meet theirs. */
 const STEPS_LATE = 1;
-/** A request of twice the usual size goes behind those that are due so much later. */
+/** Due-time penalty of a request of twice the mean size; it grows linearly with the size. */
 export const SIZE_HANDICAP_MS = 50;
-/** Waiting requests for each slot: beyond it the last in order is refused, whatever it would wait. */
-const MOST_WAITING_A_SLOT = 12;
-/** A ticket that its daemon has not named for so long is void: its end was lost, or its daemon. */
-const UNNAMED_LIFETIME_MS = 3_500;
-/** What a daemon's list does not name is void only if it is older: the two may cross on the way. */
-const CROSSING_MS = 400;
-/** Nobody is told to come back sooner: a message and a connection take as long. */
-const LEAST_RETRY_MS = 50;
-/** The rank for which daemons are told what a newcomer would wait: between the most urgent and the others. */
-const USUAL_RANK = 1;
-/** Requests end at random: a gap of so many usual ones is still common, a longer one tells of trouble. */
-const USUAL_GAPS = 4;
-/** An ask may claim no longer wait than this. */
-const LONGEST_CLAIM_MS = 20_000;
+/** Maximum number of waiting requests per slot. Beyond it the last in order is refused, whatever its expected wait. */
+const MAX_WAITING_PER_SLOT = 12;
+/** A ticket expires if its daemon has not listed it for this long: the message of its end was lost, or the daemon failed. */
+const TICKET_EXPIRY_MS = 3_500;
+/** Minimum age of a ticket that is dropped because a daemon's list lacks it. A younger one may have crossed the list in transit. */
+const MIN_UNLISTED_AGE_MS = 400;
+/** Shortest retry delay: a message and a new connection take as long anyway. */
+const MIN_RETRY_MS = 50;
+/** Rank for which the expected wait of a new request is announced: between the most urgent rank and the others. */
+const TYPICAL_RANK = 1;
+/**
+ * Requests end at random times. A gap between two ends of this many mean gaps is still common; a longer one indicates
+ * a problem at the backend.
+ */
+const COMMON_GAP_FACTOR = 4;
+/** Upper bound on the times that a slot request may state, relative to now. */
+const MAX_STATED_MS = 20_000;
 const LEAST_URGENT_RANK = 9;
 
 interface Holder extends SlotUse {
   readonly size: number;
   readonly since: number;
-  /** Its beginning was seen here, so that the time until its end can be learned from. */
-  readonly isWhole: boolean;
-  namedAt: number;
+  /** Whether this queue saw the request begin, so that its duration is a valid sample. */
+  readonly isStartKnown: boolean;
+  lastListedAt: number;
 }
 
 interface Waiter extends SlotAsk {
   readonly size: number;
   readonly since: number;
   readonly sequence: number;
-  readonly toldMs: number;
-  namedAt: number;
+  readonly announcedWaitMs: number;
+  lastListedAt: number;
 }
 
-/** The queue of one backend. */
+/** Allocates the slots of one backend in priority order. */
 export class SlotQueue implements SlotKeeping {
   private readonly holders = new Map<string, Holder>();
   private readonly waiters = new Map<string, Waiter>();
   private readonly times = new SlotTimes();
   private readonly failures = new ToldFailures();
-  /** When callers should be back that were told to come back. */
+  /** Expected retries of refused callers. */
   private returns: { readonly at: number; readonly rank: number }[] = [];
   private sequence = 0;
-  /** When a request last began or ended here; infinite before any. */
-  private movedAt = Infinity;
+  /** When a request last began or ended here; infinite before the first. */
+  private lastChangeAt = Infinity;
 
   constructor(private slots: number) {}
 
-  /** The backend has another number of slots. */
+  /** Sets the number of slots of the backend. */
   setSlots(slots: number): void {
     this.slots = slots;
   }
 
   ask(raw: SlotAsk, now: number): SlotDecision[] {
-    const ask = cleaned(raw, now);
+    const ask = bounded(raw, now);
     const key = ticketKey(ask);
     const holder = this.holders.get(key);
     if (holder !== undefined) {
-      holder.namedAt = now;
+      holder.lastListedAt = now;
       return [decisionOn(ask, { type: 'granted' }, 0)];
     }
     const waiting = this.waiters.get(key);
-    if (waiting !== undefined) return this.answerAgain(waiting, now);
+    if (waiting !== undefined) return this.repeatAnswer(waiting, now);
     const size = this.times.sizeOf(ask.work);
     this.sequence += 1;
     const { sequence } = this;
-    const waiter = { ...ask, size, since: now, sequence, toldMs: 0, namedAt: now };
+    const waiter = { ...ask, size, since: now, sequence, announcedWaitMs: 0, lastListedAt: now };
     this.waiters.set(key, waiter);
-    const decisions = this.fill(now);
+    const decisions = this.grantFreeSlots(now);
     if (!this.waiters.has(key)) return decisions;
-    const answer = this.judge(waiter, now);
+    const answer = this.queueOrRefuse(waiter, now);
     if (answer.type === 'refused') this.waiters.delete(key);
     else if (answer.type === 'queued') {
-      this.waiters.set(key, { ...waiter, toldMs: answer.expectedWaitMs });
+      this.waiters.set(key, { ...waiter, announcedWaitMs: answer.expectedWaitMs });
     }
-    return [...decisions, decisionOn(ask, answer, 0), ...this.dropSurplus(now)];
+    return [...decisions, decisionOn(ask, answer, 0), ...this.refuseSurplus(now)];
   }
 
   take(use: SlotUse, now: number): void {
@@ -113,39 +117,40 @@
     this.waiters.delete(key);
     const known = this.holders.get(key);
     if (known !== undefined) {
-      known.namedAt = now;
+      known.lastListedAt = now;
       return;
     }
-    this.movedAt = now;
+    this.lastChangeAt = now;
     const size = this.times.sizeOf(use.work);
-    this.holders.set(key, { ...use, size, since: now, isWhole: true, namedAt: now });
+    this.holders.set(key, { ...use, size, since: now, isStartKnown: true, lastListedAt: now });
   }
 
-  /** @param hasFailed - The backend has failed the request. */
+  /** @param hasFailed - Whether the request failed at the backend. */
   end(daemon: string, ticket: number, now: number, hasFailed = false): SlotDecision[] {
     const key = ticketKey({ daemon, ticket });
     this.waiters.delete(key);
     const holder = this.holders.get(key);
     if (holder === undefined) return [];
     this.holders.delete(key);
-    this.movedAt = now;
+    this.lastChangeAt = now;
     this.failures.note(hasFailed, now);
-    if (holder.isWhole) this.times.noteHold(now - holder.since, holder.size);
-    return this.fill(now);
+    if (holder.isStartKnown) this.times.noteHold(now - holder.since, holder.size);
+    return this.grantFreeSlots(now);
   }
 
   /**
-   * A caller was told to come back: those who come before it would find its place taken, so it
-   * counts among those that wait.
+   * Records that a refused caller was given a retry delay. It counts as a waiting request, because
+   * it will be ahead of requests that arrive before its retry.
    */
   expectReturn(rank: number, afterMs: number, now: number): void {
-    if (this.returns.length >= this.slots * MOST_WAITING_A_SLOT) return;
-    this.returns.push({ rank, at: now + Math.min(afterMs, LONGEST_CLAIM_MS) });
+    if (this.returns.length >= this.slots * MAX_WAITING_PER_SLOT) return;
+    this.returns.push({ rank, at: now + Math.min(afterMs, MAX_STATED_MS) });
   }
 
   /**
-   * Takes the tickets of all that a daemon has in flight here, and of all that waits: what it does not name was
-   * lost with a message, and what is not known here was begun before this queue was.
+   * Reconciles the queue with a daemon's list of its tickets in flight and waiting. A ticket missing
+   * from the list has ended and the message of its end was lost. An unknown ticket in flight began
+   * before this queue existed.
    */
   named(
     daemon: string,
@@ -153,12 +158,12 @@
     waiting: readonly number[],
     now: number,
   ): SlotDecision[] {
-    this.movedAt = Math.min(this.movedAt, now);
+    this.lastChangeAt = Math.min(this.lastChangeAt, now);
     const known = new Set([...inFlight, ...waiting]);
     for (const [key, entry] of [...this.holders, ...this.waiters]) {
       if (entry.daemon !== daemon) continue;
-      if (known.has(entry.ticket)) entry.namedAt = now;
-      else if (now - entry.since > CROSSING_MS) this.drop(key);
+      if (known.has(entry.ticket)) entry.lastListedAt = now;
+      else if (now - entry.since > MIN_UNLISTED_AGE_MS) this.drop(key);
     }
     for (const ticket of inFlight) {
       const key = ticketKey({ daemon, ticket });
@@ -167,26 +172,26 @@
       this.waiters.delete(key);
       const size = this.times.sizeOf(work);
       const use = { daemon, ticket, tenant, work };
-      this.holders.set(key, { ...use, size, since: now, isWhole: false, namedAt: now });
+      this.holders.set(key, { ...use, size, since: now, isStartKnown: false, lastListedAt: now });
     }
-    return this.fill(now);
+    return this.grantFreeSlots(now);
   }
 
   daemonGone(daemon: string, now: number): SlotDecision[] {
     for (const [key, entry] of [...this.holders, ...this.waiters]) {
       if (entry.daemon === daemon) this.drop(key);
     }
-    return this.fill(now);
+    return this.grantFreeSlots(now);
   }
 
   look(now: number): SlotDecision[] {
     for (const [key, entry] of [...this.holders, ...this.waiters]) {
-      if (now - entry.namedAt > UNNAMED_LIFETIME_MS) this.drop(key);
+      if (now - entry.lastListedAt > TICKET_EXPIRY_MS) this.drop(key);
     }
-    return this.fill(now);
+    return this.grantFreeSlots(now);
   }
 
-  /** The backend takes no more requests: nobody waits for it in vain. */
+  /** Answers all waiting requests with `unknown`, because the backend accepts no more requests. */
   close(now: number): SlotDecision[] {
     const waiters = [...this.waiters.values()];
     this.waiters.clear();
@@ -198,15 +203,20 @@
     const { slots } = this;
     const inFlight = this.holders.size;
     const waiting = this.waiters.size;
-    return { slots, inFlight, waiting, expectedWaitMs: this.waitBehind(waiting, USUAL_RANK, now) };
+    return {
+      slots,
+      inFlight,
+      waiting,
+      expectedWaitMs: this.waitBehind(waiting, TYPICAL_RANK, now),
+    };
   }
 
-  /** Share of the requests that the backend has failed lately. */
+  /** Returns the fraction of requests that failed at the backend recently. */
   failureShare(now: number): number {
     return this.failures.share(now);
   }
 
-  /** Daemons that have a request here. */
+  /** Returns the daemons that have a request here, in flight or waiting. */
   daemons(): Set<string> {
     const entries = [...this.holders.values(), ...this.waiters.values()];
     return new Set(entries.map((entry) => entry.daemon));
@@ -217,119 +227,116 @@
     this.waiters.delete(key);
   }
 
-  private answerAgain(waiter: Waiter, now: number): SlotDecision[] {
-    waiter.namedAt = now;
+  private repeatAnswer(waiter: Waiter, now: number): SlotDecision[] {
+    waiter.lastListedAt = now;
     const expectedWaitMs = this.expectedWait(waiter, now);
-    return [decisionOn(waiter, { type: 'queued', expectedWaitMs }, 0), ...this.fill(now)];
+    return [decisionOn(waiter, { type: 'queued', expectedWaitMs }, 0), ...this.grantFreeSlots(now)];
   }
 
-  /** Who would wait in vain is told so at once, when coming back still helps. */
-  private judge(waiter: Waiter, now: number): SlotAnswer {
+  /** Refuses a request at once if it would wait past its time limit, while a retry can still help the caller. */
+  private queueOrRefuse(waiter: Waiter, now: number): SlotAnswer {
     const expectedWaitMs = this.expectedWait(waiter, now);
     const mayWaitMs = waiter.giveUpAt - now;
     if (expectedWaitMs <= mayWaitMs || !this.times.isLearned)
       return { type: 'queued', expectedWaitMs };
-    const retryAfterMs = Math.max(LEAST_RETRY_MS, expectedWaitMs);
+    const retryAfterMs = Math.max(MIN_RETRY_MS, expectedWaitMs);
     return { type: 'refused', retryAfterMs };
   }
 
   private expectedWait(waiter: Waiter, now: number): number {
-    const level = this.level();
-    const place = this.placeOf(waiter, level, now);
+    const usage = this.usage();
+    const position = this.positionOf(waiter, usage, now);
     let ahead = 0;
     for (const other of this.waiters.values()) {
-      if (other !== waiter && isBefore(this.placeOf(other, level, now), place)) ahead += 1;
+      if (other !== waiter && precedes(this.positionOf(other, usage, now), position)) ahead += 1;
     }
     return this.waitBehind(ahead, waiter.rank, now);
   }
 
   /**
-   * Expected milliseconds of wait behind `ahead` requests that wait already. Callers that are to return
-   * count as well if they are of no lesser rank and should be back before.
+   * Returns the expected wait in milliseconds behind `ahead` waiting requests. Expected retries of the
+   * same or a more urgent rank count as well if they are due before the end of that wait.
    */
   private waitBehind(ahead: number, rank: number, now: number): number {
     const ends = this.holders.size + ahead + 1 - this.slots;
     if (ends <= 0) return 0;
     const size = this.meanSize();
-    // A backend that ends nothing for long answers nobody: its waits are longer than they were.
-    const standstillMs = Math.max(0, now - this.movedAt) / USUAL_GAPS;
-    const waitMs = Math.max(
-      this.times.untilFree(ends, this.slots, size, rank),
-      ends * standstillMs,
-    );
+    // If no request has ended for long, the backend has stalled, and waits get longer than past ones.
+    const stallMs = Math.max(0, now - this.lastChangeAt) / COMMON_GAP_FACTOR;
+    const waitMs = Math.max(this.times.untilFree(ends, this.slots, size, rank), ends * stallMs);
     this.returns = this.returns.filter(({ at }) => at > now);
     const before = this.returns.filter((one) => one.rank <= rank && one.at < now + waitMs);
     return waitMs + this.times.untilFree(before.length, this.slots, size, rank);
   }
 
-  /** Gives free slots to those who are first in the order. */
-  private fill(now: number): SlotDecision[] {
-    const decisions = this.refuseLate(now);
+  /** Refuses requests past their time limit, and grants free slots to the first requests in the order. */
+  private grantFreeSlots(now: number): SlotDecision[] {
+    const decisions = this.refuseExpired(now);
     while (this.holders.size < this.slots) {
       const next = this.first(now);
       if (next === undefined) break;
-      const { daemon, ticket, tenant, work, size, since, rank, toldMs } = next;
+      const { daemon, ticket, tenant, work, size, since, rank, announcedWaitMs } = next;
       const key = ticketKey(next);
       this.waiters.delete(key);
-      this.movedAt = now;
+      this.lastChangeAt = now;
       const use = { daemon, ticket, tenant, work };
-      this.holders.set(key, { ...use, size, since: now, isWhole: true, namedAt: now });
-      if (toldMs > 0) this.times.noteWait(rank, toldMs, now - since);
+      this.holders.set(key, { ...use, size, since: now, isStartKnown: true, lastListedAt: now });
+      if (announcedWaitMs > 0) this.times.noteWait(rank, announcedWaitMs, now - since);
       decisions.push(decisionOn(next, { type: 'granted' }, now - since));
     }
     return decisions;
   }
 
-  private refuseLate(now: number): SlotDecision[] {
+  private refuseExpired(now: number): SlotDecision[] {
     const late = [...this.waiters.values()].filter((waiter) => waiter.giveUpAt <= now);
     return late.map((waiter) => this.refuse(waiter, now));
   }
 
-  private dropSurplus(now: number): SlotDecision[] {
-    if (this.waiters.size <= this.slots * MOST_WAITING_A_SLOT) return [];
-    const level = this.level();
+  private refuseSurplus(now: number): SlotDecision[] {
+    if (this.waiters.size <= this.slots * MAX_WAITING_PER_SLOT) return [];
+    const usage = this.usage();
     const [first, ...others] = this.waiters.values();
     if (first === undefined) return [];
     const last = others.reduce((latest, waiter) => {
-      const place = this.placeOf(waiter, level, now);
-      return isBefore(this.placeOf(latest, level, now), place) ? waiter : latest;
+      const position = this.positionOf(waiter, usage, now);
+      return precedes(this.positionOf(latest, usage, now), position) ? waiter : latest;
     }, first);
     return [this.refuse(last, now)];
   }
 
   private refuse(waiter: Waiter, now: number): SlotDecision {
-    const retryAfterMs = Math.max(LEAST_RETRY_MS, this.expectedWait(waiter, now));
-    const { rank, toldMs, since } = waiter;
-    // Its wait would have been longer still.
-    if (now - since > toldMs) this.times.noteWait(rank, toldMs, now - since);
+    const retryAfterMs = Math.max(MIN_RETRY_MS, this.expectedWait(waiter, now));
+    const { rank, announcedWaitMs, since } = waiter;
+    // The actual wait would have been even longer than the time spent, so the sample is a lower bound.
+    if (now - since > announcedWaitMs) this.times.noteWait(rank, announcedWaitMs, now - since);
     this.waiters.delete(ticketKey(waiter));
     return decisionOn(waiter, { type: 'refused', retryAfterMs }, now - since);
   }
 
   private first(now: number): Waiter | undefined {
-    const level = this.level();
+    const usage = this.usage();
     let best: Waiter | undefined;
-    let bestPlace: Place | undefined;
+    let bestPosition: Position | undefined;
     for (const waiter of this.waiters.values()) {
-      const place = this.placeOf(waiter, level, now);
-      if (bestPlace !== undefined && !isBefore(place, bestPlace)) continue;
+      const position = this.positionOf(waiter, usage, now);
+      if (bestPosition !== undefined && !precedes(position, bestPosition)) continue;
       best = waiter;
-      bestPlace = place;
+      bestPosition = position;
     }
     return best;
   }
 
-  private placeOf(waiter: Waiter, level: ShareLevel, now: number): Place {
+  private positionOf(waiter: Waiter, usage: TenantUsage, now: number): Position {
     const { rank, dueAt, size, sequence, tenant } = waiter;
-    const isOver = (level.held.get(tenant) ?? 0) + size > level.share && level.held.has(tenant);
+    const isOver = (usage.held.get(tenant) ?? 0) + size > usage.share && usage.held.has(tenant);
     const aged = Math.floor((now - waiter.since + waiter.waitedMs) / STEP_MS);
     const over = isOver ? STEPS_OVER_SHARE : 0;
     const late = dueAt < now ? STEPS_LATE : 0;
-    const step = Math.max(0, rank * STEPS_A_RANK + over + late - aged);
+    const step = Math.max(0, rank * STEPS_PER_RANK + over + late - aged);
     return { step, dueAt: dueAt + (size - 1) * SIZE_HANDICAP_MS, sequence };
   }
 
-  private level(): ShareLevel {
+  private usage(): TenantUsage {
     const held = new Map<string, number>();
     const uses = new Map<string, TenantUse>();
     for (const { tenant, size } of this.holders.values()) {
@@ -351,40 +358,40 @@
   }
 }
 
-interface ShareLevel {
-  /** What tenants hold, in usual requests. */
+interface TenantUsage {
+  /** Size of each tenant's requests in flight, in multiples of the mean size. */
   readonly held: ReadonlyMap<string, number>;
-  /** Up to so many usual requests a tenant is within its share. */
+  /** Size of requests in flight up to which a tenant is within its share, in multiples of the mean size. */
   readonly share: number;
 }
 
-/** What the order goes by: the least step first, then the earliest due, then the first to come. */
-interface Place {
-  /** See {@link STEPS_A_RANK}; falls by one with each {@link STEP_MS} of waiting, 0 at the least. */
+/** Sort key of a waiting request: lowest step first, then earliest due time, then first arrival. */
+interface Position {
+  /** Steps for rank, tenant share and lateness, less one per {@link AGING_STEP_MS} of waiting; at least 0. */
   readonly step: number;
   readonly dueAt: number;
   readonly sequence: number;
 }
 
-function isBefore(a: Place, b: Place): boolean {
-  return a.step - b.step < 0 || (a.step === b.step && isDueBefore(a, b));
+function precedes(a: Position, b: Position): boolean {
+  return a.step - b.step < 0 || (a.step === b.step && isDueEarlier(a, b));
 }
 
-function isDueBefore(a: Place, b: Place): boolean {
+function isDueEarlier(a: Position, b: Position): boolean {
   return a.dueAt < b.dueAt || (a.dueAt === b.dueAt && a.sequence < b.sequence);
 }
 
-/** A message may hold anything: what can't be read counts as the most cautious that can. */
-function cleaned(ask: SlotAsk, now: number): SlotAsk {
+/** Bounds the numbers of a slot request, which come from a message. Replaces non-finite ones by the least favorable valid value. */
+function bounded(ask: SlotAsk, now: number): SlotAsk {
   const within = (value: number, least: number, most: number, otherwise: number): number =>
     Number.isFinite(value) ? Math.min(most, Math.max(least, value)) : otherwise;
-  const horizon = now + LONGEST_CLAIM_MS;
+  const horizon = now + MAX_STATED_MS;
   return {
     ...ask,
     rank: Math.floor(within(ask.rank, 0, LEAST_URGENT_RANK, LEAST_URGENT_RANK)),
-    dueAt: within(ask.dueAt, now - LONGEST_CLAIM_MS, horizon, horizon),
-    // It may be too late for a queue, but a free slot is worth the try.
+    dueAt: within(ask.dueAt, now - MAX_STATED_MS, horizon, horizon),
+    // The time limit may have passed, but the request may still get a slot that is free now.
     giveUpAt: within(ask.giveUpAt, now + 1, horizon, now + 1),
-    waitedMs: within(ask.waitedMs, 0, LONGEST_CLAIM_MS, 0),
+    waitedMs: within(ask.waitedMs, 0, MAX_STATED_MS, 0),
   };
 }
--- a/src/core/admission/slot-times.ts
+++ b/src/core/admission/slot-times.ts
@@ -1,61 +1,64 @@
 /**
- * How long slots of a backend are held, by the size of requests, and how far waits have been from
- * what was told: what expected waits are made of. Pure; times in milliseconds.
+ * Statistics from which expected waits are computed: how long requests hold a backend's slots,
+ * relative to their size, and the ratio of actual to announced waits. Pure; times are milliseconds.
  */
 
-/** Taken before any request has ended: a common answer. */
-const FIRST_HOLD_MS = 800;
-/** Nobody is refused by expected waits before so many requests have ended: the first hold is a guess. */
-const TRUSTED_HOLDS = 4;
-/** Weight of a new sample in the moving means: some twenty requests are remembered, about one round of a backend's slots. */
+/** Assumed hold time until a request has ended: the duration of a common answer. */
+const INITIAL_HOLD_MS = 800;
+/** Ended requests before expected waits may lead to refusals, because the first hold time is only assumed. */
+const MIN_HOLD_SAMPLES = 4;
+/** Weight of a new sample in the moving means. They cover about twenty requests, roughly one for each slot of a backend. */
 const SAMPLE_WEIGHT = 0.05;
-/** A request counts for no less and no more than this many usual ones: one hint may not rule the queue. */
-const LEAST_SIZE = 0.25;
-const LARGEST_SIZE = 4;
-/** Bounds of what is learned from waits that were told: one odd wait may not make all others untrue. */
-const LEAST_RATIO = 0.5;
-const LARGEST_RATIO = 3;
-/** Added to both times of a ratio: for short waits messages count, not the queue. */
-const MESSAGE_MS = 20;
+/** Bounds of a request's size in multiples of the mean, so that a single hint cannot dominate the queue. */
+const MIN_SIZE = 0.25;
+const MAX_SIZE = 4;
+/** Bounds of a sampled ratio of actual to announced wait, so that an outlier cannot distort later waits. */
+const MIN_RATIO = 0.5;
+const MAX_RATIO = 3;
+/** Added to both times of a ratio, because message delays dominate short waits. */
+const MESSAGE_DELAY_MS = 20;
 
-/** What is learned from requests that have ended, and waits that are over. */
+/** Learns hold times from ended requests, and wait ratios from finished waits. */
 export class SlotTimes {
-  private holdMs = FIRST_HOLD_MS;
-  private holds = 0;
-  /** Moving mean of the work that requests name, in tokens; 0 before the first. */
-  private usualWork = 0;
-  /** By rank: more urgent ones that come later make others wait for longer than their place says. */
+  private holdMs = INITIAL_HOLD_MS;
+  private holdSamples = 0;
+  /** Moving mean of the work that requests state, in tokens; 0 before the first. */
+  private meanWork = 0;
+  /** Ratios by rank. Requests of less urgent ranks wait longer than their position implies, as more urgent ones overtake them. */
   private readonly ratios = new Map<number, number>();
 
-  /** Whether waits are expected by what was seen here. */
+  /** Whether enough requests have ended here to trust expected waits. */
   get isLearned(): boolean {
-    return this.holds >= TRUSTED_HOLDS;
+    return this.holdSamples >= MIN_HOLD_SAMPLES;
   }
 
-  /** Size in usual requests of a request with so much work in tokens, which is learned from; 1 if no work is named. */
+  /**
+   * Returns the size of a request with `work` tokens in multiples of the mean, and updates the mean.
+   * Returns 1 if the work is unknown.
+   */
   sizeOf(work: number): number {
     if (!(work > 0) || !Number.isFinite(work)) return 1;
-    if (this.usualWork === 0) this.usualWork = work;
-    this.usualWork += (work - this.usualWork) * SAMPLE_WEIGHT;
-    return Math.min(LARGEST_SIZE, Math.max(LEAST_SIZE, work / this.usualWork));
+    if (this.meanWork === 0) this.meanWork = work;
+    this.meanWork += (work - this.meanWork) * SAMPLE_WEIGHT;
+    return Math.min(MAX_SIZE, Math.max(MIN_SIZE, work / this.meanWork));
   }
 
-  /** A slot was held for so long. */
+  /** Records that a request of a given size has held a slot for `heldMs`. */
   noteHold(heldMs: number, size: number): void {
-    this.holds += 1;
-    const weight = Math.max(SAMPLE_WEIGHT, 1 / (this.holds + 1));
+    this.holdSamples += 1;
+    const weight = Math.max(SAMPLE_WEIGHT, 1 / (this.holdSamples + 1));
     this.holdMs += (heldMs / size - this.holdMs) * weight;
   }
 
-  /** A wait is over that was told as `toldMs`. */
-  noteWait(rank: number, toldMs: number, spentMs: number): void {
-    const known = this.ratios.get(rank) ?? 1;
-    const seen = (spentMs + MESSAGE_MS) / (toldMs / known + MESSAGE_MS);
-    const bounded = Math.min(LARGEST_RATIO, Math.max(LEAST_RATIO, seen));
-    this.ratios.set(rank, known + (bounded - known) * SAMPLE_WEIGHT);
+  /** Records a finished wait of `spentMs` that was announced as `announcedMs`. */
+  noteWait(rank: number, announcedMs: number, spentMs: number): void {
+    const current = this.ratios.get(rank) ?? 1;
+    const sample = (spentMs + MESSAGE_DELAY_MS) / (announcedMs / current + MESSAGE_DELAY_MS);
+    const bounded = Math.min(MAX_RATIO, Math.max(MIN_RATIO, sample));
+    this.ratios.set(rank, current + (bounded - current) * SAMPLE_WEIGHT);
   }
 
-  /** Expected milliseconds until `ends` slots have come free of a backend that is full. */
+  /** Returns the expected milliseconds until `ends` slots of a fully occupied backend have become free. */
   untilFree(ends: number, slots: number, meanSize: number, rank: number): number {
     const ratio = this.ratios.get(rank) ?? 1;
     return ((ends * this.holdMs * meanSize) / Math.max(1, slots)) * ratio;
--- a/src/core/admission/tenant-shares.ts
+++ b/src/core/admission/tenant-shares.ts
@@ -1,22 +1,22 @@
-/** Max-min shares of a backend's slots among the tenants that use it or wait for it. Pure. */
+/** Max-min fair shares of a backend's slots among the tenants that use or wait for them. Pure. */
 
-/** What a tenant has and wants, in usual requests. */
+/** Sizes of a tenant's requests in flight and waiting, in multiples of the mean request size. */
 export interface TenantUse {
   readonly held: number;
   readonly waiting: number;
 }
 
 /**
- * The share up to which all are served alike: whoever wants less gets what it wants, and what is
- * left goes to the others in equal parts. Infinite if there is enough for all.
+ * Returns the max-min fair share of `room`: tenants that want less than the share get all that they
+ * want, and the others divide the rest equally. Infinite if there is enough for all tenants.
  */
-export function shareLevel(uses: Iterable<TenantUse>, room: number): number {
-  const wants = [...uses].map(({ held, waiting }) => held + waiting).sort((a, b) => a - b);
-  let left = room;
-  for (const [index, want] of wants.entries()) {
-    const level = left / (wants.length - index);
-    if (want > level) return level;
-    left -= want;
+export function shareLevel(uses: Iterable<TenantUse>, capacity: number): number {
+  const demands = [...uses].map(({ held, waiting }) => held + waiting).sort((a, b) => a - b);
+  let remaining = capacity;
+  for (const [index, demand] of demands.entries()) {
+    const share = remaining / (demands.length - index);
+    if (demand > share) return share;
+    remaining -= demand;
   }
   return Infinity;
 }
--- a/src/core/admission/told-failures.ts
+++ b/src/core/admission/told-failures.ts
@@ -1,41 +1,41 @@
 /**
- * What share of its requests a backend has failed lately, over all daemons. A backend that fails
- * at once has free slots at any time and looks like the best choice: without one count each daemon
- * finds out for itself. Old ends fade, so that one that is sound again is tried again. Pure; times
- * are milliseconds of a steady clock.
+ * The recent failure rate of a backend's requests over all daemons. A backend that fails requests
+ * immediately always has free slots and looks like the best choice; without a common count each
+ * daemon would have to discover the failures itself. Old results decay, so that a backend that has
+ * recovered is tried again. Pure; times are milliseconds of a steady clock.
  */
 
-/** An end counts a third as much after so long: a backend that was started anew is soon tried again. */
-const FADING_MS = 3_000;
-/** Ends without failure that are taken for granted: one failure alone is no pattern. */
-const ASSUMED_SOUND_ENDS = 2;
+/** Time after which a result has about a third of its weight, so that a restarted backend is soon tried again. */
+const DECAY_MS = 3_000;
+/** Successful results that are assumed in addition, so that a single failure does not yield a high rate. */
+const ASSUMED_SUCCESSES = 2;
 
-/** The ends of one backend's requests. */
+/** Exponentially decaying counts of one backend's finished and failed requests. */
 export class ToldFailures {
-  private ends = 0;
+  private results = 0;
   private failures = 0;
-  private notedAt = 0;
+  private updatedAt = 0;
 
-  /** A request has ended there. */
+  /** Records the result of a request at the backend. */
   note(hasFailed: boolean, now: number): void {
-    const left = this.left(now);
-    this.ends = this.ends * left + 1;
-    this.failures = this.failures * left + (hasFailed ? 1 : 0);
-    this.notedAt = now;
+    const decayFactor = this.decayFactor(now);
+    this.results = this.results * decayFactor + 1;
+    this.failures = this.failures * decayFactor + (hasFailed ? 1 : 0);
+    this.updatedAt = now;
   }
 
-  /** From 0, none, to 1, all. */
+  /** Returns the fraction of failed requests, from 0 to 1. */
   share(now: number): number {
-    const left = this.left(now);
-    return (this.failures * left) / (this.ends * left + ASSUMED_SOUND_ENDS);
+    const decayFactor = this.decayFactor(now);
+    return (this.failures * decayFactor) / (this.results * decayFactor + ASSUMED_SUCCESSES);
   }
 
-  private left(now: number): number {
-    return Math.exp(-Math.max(0, now - this.notedAt) / FADING_MS);
+  private decayFactor(now: number): number {
+    return Math.exp(-Math.max(0, now - this.updatedAt) / DECAY_MS);
   }
 }
 
-/** A share as a message has it; what is none counts as no failures. */
+/** Converts a failure rate in per mille, as messages carry it, to a fraction. Invalid values yield 0. */
 export function shareOfPerMille(perMille: number): number {
   const isShare = Number.isFinite(perMille) && perMille >= 0 && perMille <= 1_000;
   return isShare ? perMille / 1_000 : 0;
--- a/src/core/store-load-ceiling.ts
+++ b/src/core/store-load-ceiling.ts
@@ -1,33 +1,33 @@
 /**
- * Bounds the loads that begin from the weight store in a sliding window. A new
- * owner does not know what its predecessor began, so each owner uses half of the
- * ceiling: two owners within one window stay below it together. Pure.
+ * Limits the number of loads from the weight store that start in a sliding window.
+ * A new owner does not know which loads its predecessor started, so each owner uses
+ * half of the ceiling: two owners within one window stay within it together. Pure.
  */
 
-/** The ceiling over all owners. */
+/** Maximum load rate over all owners. */
 export interface StoreLoadCeiling {
   readonly windowMs: number;
-  /** Loads that may begin in a window. */
+  /** Loads that may start in a window. */
   readonly loads: number;
 }
 
-/** Owners that may follow each other within one window. */
-const OWNERS_IN_A_WINDOW = 2;
+/** Successive owners that may start loads within one window. */
+const OWNERS_PER_WINDOW = 2;
 
-/** One owner's part of the ceiling. */
+/** Tracks the loads that one owner has started, against its part of the ceiling. */
 export class StoreLoadWindow {
-  private begun: number[] = [];
+  private startTimes: number[] = [];
 
   constructor(private readonly ceiling: StoreLoadCeiling) {}
 
-  /** Loads that may begin now. */
+  /** Returns the number of loads that may start now. */
   room(now: number): number {
-    this.begun = this.begun.filter((time) => time > now - this.ceiling.windowMs);
-    return Math.max(0, Math.floor(this.ceiling.loads / OWNERS_IN_A_WINDOW) - this.begun.length);
+    this.startTimes = this.startTimes.filter((time) => time > now - this.ceiling.windowMs);
+    return Math.max(0, Math.floor(this.ceiling.loads / OWNERS_PER_WINDOW) - this.startTimes.length);
   }
 
-  /** Counts a load that has begun, or may have begun. */
+  /** Counts a load that has started or may have started. */
   count(now: number): void {
-    this.begun.push(now);
+    this.startTimes.push(now);
   }
 }
--- a/src/core/store-load-limit.ts
+++ b/src/core/store-load-limit.ts
@@ -1,66 +1,68 @@
 /**
- * How many loads may run from the weight store at once. The store divides its
- * throughput: past some number, that nobody tells, each load only takes longer,
- * holds its backend's order channel longer, and ends no sooner than if it had
- * waited for its turn. Pure; times are milliseconds of a steady clock.
+ * Limits the number of concurrent loads from the weight store. Concurrent loads
+ * divide the store's throughput. Beyond a number that is not known in advance, an
+ * additional load only slows the others, occupies its backend's command channel
+ * for longer, and ends no sooner than if it had been queued. Pure; times are
+ * milliseconds of a steady clock.
  */
 
 import type { ModelHostSpec } from './service-configuration.js';
 
-/** Bounds the loads from the weight store that run at the same time. */
+/** Limits the loads from the weight store that run at the same time. */
 export interface StoreLoadLimit {
-  /** Loads that may run at once. */
+  /** Maximum number of concurrent loads. */
   readonly most: number;
-  /** A load has been ordered at a backend; at full speed it takes `fullSpeedMs`. */
+  /** Records that a load was started at a backend. At full speed it takes `fullSpeedMs`. */
   begin(backend: string, fullSpeedMs: number, now: number): void;
-  /** The load at a backend is over; `completed` if the model has arrived. */
+  /** Records that the load at a backend has ended. `completed` tells whether the model was loaded. */
   end(backend: string, completed: boolean, now: number): void;
-  /** Loads that run now. */
+  /** Returns the number of loads that are running. */
   running(): number;
-  /** Looks at the loads that should have ended. */
+  /** Checks for overdue loads and adapts the limit to them. */
   observe(now: number): void;
 }
 
-/** A load that takes so many times its time at full speed was slowed down by others. */
+/** A load that takes more than this multiple of its full-speed time counts as slowed down. */
 const SLOWED_FACTOR = 1.2;
-/** Share of the limit from which on the loads at once may be why one is slow. */
-const MANY_SHARE = 0.6;
-/** Overdue loads that together speak of the store. */
-const LEAST_OVERDUE = 2;
-/** What a load at full speed has proved counts so long: the store may have become slower since. */
-const PROOF_LIFETIME_MS = 60_000;
-/** Weight of the newest estimate of what the store carries. */
-const NEWEST_WEIGHT = 0.5;
+/** Fraction of the limit above which concurrent loads can be the cause of a slow load. */
+const CONTENTION_FRACTION = 0.6;
+/** Overdue loads that are needed as evidence of a slow store. */
+const MIN_OVERDUE = 2;
+/** Time for which a load at full speed proves what the store can serve; later it may have become slower. */
+const PROOF_VALID_MS = 60_000;
+/** Weight of the newest sample in the estimate of the store's capacity. */
+const SAMPLE_WEIGHT = 0.5;
 
 interface RunningLoad {
   readonly startedAt: number;
   readonly fullSpeedMs: number;
-  /** Integral of the loads at once since it started, in load-milliseconds. */
+  /** Value of the concurrency integral at the start of the load, in load-milliseconds. */
   readonly integralAtStart: number;
   /** Whether the limit was reached while it ran. */
-  metLimit: boolean;
+  reachedLimit: boolean;
 }
 
 /**
- * Learns the limit from the loads' own times: while they run at full speed each
- * one that ends lets one more begin, until the store has once been met at its
- * limit; then each round of loads does. When they are slowed down, the number
- * that ran at once, divided by the slow-down, is what the store carries.
+ * Adapts the limit to the durations of loads. While loads run at full speed, each
+ * load that ran at the limit raises it by one, as in TCP slow start. After the
+ * store has been saturated once, each round of loads raises it by one. If loads are
+ * slowed down, the store's capacity is estimated as the mean number of concurrent
+ * loads divided by the slowdown factor.
  */
 export class AdaptiveStoreLoadLimit implements StoreLoadLimit {
   private estimate: number;
-  /** The store has been met at its limit: from then on the number grows by one a round, not a load. */
-  private hasSlowed = false;
-  /** Loads at once beside which one has run at full speed, and when that was seen. */
-  private proof = { atOnce: 1, seenAt: -Infinity };
+  /** Whether the store has been saturated. From then on the limit grows by one per round of loads, not per load. */
+  private hasSaturated = false;
+  /** Largest concurrency at which a load has recently run at full speed, and when that was last observed. */
+  private proved = { concurrency: 1, observedAt: -Infinity };
   private readonly loads = new Map<string, RunningLoad>();
-  /** Loads at once, integrated over time until `integratedAt`. */
+  /** Number of concurrent loads, integrated over time up to `integratedAt`. */
   private integral = 0;
   private integratedAt = 0;
 
-  /** @param first - Loads at once before anything was learned. */
-  constructor(first: number) {
-    this.estimate = Math.max(1, first);
+  /** @param first - Initial limit. */
+  constructor(initialLimit: number) {
+    this.estimate = Math.max(1, initialLimit);
   }
 
   get most(): number {
@@ -74,9 +76,9 @@
   begin(backend: string, fullSpeedMs: number, now: number): void {
     this.integrate(now);
     const integralAtStart = this.integral;
-    this.loads.set(backend, { startedAt: now, fullSpeedMs, integralAtStart, metLimit: false });
+    this.loads.set(backend, { startedAt: now, fullSpeedMs, integralAtStart, reachedLimit: false });
     if (this.loads.size < this.most) return;
-    for (const load of this.loads.values()) load.metLimit = true;
+    for (const load of this.loads.values()) load.reachedLimit = true;
   }
 
   end(backend: string, completed: boolean, now: number): void {
@@ -84,58 +86,65 @@
     const load = this.loads.get(backend);
     this.loads.delete(backend);
     if (load === undefined || !completed) return;
-    if (this.wasSlowedByOthers(load, now)) return this.slowed(load, now);
+    if (this.wasSlowedByOthers(load, now)) return this.recordSlowdown(load, now);
     if (takesLonger(load, SLOWED_FACTOR, now)) return;
-    this.prove(this.meanAtOnce(load, now), now);
-    if (load.metLimit) this.estimate += this.hasSlowed ? 1 / this.most : 1;
+    this.recordProof(this.meanConcurrency(load, now), now);
+    if (load.reachedLimit) this.estimate += this.hasSaturated ? 1 / this.most : 1;
   }
 
-  /** A load that is overdue tells of a slow store before it has ended. */
+  /** Lowers the limit when overdue loads show that the store is slow, before these loads have ended. */
   observe(now: number): void {
     this.integrate(now);
     const overdue = [...this.loads.values()].filter((load) => this.wasSlowedByOthers(load, now));
-    // One alone may be slow for a reason of its backend's; the store slows all.
-    if (overdue.length < LEAST_OVERDUE || overdue.length * 2 < this.loads.size) return;
+    // A single slow load can be caused by its backend; a saturated store slows down all loads.
+    if (overdue.length < MIN_OVERDUE || overdue.length * 2 < this.loads.size) return;
     for (const load of overdue) {
-      const carried = this.carried(load, now);
-      if (carried >= this.estimate) continue;
-      this.hasSlowed = true;
-      this.estimate = Math.max(this.proven(now), carried);
+      const capacity = this.capacityFrom(load, now);
+      if (capacity >= this.estimate) continue;
+      this.hasSaturated = true;
+      this.estimate = Math.max(this.provedConcurrency(now), capacity);
     }
   }
 
-  private prove(atOnce: number, now: number): void {
-    this.proof = { atOnce: Math.max(this.proven(now), atOnce), seenAt: now };
+  private recordProof(concurrency: number, now: number): void {
+    this.proved = {
+      concurrency: Math.max(this.provedConcurrency(now), concurrency),
+      observedAt: now,
+    };
   }
 
   /**
-   * Loads at once that are carried for certain. Without it loads that are slow for another
-   * reason, as backends that run many requests, take the limit below what the store carries,
-   * and fewer loads than that at once lose throughput, while more only take longer.
+   * Returns the number of concurrent loads that the store has recently been proved to serve at full
+   * speed. It is a lower bound of the limit: loads that are slow for another reason, such as busy
+   * backends, would otherwise lower the limit below the store's capacity. Too few loads lose
+   * throughput, while too many only take longer.
    */
-  private proven(now: number): number {
-    return now - this.proof.seenAt < PROOF_LIFETIME_MS ? this.proof.atOnce : 1;
+  private provedConcurrency(now: number): number {
+    return now - this.proved.observedAt < PROOF_VALID_MS ? this.proved.concurrency : 1;
   }
 
-  /** Whether a load takes long, and so many ran beside it that they may be why. */
+  /** Returns whether a load is slow and ran beside enough other loads that they can be the cause. */
   private wasSlowedByOthers(load: RunningLoad, now: number): boolean {
-    const wereMany = this.meanAtOnce(load, now) >= this.estimate * MANY_SHARE;
-    return takesLonger(load, SLOWED_FACTOR, now) && wereMany;
+    const hadContention = this.meanConcurrency(load, now) >= this.estimate * CONTENTION_FRACTION;
+    return takesLonger(load, SLOWED_FACTOR, now) && hadContention;
   }
 
-  private slowed(load: RunningLoad, now: number): void {
-    this.hasSlowed = true;
-    const carried = this.carried(load, now);
-    this.estimate += (carried - this.estimate) * NEWEST_WEIGHT;
-    this.estimate = Math.max(this.proven(now), this.estimate);
+  private recordSlowdown(load: RunningLoad, now: number): void {
+    this.hasSaturated = true;
+    const capacity = this.capacityFrom(load, now);
+    this.estimate += (capacity - this.estimate) * SAMPLE_WEIGHT;
+    this.estimate = Math.max(this.provedConcurrency(now), this.estimate);
   }
 
-  /** What the store carries at full speed, judged by one load: at most so much if it still runs. */
-  private carried(load: RunningLoad, now: number): number {
-    return (this.meanAtOnce(load, now) * load.fullSpeedMs) / (now - load.startedAt);
+  /**
+   * Returns the number of loads that the store serves at full speed, estimated from one load. For a
+   * running load the result is an upper bound.
+   */
+  private capacityFrom(load: RunningLoad, now: number): number {
+    return (this.meanConcurrency(load, now) * load.fullSpeedMs) / (now - load.startedAt);
   }
 
-  private meanAtOnce(load: RunningLoad, now: number): number {
+  private meanConcurrency(load: RunningLoad, now: number): number {
     return (this.integral - load.integralAtStart) / Math.max(1, now - load.startedAt);
   }
 
@@ -145,35 +154,35 @@
   }
 }
 
-/** Whether a load takes more than so many times its time at full speed. */
+/** Returns whether a load takes more than `factor` times its full-speed time. */
 function takesLonger(load: RunningLoad, factor: number, now: number): boolean {
   return now - load.startedAt > load.fullSpeedMs * factor;
 }
 
 /**
- * Loads at once to begin with, as a window at its slow start: few, because too many hold
- * each other up for several times their time at full speed before anything is learned,
- * while too few double with each round of loads at full speed.
+ * Largest initial limit. It is low because too many concurrent loads delay each other to several
+ * times their full-speed time before the limit adapts, while too low a limit doubles with each
+ * round of loads at full speed, as in TCP slow start.
  */
-const FIRST_LIMIT = 4;
+const MAX_INITIAL_LIMIT = 4;
 /**
- * Where the store carries one load at a time, the first ones keep their backends' order channels
- * for all their times together: not for more than half a minute, in which nothing is learned.
+ * Bound on the sum of the full-speed times of the first loads. If the store serves only one load at
+ * a time, they occupy their backends' command channels for that whole sum before the limit adapts.
  */
-const FIRST_LOADS_SECONDS = 30;
+const MAX_INITIAL_LOAD_SECONDS = 30;
 
 /**
- * Loads at once to begin with: fewer where each takes long, and no more than the ceiling lets run if
- * each takes its time at full speed.
+ * Returns the initial limit: lower where loads take long, and no higher than the concurrency that
+ * the host's load rate ceiling allows at full speed.
  */
 export function firstStoreLoadLimit(host: ModelHostSpec): number {
   const seconds = host.models.map((model) => model.storeLoadSeconds);
-  const mean = seconds.reduce((sum, value) => sum + value, 0) / Math.max(1, seconds.length);
-  const withinTime = Math.floor(FIRST_LOADS_SECONDS / Math.max(1, mean));
-  return Math.max(1, Math.min(FIRST_LIMIT, withinTime, host.loadsPerSecond * mean));
+  const meanSeconds = seconds.reduce((sum, value) => sum + value, 0) / Math.max(1, seconds.length);
+  const withinTime = Math.floor(MAX_INITIAL_LOAD_SECONDS / Math.max(1, meanSeconds));
+  return Math.max(1, Math.min(MAX_INITIAL_LIMIT, withinTime, host.loadsPerSecond * meanSeconds));
 }
 
-/** Counts the loads and limits nothing. */
+/** Counts the loads without limiting them. */
 export class UnlimitedStoreLoads implements StoreLoadLimit {
   readonly most = Infinity;
   private readonly backends = new Set<string>();
