--- a/src/core/admission/slot-queue.ts
+++ b/src/core/admission/slot-queue.ts
@@ -37,7 +37,10 @@
 const MAX_WAITING_PER_SLOT = 12;
 /** A ticket expires if its daemon has not listed it for this long: the message of its end was lost, or the daemon failed. */
 const TICKET_EXPIRY_MS = 3_500;
-/** Minimum age of a ticket that is dropped because a daemon's list lacks it. A younger one may have crossed the list in transit. */
+/**
+ * Minimum age of a ticket that is dropped because a daemon's list lacks it. The message of a younger one may have crossed the
+ * list in transit.
+ */
 const MIN_UNLISTED_AGE_MS = 400;
 /** Shortest retry delay: a message and a new connection take as long anyway. */
 const MIN_RETRY_MS = 50;
@@ -381,7 +384,10 @@
   return a.dueAt < b.dueAt || (a.dueAt === b.dueAt && a.sequence < b.sequence);
 }
 
-/** Bounds the numbers of a slot request, which come from a message. Replaces non-finite ones by the least favorable valid value. */
+/**
+ * Bounds the numbers of a slot request, which come from a message. A non-finite number is replaced by the least favorable
+ * valid value.
+ */
 function bounded(ask: SlotAsk, now: number): SlotAsk {
   const within = (value: number, least: number, most: number, otherwise: number): number =>
     Number.isFinite(value) ? Math.min(most, Math.max(least, value)) : otherwise;
--- a/test/core/admission/api-keys.test.ts
+++ b/test/core/admission/api-keys.test.ts
@@ -2,12 +2,12 @@
 import { credentialHash, hashKey, KeyRing } from '../../../src/core/admission/api-keys.js';
 
 describe('credentialHash', () => {
-  it('takes the key after the scheme, in any case and with blanks around it', () => {
+  it('hashes the key after the scheme, ignoring the case of the scheme and surrounding blanks', () => {
     expect(credentialHash('Token abc', 'Token')).toBe(hashKey('abc'));
     expect(credentialHash('tOKEN   abc ', 'Token')).toBe(hashKey('abc'));
   });
 
-  it('knows no key of another scheme, nor an empty one', () => {
+  it('returns undefined for another scheme or an empty key', () => {
     for (const header of [undefined, '', 'abc', 'Token', 'Token ', 'Bearer abc', 'Tokenabc']) {
       expect(credentialHash(header, 'Token')).toBeUndefined();
     }
@@ -21,12 +21,12 @@
     [hashKey('two'), 'c'],
   ]);
 
-  it('finds the owner of each key, of two the first', () => {
+  it('returns the owner of each key, and the first owner of a duplicate key', () => {
     expect(ring.ownerOf(hashKey('one'))).toBe('a');
     expect(ring.ownerOf(hashKey('two'))).toBe('b');
   });
 
-  it('knows nobody by a wrong digest, also one that begins as a right one', () => {
+  it('returns undefined for an unknown digest, even if it shares a prefix with a known one', () => {
     expect(ring.ownerOf(hashKey('three'))).toBeUndefined();
     expect(ring.ownerOf('')).toBeUndefined();
     expect(ring.ownerOf(hashKey('one').slice(0, 8))).toBeUndefined();
--- a/test/core/admission/holder-lease.test.ts
+++ b/test/core/admission/holder-lease.test.ts
@@ -11,18 +11,18 @@
   type LeaseQuestion,
 } from '../../../src/core/admission/holder-lease.js';
 
-const REMEMBER_MS = 10_000;
-/** Long enough after its start for a keeper to give its word. */
-const OLD = 100_000;
-const GIVEN: LeaseAnswer = { isGiven: true, soleMs: 50_000, former: undefined };
-const KEEPERS = ['a', 'b', 'c', 'd'];
+const RETENTION_MS = 10_000;
+/** Steady time at which the startup wait of a voter is over. */
+const AFTER_STARTUP = 100_000;
+const VOTE: LeaseAnswer = { isGiven: true, soleMs: 50_000, former: undefined };
+const VOTERS = ['a', 'b', 'c', 'd'];
 
 function question(fields: Partial<LeaseQuestion> = {}): LeaseQuestion {
   return { name: 'n', holder: 'h', process: 1, sequence: 1, ownCeiling: 10, ...fields };
 }
 
-describe('keepers', () => {
-  it('of two lists that differ by one daemon have a common one in any two majorities', () => {
+describe('votersOf', () => {
+  it('makes any two majorities overlap if the member lists differ by one daemon', () => {
     const size = fc.integer({ min: 4, max: 40 });
     fc.assert(
       fc.property(size, fc.string(), fc.boolean(), (count, name, isReplaced) => {
@@ -40,108 +40,114 @@
     );
   });
 
-  it('lie in several zones: the loss of one of three leaves a majority', () => {
+  it('spreads voters over zones, so that the loss of one of three zones leaves a majority', () => {
     const list = [...Array(30).keys()].map((i) => ({ address: `d-${i}`, zone: `z${i % 3}` }));
-    const keepers = keepersOf('n', list);
+    const voters = keepersOf('n', list);
     for (const zone of ['z0', 'z1', 'z2']) {
-      const rest = keepers.filter(
+      const rest = voters.filter(
         (address) => list.find((d) => d.address === address)?.zone !== zone,
       );
-      expect(rest.length).toBeGreaterThanOrEqual(majorityOf(keepers.length));
+      expect(rest.length).toBeGreaterThanOrEqual(majorityOf(voters.length));
     }
   });
 });
 
-describe('a lease', () => {
-  it('needs most keepers, and lasts from its question however late the answers come', () => {
+describe('HolderLease', () => {
+  it('needs a majority of votes, and runs from the time of its request however late the votes arrive', () => {
     const lease = new HolderLease();
-    lease.ask(1, 10, KEEPERS, 0);
-    for (const keeper of ['a', 'b', 'b', 'x']) lease.hear(keeper, 1, GIVEN);
+    lease.ask(1, 10, VOTERS, 0);
+    for (const voter of ['a', 'b', 'b', 'x']) lease.hear(voter, 1, VOTE);
     expect(lease.holds(600)).toBe(false);
-    expect(lease.hear('c', 1, GIVEN)).toEqual({ soleMs: 50_000, formers: [] });
+    expect(lease.hear('c', 1, VOTE)).toEqual({ soleMs: 50_000, formers: [] });
     expect(lease.holds(600)).toBe(true);
     expect(lease.holds(HOLD_MS + 1)).toBe(false);
   });
 
-  it('does not add answers to different questions, nor count refusals', () => {
+  it('does not combine votes for different requests, and does not count refusals', () => {
     const lease = new HolderLease();
-    lease.ask(1, 10, KEEPERS, 0);
-    lease.ask(2, 10, KEEPERS, 100);
-    for (const keeper of ['a', 'b']) lease.hear(keeper, 1, GIVEN);
-    for (const keeper of ['c', 'd']) lease.hear(keeper, 2, GIVEN);
-    lease.hear('a', 2, { ...GIVEN, isGiven: false });
-    lease.hear('a', 3, GIVEN);
+    lease.ask(1, 10, VOTERS, 0);
+    lease.ask(2, 10, VOTERS, 100);
+    for (const voter of ['a', 'b']) lease.hear(voter, 1, VOTE);
+    for (const voter of ['c', 'd']) lease.hear(voter, 2, VOTE);
+    lease.hear('a', 2, { ...VOTE, isGiven: false });
+    lease.hear('a', 3, VOTE);
     expect(lease.holds(200)).toBe(false);
   });
 
-  it('has the lowest ceiling that a successor may hear of', () => {
+  it('limits its own use to the lowest ceiling that the voters can report to a successor', () => {
     const lease = new HolderLease();
     expect(lease.ownCeiling()).toBe(0);
-    lease.ask(1, 10, KEEPERS, 0);
-    for (const keeper of ['a', 'b', 'c']) lease.hear(keeper, 1, GIVEN);
-    lease.ask(2, 30, KEEPERS, 100);
+    lease.ask(1, 10, VOTERS, 0);
+    for (const voter of ['a', 'b', 'c']) lease.hear(voter, 1, VOTE);
+    lease.ask(2, 30, VOTERS, 100);
     expect(lease.ownCeiling()).toBe(10);
-    lease.ask(3, 5, KEEPERS, 200);
+    lease.ask(3, 5, VOTERS, 200);
     expect(lease.ownCeiling()).toBe(5);
-    for (const keeper of ['a', 'b', 'c']) lease.hear(keeper, 3, GIVEN);
+    for (const voter of ['a', 'b', 'c']) lease.hear(voter, 3, VOTE);
     expect(lease.ownCeiling()).toBe(5);
   });
 
-  it('ends with its release', () => {
+  it('ends on release, and votes that arrive later do not restore it', () => {
     const lease = new HolderLease();
-    lease.ask(1, 10, KEEPERS, 0);
+    lease.ask(1, 10, VOTERS, 0);
     lease.release();
-    for (const keeper of KEEPERS) lease.hear(keeper, 1, GIVEN);
+    for (const voter of VOTERS) lease.hear(voter, 1, VOTE);
     expect(lease.holds(0)).toBe(false);
   });
 });
 
-describe('a keeper', () => {
-  it('gives its word to one holder at a time, for longer than a lease lasts', () => {
-    const keeper = new LeaseKeeper(0, REMEMBER_MS);
-    expect(keeper.answer(question(), OLD)).toMatchObject({ isGiven: true, soleMs: OLD });
+describe('a voter', () => {
+  it('votes for one holder at a time, for longer than a lease lasts', () => {
+    const voter = new LeaseKeeper(0, RETENTION_MS);
+    expect(voter.answer(question(), AFTER_STARTUP)).toMatchObject({
+      isGiven: true,
+      soleMs: AFTER_STARTUP,
+    });
     const other = question({ holder: 'i' });
-    expect(keeper.answer(other, OLD + WORD_MS - 1).isGiven).toBe(false);
+    expect(voter.answer(other, AFTER_STARTUP + WORD_MS - 1).isGiven).toBe(false);
     expect(WORD_MS).toBeGreaterThan(HOLD_MS);
     const former = { holder: 'h', ownCeiling: 10 };
     const answer = { isGiven: true, soleMs: 0, former };
-    expect(keeper.answer(other, OLD + WORD_MS)).toEqual(answer);
-    expect(keeper.answer(other, OLD + WORD_MS + 400)).toEqual({ ...answer, soleMs: 400 });
-    const late = OLD + WORD_MS + 1 + REMEMBER_MS;
-    expect(keeper.answer(other, late).former).toBeUndefined();
+    expect(voter.answer(other, AFTER_STARTUP + WORD_MS)).toEqual(answer);
+    expect(voter.answer(other, AFTER_STARTUP + WORD_MS + 400)).toEqual({ ...answer, soleMs: 400 });
+    const late = AFTER_STARTUP + WORD_MS + 1 + RETENTION_MS;
+    expect(voter.answer(other, late).former).toBeUndefined();
   });
 
-  it('is young after its start and gives no word, unless no other daemon is listed', () => {
-    const keeper = new LeaseKeeper(OLD, REMEMBER_MS);
-    expect(keeper.answer(question(), OLD + WORD_MS - 1).isGiven).toBe(false);
-    expect(keeper.answer(question(), OLD + WORD_MS - 1, true).isGiven).toBe(true);
-    expect(keeper.answer(question(), OLD + WORD_MS).isGiven).toBe(true);
+  it('refuses votes during a wait after its start, unless it is the only voter', () => {
+    const voter = new LeaseKeeper(AFTER_STARTUP, RETENTION_MS);
+    expect(voter.answer(question(), AFTER_STARTUP + WORD_MS - 1).isGiven).toBe(false);
+    expect(voter.answer(question(), AFTER_STARTUP + WORD_MS - 1, true).isGiven).toBe(true);
+    expect(voter.answer(question(), AFTER_STARTUP + WORD_MS).isGiven).toBe(true);
   });
 
-  it('is free after a release, but not after one from before its word', () => {
-    const keeper = new LeaseKeeper(0, REMEMBER_MS);
-    keeper.answer(question({ sequence: 5 }), OLD);
-    keeper.release('n', 'h', 4);
-    keeper.release('n', 'i', 9);
-    keeper.release('m', 'h', 9);
-    expect(keeper.answer(question({ holder: 'i' }), OLD).isGiven).toBe(false);
-    keeper.release('n', 'h', 5);
-    // Who is there to release its word tells of itself what it has lent.
+  it('can vote for another holder after a release, but ignores a release older than its vote', () => {
+    const voter = new LeaseKeeper(0, RETENTION_MS);
+    voter.answer(question({ sequence: 5 }), AFTER_STARTUP);
+    voter.release('n', 'h', 4);
+    voter.release('n', 'i', 9);
+    voter.release('m', 'h', 9);
+    expect(voter.answer(question({ holder: 'i' }), AFTER_STARTUP).isGiven).toBe(false);
+    voter.release('n', 'h', 5);
+    // A holder that releases its vote is still running and reports the units that it granted itself.
     const answer = { isGiven: true, soleMs: 0, former: undefined };
-    expect(keeper.answer(question({ holder: 'i' }), OLD)).toEqual(answer);
+    expect(voter.answer(question({ holder: 'i' }), AFTER_STARTUP)).toEqual(answer);
   });
 
-  it('tells a new process of the holder what its former one may have lent to itself', () => {
-    const keeper = new LeaseKeeper(0, REMEMBER_MS);
-    keeper.answer(question({ ownCeiling: 70 }), OLD);
-    const again = keeper.answer(question({ process: 2, sequence: 2, ownCeiling: 0 }), OLD + 10);
+  it('reports to a restarted holder the units that its previous process may have granted itself', () => {
+    const voter = new LeaseKeeper(0, RETENTION_MS);
+    voter.answer(question({ ownCeiling: 70 }), AFTER_STARTUP);
+    const again = voter.answer(
+      question({ process: 2, sequence: 2, ownCeiling: 0 }),
+      AFTER_STARTUP + 10,
+    );
     expect(again).toEqual({ isGiven: true, soleMs: 0, former: { holder: 'h', ownCeiling: 70 } });
   });
 
-  it('remembers a bounded number of words, and gives none that it could not remember', () => {
-    const keeper = new LeaseKeeper(0, REMEMBER_MS);
-    for (let i = 0; i < 10_000; i++) keeper.answer(question({ name: `${i}` }), OLD);
-    expect(keeper.answer(question(), OLD + 1).isGiven).toBe(false);
-    expect(keeper.answer(question(), OLD + REMEMBER_MS + 1).isGiven).toBe(true);
+  it('stores a bounded number of votes, and refuses a vote that it cannot store', () => {
+    const voter = new LeaseKeeper(0, RETENTION_MS);
+    for (let i = 0; i < 10_000; i++) voter.answer(question({ name: `${i}` }), AFTER_STARTUP);
+    expect(voter.answer(question(), AFTER_STARTUP + 1).isGiven).toBe(false);
+    expect(voter.answer(question(), AFTER_STARTUP + RETENTION_MS + 1).isGiven).toBe(true);
   });
 });
--- a/test/core/admission/slot-queue.test.ts
+++ b/test/core/admission/slot-queue.test.ts
@@ -32,7 +32,7 @@
   return decisions.filter(({ answer }) => answer.type === 'granted').map(({ ticket }) => ticket);
 }
 
-/** Ends one request after another, and returns who got the slots. */
+/** Ends one request after another, and returns the tickets in the order in which they got slots. */
 function drain(queue: SlotQueue, held: readonly number[], from: number, everyMs: number): number[] {
   const order: number[] = [];
   const ends = [...held];
@@ -44,8 +44,8 @@
   return order;
 }
 
-describe('a queue before a full backend', () => {
-  it('lets the more urgent go first, and those due first among them', () => {
+describe('the queue of a full backend', () => {
+  it('serves more urgent ranks first, and by due time within a rank', () => {
     const queue = new SlotQueue(2);
     const held = fill(queue, 2);
     const patient = ask(0, { rank: 2, dueAt: 100 });
@@ -55,7 +55,7 @@
     expect(drain(queue, held, 20, 10)).toEqual([sooner.ticket, later.ticket, patient.ticket]);
   });
 
-  it('lets those go first who can still be in time', () => {
+  it('serves requests that can still meet their due time first', () => {
     const queue = new SlotQueue(1);
     const held = fill(queue, 1);
     const late = ask(0, { dueAt: 5 });
@@ -65,46 +65,46 @@
     expect(drain(queue, held, 10, 10)).toEqual([inTime.ticket, late.ticket]);
   });
 
-  it('keeps a hot tenant to its share while others of its rank wait', () => {
+  it('limits a busy tenant to its share while other tenants of the same rank wait', () => {
     const queue = new SlotQueue(4);
     const held = fill(queue, 4, { tenant: 'hot' });
-    const hot = Array.from({ length: 20 }, () => ask(0, { tenant: 'hot', dueAt: 100 }));
+    const busy = Array.from({ length: 20 }, () => ask(0, { tenant: 'hot', dueAt: 100 }));
     const small = Array.from({ length: 3 }, () => ask(0, { tenant: 'small', dueAt: 500 }));
-    for (const one of [...hot, ...small]) queue.ask(one, 0);
+    for (const one of [...busy, ...small]) queue.ask(one, 0);
     const order = drain(queue, held, 10, 1);
     const last = Math.max(...small.map(({ ticket }) => order.indexOf(ticket)));
-    // Two of four slots are the small tenant's; before it has them nobody else is served.
+    // The small tenant's share is two of four slots; it gets them before any other request is served.
     expect(order.slice(0, 2).every((ticket) => small.some((one) => one.ticket === ticket))).toBe(
       true,
     );
     expect(last).toBeLessThanOrEqual(4);
   });
 
-  it('gives what nobody else wants to a tenant beyond its share', () => {
+  it('grants unused slots to a tenant beyond its share', () => {
     const queue = new SlotQueue(4);
     fill(queue, 1, { tenant: 'small' });
-    const hot = Array.from({ length: 4 }, () => ask(0, { tenant: 'hot' }));
-    const answers = hot.flatMap((one) => queue.ask(one, 0));
+    const busy = Array.from({ length: 4 }, () => ask(0, { tenant: 'hot' }));
+    const answers = busy.flatMap((one) => queue.ask(one, 0));
     expect(granted(answers)).toHaveLength(3);
   });
 
-  it('lets nobody be overtaken for longer than its steps and its due time', () => {
+  it('bounds the time for which a request is overtaken by its steps and its due time', () => {
     const queue = new SlotQueue(1);
     let [holder = 0] = fill(queue, 1);
     const arrivals = new Map<number, number>();
-    const come = (now: number): void => {
+    const arrive = (now: number): void => {
       const urgent = ask(now, { rank: 0, work: 100 });
       arrivals.set(urgent.ticket, now);
       queue.ask(urgent, now);
     };
-    for (let count = 0; count < 8; count++) come(0);
+    for (let count = 0; count < 8; count++) arrive(0);
     const largest = ask(0, { rank: 2, dueAt: 1_000, work: 1e6 });
     queue.ask(largest, 0);
     const bound = Math.max((4 * 2 + 3) * STEP_MS, 1_000 + 3 * SIZE_HANDICAP_MS);
     let now = 0;
     while (holder !== largest.ticket && now < 20_000) {
       now += 20;
-      come(now);
+      arrive(now);
       [holder = 0] = granted(queue.end('d', holder, now));
       expect(arrivals.get(holder) ?? 0).toBeLessThanOrEqual(bound);
     }
@@ -112,31 +112,31 @@
     expect(now).toBeGreaterThan(500);
   });
 
-  it('tells waits that come true within a factor of two, one with the other', () => {
+  it('announces waits whose median is accurate within a factor of two', () => {
     const queue = new SlotQueue(8);
-    const told = new Map<number, { ms: number; at: number }>();
+    const announced = new Map<number, { ms: number; at: number }>();
     const ratios: number[] = [];
     const ends: { at: number; ticket: number }[] = [];
     let seed = 7;
     const random = (): number => (seed = (seed * 48_271) % 2_147_483_647) / 2_147_483_647;
-    const hear = (decisions: readonly SlotDecision[], now: number): void => {
+    const record = (decisions: readonly SlotDecision[], now: number): void => {
       for (const { ticket, answer } of decisions) {
-        if (answer.type === 'queued') told.set(ticket, { ms: answer.expectedWaitMs, at: now });
+        if (answer.type === 'queued') announced.set(ticket, { ms: answer.expectedWaitMs, at: now });
         if (answer.type !== 'granted') continue;
         ends.push({ at: now + 200 + 400 * random(), ticket });
-        const wait = told.get(ticket);
+        const wait = announced.get(ticket);
         if (wait !== undefined && now > 3_000) ratios.push((now - wait.at + 20) / (wait.ms + 20));
       }
     };
     for (let now = 0; now < 30_000; now += 5) {
       for (const end of ends.filter(({ at }) => at <= now)) {
         ends.splice(ends.indexOf(end), 1);
-        hear(queue.end('d', end.ticket, now), now);
+        record(queue.end('d', end.ticket, now), now);
       }
       // 19.5 requests a second for 8 slots of 400 ms each, in bursts of one second.
       const rate = Math.floor(now / 1_000) % 2 === 0 ? 0.16 : 0.035;
       if (random() < rate) {
-        hear(queue.ask(ask(now, { rank: random() < 0.3 ? 0 : 1 }), now), now);
+        record(queue.ask(ask(now, { rank: random() < 0.3 ? 0 : 1 }), now), now);
       }
     }
     ratios.sort((a, b) => a - b);
@@ -146,7 +146,7 @@
     expect(ratios[Math.floor(ratios.length * 0.9)]).toBeLessThan(3);
   });
 
-  it('refuses at once who would wait in vain, and in the end who has', () => {
+  it('refuses at once a request that would exceed its time limit, and later one that has', () => {
     const queue = new SlotQueue(1);
     let held = fill(queue, 1);
     for (let now = 500; now <= 5_000; now += 500) {
@@ -165,7 +165,7 @@
     expect(queue.look(5_700)).toMatchObject([{ answer: { type: 'refused' }, waitedMs: 700 }]);
   });
 
-  it('tells longer waits when nothing ends any more', () => {
+  it('announces longer waits when no request ends', () => {
     const queue = new SlotQueue(4);
     let held = fill(queue, 4);
     for (let now = 100; now <= 2_000; now += 100) {
@@ -179,7 +179,7 @@
     expect(waitAt(6_000)).toBeGreaterThan(900);
   });
 
-  it('is bounded: the last in order is refused', () => {
+  it('is bounded: refuses the last request in the order when it is full', () => {
     const queue = new SlotQueue(1);
     fill(queue, 1);
     const patient = ask(0, { rank: 5 });
@@ -193,7 +193,7 @@
 });
 
 describe('tickets', () => {
-  it('asked for again are answered as they stand', () => {
+  it('that are requested again are answered with their current state', () => {
     const queue = new SlotQueue(1);
     const first = ask(0);
     const second = ask(0);
@@ -204,7 +204,7 @@
     expect(queue.figures(0)).toMatchObject({ inFlight: 1, waiting: 1 });
   });
 
-  it('that are not known, or were ended before, change nothing', () => {
+  it('that are unknown or have ended already are ignored', () => {
     const queue = new SlotQueue(1);
     const [held = 0] = fill(queue, 1);
     expect(queue.end('d', 999_999, 1)).toEqual([]);
@@ -214,7 +214,7 @@
     expect(queue.figures(0).inFlight).toBe(0);
   });
 
-  it('of a daemon that left go to those who wait', () => {
+  it('of a daemon that has left free their slots for waiting requests', () => {
     const queue = new SlotQueue(2);
     fill(queue, 2, { daemon: 'lost' });
     queue.ask(ask(0, { daemon: 'lost' }), 0);
@@ -223,7 +223,7 @@
     expect(granted(queue.daemonGone('lost', 10))).toEqual(waiting.map(({ ticket }) => ticket));
   });
 
-  it('whose end was lost go when their daemon does not name them, or is silent', () => {
+  it('whose end message was lost are dropped if their daemon does not list them or sends no list', () => {
     const queue = new SlotQueue(2);
     const [kept = 0, lost = 0] = fill(queue, 2);
     const next = ask(0);
@@ -238,7 +238,7 @@
     expect(lost).toBeGreaterThan(0);
   });
 
-  it('of the time before the queue count when they are named, and none is granted beside them', () => {
+  it('that began before the queue existed hold slots once they are listed', () => {
     const queue = new SlotQueue(2);
     queue.named('d', [1, 2, 3], [], 0);
     expect(queue.figures(0).inFlight).toBe(3);
@@ -248,7 +248,7 @@
     expect(granted(queue.end('d', 2, 3))).toEqual([one.ticket]);
   });
 
-  it('that wait for a backend that ends are answered at once', () => {
+  it('that wait are answered at once when the backend closes', () => {
     const queue = new SlotQueue(1);
     fill(queue, 1);
     const one = ask(0);
@@ -256,22 +256,19 @@
     expect(queue.close(5)).toMatchObject([{ ticket: one.ticket, answer: { type: 'unknown' } }]);
   });
 
-  it.each([NaN, -1, Infinity])(
-    'with a number %j that means nothing are the least urgent',
-    (bad) => {
-      const queue = new SlotQueue(1);
-      const held = fill(queue, 1);
-      const odd = ask(0, { rank: bad === -1 ? NaN : bad, dueAt: bad, work: bad, waitedMs: bad });
-      const sound = ask(0, { rank: 3 });
-      queue.ask(odd, 0);
-      queue.ask(sound, 0);
-      expect(drain(queue, held, 10, 10)).toEqual([sound.ticket, odd.ticket]);
-    },
-  );
+  it.each([NaN, -1, Infinity])('with the invalid number %j are treated as least urgent', (bad) => {
+    const queue = new SlotQueue(1);
+    const held = fill(queue, 1);
+    const invalid = ask(0, { rank: bad === -1 ? NaN : bad, dueAt: bad, work: bad, waitedMs: bad });
+    const valid = ask(0, { rank: 3 });
+    queue.ask(invalid, 0);
+    queue.ask(valid, 0);
+    expect(drain(queue, held, 10, 10)).toEqual([valid.ticket, invalid.ticket]);
+  });
 });
 
-describe('a queue that is new before a backend at work', () => {
-  it('does not take the age of the process for a standstill', () => {
+describe('a new queue of a busy backend', () => {
+  it('does not mistake the process uptime for a stall', () => {
     const now = 86_400_000;
     const queue = new SlotQueue(2);
     queue.named('d', [900_001, 900_002], [], now);
@@ -280,8 +277,8 @@
   });
 });
 
-describe('a refusal of a full backend', () => {
-  it('keeps no place until the caller is told to come back: another backend may serve it', () => {
+describe('a refusal by a full backend', () => {
+  it('counts as a waiting request only once the caller is told to retry, as another backend may serve it', () => {
     const queue = new SlotQueue(1);
     let [held = 0] = fill(queue, 1);
     for (let now = 500; now <= 2_500; now += 500) {
--- a/test/core/admission/told-failures.test.ts
+++ b/test/core/admission/told-failures.test.ts
@@ -2,8 +2,8 @@
 import { SlotQueue } from '../../../src/core/admission/slot-queue.js';
 import { shareOfPerMille, ToldFailures } from '../../../src/core/admission/told-failures.js';
 
-describe('the failures of a backend that are told', () => {
-  it('are no pattern if there is one, and most of the share if there are several', () => {
+describe('the failure rate of a backend', () => {
+  it('stays low after one failure and is high after several', () => {
     const failures = new ToldFailures();
     expect(failures.share(0)).toBe(0);
     failures.note(true, 0);
@@ -12,7 +12,7 @@
     expect(failures.share(8)).toBeGreaterThan(0.7);
   });
 
-  it('fade when nothing ends there, and with sound ends', () => {
+  it('decays with time and with successful requests', () => {
     const failures = new ToldFailures();
     for (let end = 0; end < 8; end++) failures.note(true, 0);
     expect(failures.share(9_000)).toBeLessThan(0.3);
@@ -20,7 +20,7 @@
     expect(failures.share(100)).toBeLessThan(0.25);
   });
 
-  it('count once a request that had a slot', () => {
+  it('counts each request once, and only if it had a slot', () => {
     const queue = new SlotQueue(2);
     queue.take({ daemon: 'd', ticket: 1, tenant: '', work: 0 }, 0);
     queue.end('d', 1, 5, true);
@@ -31,8 +31,8 @@
     expect(queue.failureShare(5)).toBe(once);
   });
 
-  it('are none if what is told is no share', () => {
+  it('is zero for an invalid per mille value', () => {
     expect(shareOfPerMille(250)).toBe(0.25);
-    for (const nonsense of [-1, 1_001, NaN, Infinity]) expect(shareOfPerMille(nonsense)).toBe(0);
+    for (const invalid of [-1, 1_001, NaN, Infinity]) expect(shareOfPerMille(invalid)).toBe(0);
   });
 });
--- a/test/core/limit-shares.test.ts
+++ b/test/core/limit-shares.test.ts
@@ -13,30 +13,30 @@
 }
 
 describe('the share of a daemon', () => {
-  it('is its part of the record, and none for one that has joined since', () => {
+  it('is an equal share for members of the record, and zero for a daemon that has joined since', () => {
     const member = renewed('a');
-    const joined = renewed('c');
-    for (const shares of [member, joined]) shares.read(recordOf(1, 'ab'));
+    const joining = renewed('c');
+    for (const shares of [member, joining]) shares.read(recordOf(1, 'ab'));
     expect(member.ownShare(0)).toBe(1 / 2);
-    expect(joined.ownShare(0)).toBe(0);
+    expect(joining.ownShare(0)).toBe(0);
   });
 
-  it('is the smaller one while a change is open, and none for who is to have one', () => {
+  it('is the smaller share during a change, and zero for a joining daemon', () => {
     const member = renewed('a');
-    const joined = renewed('c');
-    for (const shares of [member, joined]) shares.read(recordOf(2, 'ab', 'abc'));
+    const joining = renewed('c');
+    for (const shares of [member, joining]) shares.read(recordOf(2, 'ab', 'abc'));
     expect(member.ownShare(0)).toBe(1 / 3);
-    expect(joined.ownShare(0)).toBe(0);
+    expect(joining.ownShare(0)).toBe(0);
   });
 
-  it('never grows by older news', () => {
+  it('does not grow on an outdated announcement', () => {
     const shares = renewed('a');
     shares.read(recordOf(3, 'abc'));
     expect(shares.hear(recordOf(1, 'ab'))).toBe(false);
     expect(shares.ownShare(0)).toBe(1 / 3);
   });
 
-  it('ends when the store has not been told for long that the daemon runs', () => {
+  it('is lost when the daemon has not renewed its store entry for too long', () => {
     const shares = renewed('a');
     shares.read(recordOf(1, 'ab'));
     expect(shares.ownShare(RENEWAL_LAPSES_MS)).toBe(1 / 2);
@@ -44,14 +44,14 @@
     expect(shares.sumOf(2, RENEWAL_LAPSES_MS + 1)).toBe(0);
   });
 
-  it('ends with a planned stop', () => {
+  it('is given up on a planned stop', () => {
     const shares = renewed('a');
     shares.read(recordOf(1, 'ab'));
     shares.leave();
     expect(shares.ownShare(0)).toBe(0);
   });
 
-  it('counts for a short time only where a member has told it before the store was read', () => {
+  it("is valid only briefly on a member's reply before the store was read", () => {
     const shares = renewed('a');
     expect(shares.hear(recordOf(1, 'ab'))).toBe(false);
     shares.hearMember(recordOf(1, 'ab'), 100);
--- a/test/core/permit-ledger.test.ts
+++ b/test/core/permit-ledger.test.ts
@@ -2,7 +2,7 @@
 import { permitLimit, PermitLedger } from '../../src/core/admission/permit-ledger.js';
 import { LIMITS, WINDOW_MS } from './permit-limits.js';
 
-const WHOLE_GROUP = { daemons: 6, share: 1 };
+const FULL_VIEW = { daemons: 6, share: 1 };
 
 function grantedIn(ledger: PermitLedger, from: number, forMs: number): number[] {
   const granted: number[] = [];
@@ -13,8 +13,8 @@
 }
 
 describe.each(LIMITS)('permits at %d a second', (perSecond) => {
-  it('are granted at that rate, and never more than a small burst at once', () => {
-    const ledger = new PermitLedger(permitLimit(perSecond), WHOLE_GROUP, 0);
+  it('are granted at that rate, with a small burst at most', () => {
+    const ledger = new PermitLedger(permitLimit(perSecond), FULL_VIEW, 0);
     const granted = grantedIn(ledger, 0, 40_000);
     expect(granted.length / 40).toBeGreaterThan(perSecond * 0.9);
     const most = Math.max(
@@ -25,23 +25,23 @@
     );
   });
 
-  it('begin again without a burst after another daemon has granted them', () => {
-    const ledger = new PermitLedger(permitLimit(perSecond), WHOLE_GROUP, 0);
+  it('start without a burst when another daemon was the holder before', () => {
+    const ledger = new PermitLedger(permitLimit(perSecond), FULL_VIEW, 0);
     ledger.countFrom(60_000);
     expect(ledger.admit(1, 60_000).type).toBe('over_limit');
   });
 });
 
 describe('permits', () => {
-  it('are granted now and then at a limit of 0, for only an answer can end it', () => {
-    const ledger = new PermitLedger(permitLimit(0), WHOLE_GROUP, 0);
+  it('are granted occasionally at a limit of 0, because only a response can lift it', () => {
+    const ledger = new PermitLedger(permitLimit(0), FULL_VIEW, 0);
     const granted = grantedIn(ledger, 0, 40_000);
     expect(granted.length).toBeGreaterThan(5);
     expect(granted.length).toBeLessThanOrEqual(11);
   });
 
-  it('are promised to those who are refused together at different times', () => {
-    const ledger = new PermitLedger(permitLimit(2), WHOLE_GROUP, 0);
+  it('are refused with different retry delays if requested at the same time', () => {
+    const ledger = new PermitLedger(permitLimit(2), FULL_VIEW, 0);
     const times = Array.from({ length: 4 }, () => {
       const decision = ledger.admit(1, 0);
       return decision.type === 'over_limit' ? Math.round(decision.retryAfterMs) : -1;
@@ -49,13 +49,13 @@
     expect(times).toEqual([500, 1_000, 1_500, 2_000]);
   });
 
-  it('fall at once with the limit', () => {
-    const ledger = new PermitLedger(permitLimit(200), WHOLE_GROUP, 0);
-    ledger.configure(permitLimit(1), WHOLE_GROUP, 60_000);
+  it('follow a lowered limit at once', () => {
+    const ledger = new PermitLedger(permitLimit(200), FULL_VIEW, 0);
+    ledger.configure(permitLimit(1), FULL_VIEW, 60_000);
     expect(grantedIn(ledger, 60_000, WINDOW_MS).length).toBeLessThanOrEqual(5);
   });
 
-  it('are cut to the share of the daemons that are seen', () => {
+  it('are limited to the share of the visible daemons', () => {
     const ledger = new PermitLedger(permitLimit(10), { daemons: 3, share: 0.5 }, 0);
     const granted = grantedIn(ledger, 0, 20_000);
     expect(granted.length).toBeGreaterThan(90);
