--- a/src/core/admission/holder-lease.ts
+++ b/src/core/admission/holder-lease.ts
@@ -58,7 +58,7 @@
 /** A voter's reply to a request. */
 export interface LeaseAnswer {
   readonly isGiven: boolean;
-  /** Milliseconds for which the voter has voted for no other holder, counted at most from the voter's own start. */
+  /** Milliseconds for which the voter has voted for no other holder. The voter knows nothing from before its own start. */
   readonly soleMs: number;
   /** The previous holder, or undefined if there was none or its record has expired. */
   readonly former: FormerHolder | undefined;
--- a/src/core/admission/slot-queue.ts
+++ b/src/core/admission/slot-queue.ts
@@ -7,8 +7,8 @@
  * Order: by rank, then tenants within their share before tenants beyond it, then requests that can
  * still meet their due time, then by due time with a bounded penalty for large requests. Each
  * {@link AGING_STEP_MS} of waiting moves a request up by one step, which prevents starvation: a
- * request of rank r is not overtaken by one that arrives later than it by more than (4 r + 3) steps
- * plus its time to its due time with the penalty. Pure; times are milliseconds of a steady clock.
+ * request cannot overtake one of rank r if it arrives more than (4 r + 3) steps after it and also
+ * after its due time plus penalty. Pure; times are milliseconds of a steady clock.
  */
 import {
   decisionOn,
--- a/src/core/admission/tenant-shares.ts
+++ b/src/core/admission/tenant-shares.ts
@@ -7,7 +7,7 @@
 }
 
 /**
- * Returns the max-min fair share of `room`: tenants that want less than the share get all that they
+ * Returns the max-min fair share of `capacity`: tenants that want less than the share get all that they
  * want, and the others divide the rest equally. Infinite if there is enough for all tenants.
  */
 export function shareLevel(uses: Iterable<TenantUse>, capacity: number): number {
--- a/src/core/store-load-limit.ts
+++ b/src/core/store-load-limit.ts
@@ -60,7 +60,7 @@
   private integral = 0;
   private integratedAt = 0;
 
-  /** @param first - Initial limit. */
+  /** @param initialLimit - Limit before any load has been observed. */
   constructor(initialLimit: number) {
     this.estimate = Math.max(1, initialLimit);
   }
