--- a/src/core/backend-directory.ts
+++ b/src/core/backend-directory.ts
@@ -1,7 +1,7 @@
 /**
- * What one daemon knows about the backends: the platform's list, the newest word
- * of the services' owners on loaded models, and refusals that it has met itself.
- * Pure; times are milliseconds of a steady clock.
+ * One daemon's view of the backends. It combines the platform's list, the latest placement
+ * updates from the owners of the services, and the refusals that this daemon received itself.
+ * No I/O; times are milliseconds of a monotonic clock.
  */
 import { adapterKey } from './backend-ledger.js';
 import {
@@ -17,153 +17,157 @@
 import type { PlacedModel, PlacementUpdate } from './placement-update.js';
 import type { BackendRecord, HeldModel, ModelReference } from './service-configuration.js';
 
-/** A model at a backend, as this daemon knows it from the owner. */
-interface HeardModel extends HeldModel {
-  /** When it is expected to be loaded; 0 when it is. */
+/** A model at a backend, as the owner of the service last reported it. */
+interface PlacedModelState extends HeldModel {
+  /** Time at which the load is expected to finish; 0 if the model is loaded. */
   readonly readyAt: number;
   readonly unloading: boolean;
 }
 
-/** A load that an owner has ordered. */
+/** A model load in progress that the owner of the service ordered. */
 export interface ExpectedLoad {
   readonly model: string;
   readonly expectedEnd: number;
 }
 
-/** All that this daemon knows from the owner of a service. */
-interface HeardPlacement {
+/** State of one service, as its owner last reported it. */
+interface ReceivedPlacement {
   readonly epoch: number;
   version: number;
-  /** False once a part was dropped: changes apply to nothing then. */
-  isWhole: boolean;
-  /** When the owner was last heard. */
-  heardAt: number;
-  readonly backends: Map<string, readonly HeardModel[]>;
-  /** Expected times at which models that no backend holds are loaded. */
+  /** False after part of the state was discarded; incremental updates are then rejected until a full one arrives. */
+  isComplete: boolean;
+  /** Time of the last update from the owner. */
+  receivedAt: number;
+  readonly backends: Map<string, readonly PlacedModelState[]>;
+  /** For models that no backend holds: the time at which they are expected to be loaded. */
   readonly forecasts: Map<string, number>;
-  /** Requests in flight at each backend, over all daemons. */
+  /** Requests in flight at each backend, summed over all daemons. */
   readonly loads: Map<string, number>;
   readonly capacity: HeardCapacity;
-  /** Loads from the weight store that may run at once, as the owner has learned; 0 if nothing is known. */
+  /** Maximum number of concurrent loads from the weight store, as learned by the owner; 0 if unknown. */
   storeLoadLimit: number;
 }
 
-/** What has become of an owner's update. */
+/** Result of applying an owner's placement update. */
 export type UpdateOutcome =
   | 'applied'
-  | 'outdated' /** An earlier update was missed: the owner must tell everything. */
+  | 'outdated'
+  /** An earlier update was missed: the owner must send its full state. */
   | 'gap';
 
-/** An owner's word counts so long; then the platform's list is believed. */
+/** Placement data older than this is ignored and the platform's list is used instead. */
 const PLACEMENT_LIFETIME_MS = 2_500;
-/** A backend that said that it lacks a model is believed so long. */
-const ABSENCE_LIFETIME_MS = 700;
+/** After a backend refuses a request because it lacks the model, it counts as lacking it for this long. */
+const MISSING_MODEL_LIFETIME_MS = 700;
 
 /** The backends of all services. */
 export class BackendDirectory {
   private readonly presence = new BackendPresence();
-  private readonly placements = new Map<string, HeardPlacement>();
-  private readonly absences = new Map<string, number>();
+  private readonly placements = new Map<string, ReceivedPlacement>();
+  private readonly missingModels = new Map<string, number>();
   private readonly starts = new BackendStarts();
-  private readonly declared = new DeclaredLeavings();
+  private readonly shutdowns = new DeclaredLeavings();
   private restarts: BackendRestart[] = [];
 
-  /** Replaces the platform's list. A process that it shows as leaving does not serve again, whatever later lists show. */
+  /** Replaces the platform's list. A process listed as leaving never serves again, whatever later lists show. */
   setBackends(list: BackendList, now: number): PresenceChanges {
-    for (const record of list.backends) if (record.leaving) this.declared.note(record);
+    for (const record of list.backends) if (record.leaving) this.shutdowns.note(record);
     const changes = this.presence.take(list, now);
-    for (const record of this.presence.all()) this.noteStart(record);
+    for (const record of this.presence.all()) this.recordStart(record);
     return changes;
   }
 
-  /** Backends that have started again under their id since the last call. */
+  /** Returns the backends that restarted under the same id since the last call. */
   takeRestarts(): readonly BackendRestart[] {
     const { restarts } = this;
     this.restarts = [];
     return restarts;
   }
 
-  private noteStart(record: BackendRecord): void {
+  private recordStart(record: BackendRecord): void {
     const restart = this.starts.note(record);
     if (restart === undefined) return;
     this.restarts.push(restart);
-    this.forgetHeard(record);
+    this.discardPreviousStart(record);
   }
 
   /**
-   * What owners and refusals have told of a backend's earlier start counts no more. The owner may have told of
-   * the later one already, so it is asked for everything with its next word.
+   * Discards what owners and refusals reported about a backend's previous process. The owner may already have
+   * reported on the new process, so the placement is marked incomplete and the next incremental update makes
+   * the owner send its full state.
    */
-  private forgetHeard({ id, service }: BackendRecord): void {
-    const heard = this.placements.get(service);
-    heard?.backends.delete(id);
-    heard?.loads.delete(id);
-    heard?.capacity.forget(id);
-    if (heard !== undefined) heard.isWhole = false;
-    for (const key of this.absences.keys()) {
-      if (key.startsWith(`${id} `)) this.absences.delete(key);
+  private discardPreviousStart({ id, service }: BackendRecord): void {
+    const placement = this.placements.get(service);
+    placement?.backends.delete(id);
+    placement?.loads.delete(id);
+    placement?.capacity.forget(id);
+    if (placement !== undefined) placement.isComplete = false;
+    for (const key of this.missingModels.keys()) {
+      if (key.startsWith(`${id} `)) this.missingModels.delete(key);
     }
   }
 
-  /** Looks at backends that were missing for a while; returns those that count as ended now. */
+  /** Ends backends that have been missing for too long and returns them. */
   expireMissing(now: number): EndedBackend[] {
     return this.presence.expire(now);
   }
 
-  /** A digest of the backends that take new requests; daemons that hold the same ones have the same. */
+  /** Digest of the backends that take new requests; it is equal on daemons that know the same set. */
   servingDigest(): number {
     return this.presence.servingDigest();
   }
 
-  /** A backend is leaving or gone. Returns false if that was known. */
+  /** Records that a backend is leaving or has ended. Returns false if that was already known. */
   noteEnded(end: EndedBackend): boolean {
     return this.presence.noteEnded(end);
   }
 
-  /** A backend's process has said itself that it leaves. Returns false if that was known. */
+  /** Records that a backend's process announced its own shutdown. Returns false if that was already known. */
   noteLeaving(process: BackendProcess): boolean {
-    return this.declared.note(process);
+    return this.shutdowns.note(process);
   }
 
-  /** A peer has seen a backend that is not listed here yet. Returns false if that was known. */
+  /** Records a backend that a peer reported and that this daemon's list may not show yet. Returns false if it was already known. */
   noteStarted(record: BackendRecord, now: number): boolean {
-    const isNews = this.presence.noteStarted(record, now);
+    const isNew = this.presence.noteStarted(record, now);
     const known = this.presence.get(record.id);
-    if (isNews && known !== undefined) this.noteStart(known);
-    return isNews;
+    if (isNew && known !== undefined) this.recordStart(known);
+    return isNew;
   }
 
-  /** The backend of an id. */
+  /** Returns the backend with an id, whether it takes new requests or not. */
   get(id: string): BackendRecord | undefined {
     return this.presence.get(id);
   }
 
-  /** The backend of an id, if it takes new requests. */
+  /** Returns the backend with an id if it takes new requests. */
   servingOne(id: string): BackendRecord | undefined {
     const record = this.presence.get(id);
     return record !== undefined && this.isServing(record) ? record : undefined;
   }
 
-  /** All listed backends. */
+  /** Returns all known backends; those that announced their shutdown are marked as leaving. */
   all(): BackendRecord[] {
     const all = this.presence.all();
-    if (this.declared.isEmpty) return all;
-    return all.map((record) => (this.declared.has(record) ? { ...record, leaving: true } : record));
+    if (this.shutdowns.isEmpty) return all;
+    return all.map((record) =>
+      this.shutdowns.has(record) ? { ...record, leaving: true } : record,
+    );
   }
 
-  /** Backends of a service that take new requests. */
+  /** Returns the backends of a service that take new requests. */
   serving(service: string): BackendRecord[] {
     return this.all().filter((backend) => backend.service === service && this.isServing(backend));
   }
 
-  /** Whether a backend takes new requests, by the list and by its own word. */
+  /** Whether a backend takes new requests: the list says so and it has not announced its shutdown. */
   private isServing(record: BackendRecord): boolean {
-    return this.presence.isServing(record) && !this.declared.has(record);
+    return this.presence.isServing(record) && !this.shutdowns.has(record);
   }
 
   /**
-   * Takes an owner's update. Changes apply only to exactly the version that they
-   * were made for, so that this daemon never holds a state that no owner had.
+   * Applies an owner's placement update. An incremental update is applied only to exactly the version
+   * that it was computed from, so that this daemon never holds a state that no owner had.
    */
   hearPlacement(update: PlacementUpdate, now: number): UpdateOutcome {
     const known = this.placements.get(update.service);
@@ -172,138 +176,140 @@
     const isNewEpoch = known === undefined || update.epoch > epoch;
     if (update.baseVersion === undefined) {
       if (!isNewEpoch && update.version < known.version) return 'outdated';
-      const former = known?.capacity;
-      const capacity = isNewEpoch ? new HeardCapacity(former) : known.capacity.emptied();
+      const previousCapacity = known?.capacity;
+      const capacity = isNewEpoch ? new HeardCapacity(previousCapacity) : known.capacity.emptied();
       this.placements.set(update.service, emptyPlacement(update.epoch, capacity));
     } else {
       if (isNewEpoch) return 'gap';
       if (update.version < known.version) return 'outdated';
-      if (update.baseVersion !== known.version || !known.isWhole) return 'gap';
+      if (update.baseVersion !== known.version || !known.isComplete) return 'gap';
     }
     this.apply(update, now);
     return 'applied';
   }
 
   private apply(update: PlacementUpdate, now: number): void {
-    const heard = this.placements.get(update.service);
-    if (heard === undefined) return;
-    heard.version = update.version;
-    heard.heardAt = now;
-    heard.storeLoadLimit = update.storeLoadLimit;
+    const placement = this.placements.get(update.service);
+    if (placement === undefined) return;
+    placement.version = update.version;
+    placement.receivedAt = now;
+    placement.storeLoadLimit = update.storeLoadLimit;
     for (const [backend, models] of update.backends) {
-      heard.backends.set(
+      placement.backends.set(
         backend,
-        models.map((model) => heardModel(model, now)),
+        models.map((model) => placedModelState(model, now)),
       );
     }
-    for (const [model, readyInMs] of update.forecasts) heard.forecasts.set(model, now + readyInMs);
-    for (const [backend, inFlight] of update.loads) heard.loads.set(backend, inFlight);
-    heard.capacity.take(update.capacity, now);
+    for (const [model, readyInMs] of update.forecasts)
+      placement.forecasts.set(model, now + readyInMs);
+    for (const [backend, inFlight] of update.loads) placement.loads.set(backend, inFlight);
+    placement.capacity.take(update.capacity, now);
     for (const backend of update.removedBackends) {
-      heard.backends.delete(backend);
-      heard.loads.delete(backend);
-      heard.capacity.forget(backend);
+      placement.backends.delete(backend);
+      placement.loads.delete(backend);
+      placement.capacity.forget(backend);
     }
-    for (const model of update.removedForecasts) heard.forecasts.delete(model);
+    for (const model of update.removedForecasts) placement.forecasts.delete(model);
   }
 
-  /** The newest fencing token heard of for a service; 0 for none. */
+  /** The highest fencing token received for a service; 0 if there was none. */
   epochOf(service: string): number {
     return this.placements.get(service)?.epoch ?? 0;
   }
 
-  /** Milliseconds since an owner's last word; infinite if there was none. */
+  /** Milliseconds since the last update from the service's owner; infinite if there was none. */
   placementAgeMs(service: string, now: number): number {
     const known = this.placements.get(service);
-    return known === undefined ? Infinity : now - known.heardAt;
+    return known === undefined ? Infinity : now - known.receivedAt;
   }
 
-  /** The model that a backend was last said to be loading, and when that is expected to end. */
+  /** The model that the backend is loading according to the owner, and when the load is expected to finish. */
   loadingAt(backend: BackendRecord, now: number): ExpectedLoad | undefined {
     const models = this.freshPlacement(backend.service, now)?.backends.get(backend.id) ?? [];
     const loading = models.find((model) => model.readyAt > now && !model.unloading);
     return loading && { model: loading.name, expectedEnd: loading.readyAt };
   }
 
-  /** Loads from the weight store that may run at once, as the last owner had learned; 0 if nobody has said. */
+  /** Maximum number of concurrent loads from the weight store, as the last owner reported it; 0 if unknown. */
   storeLoadLimitOf(service: string): number {
     return this.placements.get(service)?.storeLoadLimit ?? 0;
   }
 
-  /** Requests that all daemons together have in flight at a backend, as far as is known. */
+  /** Requests in flight at a backend over all daemons, as the owner last reported; 0 if unknown. */
   loadOf(backend: BackendRecord, now: number): number {
     return this.freshPlacement(backend.service, now)?.loads.get(backend.id) ?? 0;
   }
 
-  /** What the owner has learned of the service's backends. */
+  /** Capacity estimates of the service's owner; all backends count as equal if there are none. */
   capacityOf(service: string, now: number): CapacityView {
     return this.placements.get(service)?.capacity.view(now) ?? EVEN_CAPACITY;
   }
 
-  /** A backend has refused a request because it lacks the model. */
+  /** Records that a backend refused a request because it lacks the model. */
   noteAbsence(backend: string, reference: ModelReference, now: number): void {
-    this.absences.set(keyOf(backend, reference), now + ABSENCE_LIFETIME_MS);
+    this.missingModels.set(missingModelKey(backend, reference), now + MISSING_MODEL_LIFETIME_MS);
   }
 
-  /** Whether a backend can run a request for the model now. */
+  /** Whether a backend holds the model, and the adapter if one is given, so that it can run a request now. */
   holds(backend: BackendRecord, reference: ModelReference, now: number): boolean {
     const held = this.heldModel(backend, reference.model, now);
     if (held === undefined) return false;
     if (reference.adapter !== undefined && !held.adapters.includes(reference.adapter)) return false;
-    const absentUntil = this.absences.get(keyOf(backend.id, reference));
-    return absentUntil === undefined || absentUntil <= now;
+    const missingUntil = this.missingModels.get(missingModelKey(backend.id, reference));
+    return missingUntil === undefined || missingUntil <= now;
   }
 
   /**
-   * By the owner's word, or by the list if the owner has said nothing of the backend. Asked of
-   * each backend for each look at a waiting request, so it allocates nothing.
+   * Finds a loaded model in the owner's placement, or in the platform's list if the placement does not
+   * cover the backend. Runs for every backend each time a waiting request is examined, so it allocates nothing.
    */
   private heldModel(backend: BackendRecord, model: string, now: number): HeldModel | undefined {
     const placed = this.freshPlacement(backend.service, now)?.backends.get(backend.id);
     if (placed === undefined) return backend.models.find((held) => held.name === model);
-    const heard = placed.find((held) => held.name === model);
-    return heard !== undefined && isReady(heard) ? heard : undefined;
+    const known = placed.find((held) => held.name === model);
+    return known !== undefined && isReady(known) ? known : undefined;
   }
 
   /**
-   * Milliseconds until some backend that is not avoided holds the model, and the adapter
-   * if one is wanted; undefined if nobody has said.
+   * Milliseconds until a backend that is not excluded is expected to hold the model, and the adapter
+   * if the request names one; undefined if the owner has given no estimate.
    */
   readyInMs(
     service: string,
     reference: ModelReference,
     now: number,
-    isAvoided: (backend: string) => boolean,
+    isExcluded: (backend: string) => boolean,
   ): number | undefined {
-    const heard = this.freshPlacement(service, now);
-    if (heard === undefined) return undefined;
+    const placement = this.freshPlacement(service, now);
+    if (placement === undefined) return undefined;
     const { model } = reference;
-    const adapterReadyAt = heard.forecasts.get(adapterKey(reference));
+    const adapterReadyAt = placement.forecasts.get(adapterKey(reference));
     if (reference.adapter !== undefined && adapterReadyAt !== undefined) {
       return Math.max(0, Math.round(adapterReadyAt - now));
     }
-    let readyAt = heard.forecasts.get(model) ?? Infinity;
-    for (const [backend, models] of heard.backends) {
-      if (isAvoided(backend)) continue;
+    let readyAt = placement.forecasts.get(model) ?? Infinity;
+    for (const [backend, models] of placement.backends) {
+      if (isExcluded(backend)) continue;
       const placed = models.find((candidate) => candidate.name === model && !candidate.unloading);
       if (placed !== undefined) readyAt = Math.min(readyAt, placed.readyAt);
     }
     return readyAt === Infinity ? undefined : Math.max(0, Math.round(readyAt - now));
   }
 
-  private freshPlacement(service: string, now: number): HeardPlacement | undefined {
-    const heard = this.placements.get(service);
-    if (heard === undefined || now - heard.heardAt > PLACEMENT_LIFETIME_MS) return undefined;
-    return heard;
+  private freshPlacement(service: string, now: number): ReceivedPlacement | undefined {
+    const placement = this.placements.get(service);
+    if (placement === undefined || now - placement.receivedAt > PLACEMENT_LIFETIME_MS)
+      return undefined;
+    return placement;
   }
 }
 
-function emptyPlacement(epoch: number, capacity: HeardCapacity): HeardPlacement {
+function emptyPlacement(epoch: number, capacity: HeardCapacity): ReceivedPlacement {
   return {
     epoch,
     version: 0,
-    isWhole: true,
-    heardAt: 0,
+    isComplete: true,
+    receivedAt: 0,
     backends: new Map(),
     forecasts: new Map(),
     loads: new Map(),
@@ -312,15 +318,15 @@
   };
 }
 
-function heardModel(model: PlacedModel, now: number): HeardModel {
+function placedModelState(model: PlacedModel, now: number): PlacedModelState {
   const { name, adapters, readyInMs, unloading } = model;
   return { name, adapters, readyAt: readyInMs === 0 ? 0 : now + readyInMs, unloading };
 }
 
-function isReady(heard: HeardModel): boolean {
-  return heard.readyAt === 0 && !heard.unloading;
+function isReady(model: PlacedModelState): boolean {
+  return model.readyAt === 0 && !model.unloading;
 }
 
-function keyOf(backend: string, reference: ModelReference): string {
+function missingModelKey(backend: string, reference: ModelReference): string {
   return `${backend} ${reference.model} ${reference.adapter ?? ''}`;
 }
--- a/src/core/backend-health.ts
+++ b/src/core/backend-health.ts
@@ -1,84 +1,87 @@
 /**
- * What a daemon learns about backends from the answers to its own requests.
- * A backend that did not answer is left alone for a time that doubles with each
- * further failure; one that fails part of its requests becomes less attractive.
- * Pure; times are milliseconds of a steady clock.
+ * Passive health checks: what a daemon learns about backends from the responses to its own requests.
+ * A backend that does not respond is ejected (gets no requests) for a time that doubles with each
+ * further failure. A backend that fails part of its requests becomes less preferred in selection.
+ * No I/O; times are milliseconds of a monotonic clock.
  */
 
-const FIRST_PAUSE_MS = 250;
-const LONGEST_PAUSE_MS = 4_000;
-/** First pause after an answer that was broken off before it began: it may be the connection's fault. */
-const FIRST_BREAK_PAUSE_MS = 60;
-/** Failures in a row without any answer from which on the backend counts as failing. */
-const FAILING_FROM = 2;
-/** A backend that has failed is told of so long after its last failure. */
-const FAILING_LIFETIME_MS = 3_000;
-/** Weight of the newest answer in the share of failures. */
+const INITIAL_EJECTION_MS = 250;
+const MAX_EJECTION_MS = 4_000;
+/** Initial ejection after a connection broke before the response began: the connection may be at fault, not the backend. */
+const INITIAL_DISCONNECT_EJECTION_MS = 60;
+/** Number of consecutive requests without a response from which the backend counts as failing. */
+const FAILING_THRESHOLD = 2;
+/** A failing backend is reported for this long after its last request without a response. */
+const FAILING_REPORT_MS = 3_000;
+/** Weight of the latest response in the smoothed share of failures. */
 const FAILURE_SMOOTHING = 0.2;
 
 interface Health {
-  /** Requests in a row that got no answer. */
-  unansweredInARow: number;
+  /** Consecutive requests that got no response. */
+  consecutiveUnanswered: number;
   lastUnansweredAt: number;
-  avoidUntil: number;
+  ejectedUntil: number;
   failureShare: number;
 }
 
-/** Remembers how the backends have answered this daemon. */
+/** Tracks how each backend has responded to this daemon. */
 export class BackendHealth {
   private readonly backends = new Map<string, Health>();
 
-  /** The backend gave a whole answer of its own. */
+  /** Records a complete response that the backend itself produced. */
   answered(backend: string): void {
-    const health = this.of(backend);
-    health.unansweredInARow = 0;
-    health.avoidUntil = 0;
+    const health = this.healthOf(backend);
+    health.consecutiveUnanswered = 0;
+    health.ejectedUntil = 0;
     health.failureShare *= 1 - FAILURE_SMOOTHING;
   }
 
-  /** The backend answered with a failure, or broke its answer off. */
+  /** Records an error response, or a response that the backend broke off. */
   failed(backend: string): void {
-    const health = this.of(backend);
+    const health = this.healthOf(backend);
     health.failureShare += FAILURE_SMOOTHING * (1 - health.failureShare);
   }
 
-  /** The backend could not be reached, or did not answer in time. */
+  /** Records that the backend could not be reached or did not respond in time. */
   silent(backend: string, now: number): void {
-    this.unanswered(backend, FIRST_PAUSE_MS, now);
+    this.recordUnanswered(backend, INITIAL_EJECTION_MS, now);
   }
 
-  /** The backend took a request and broke the connection off before it answered. */
+  /** Records that the backend accepted a request and the connection broke before the response began. */
   broke(backend: string, now: number): void {
-    this.unanswered(backend, FIRST_BREAK_PAUSE_MS, now);
+    this.recordUnanswered(backend, INITIAL_DISCONNECT_EJECTION_MS, now);
   }
 
-  private unanswered(backend: string, firstPauseMs: number, now: number): void {
+  private recordUnanswered(backend: string, initialEjectionMs: number, now: number): void {
     this.failed(backend);
-    const health = this.of(backend);
-    const pause = Math.min(LONGEST_PAUSE_MS, firstPauseMs * 2 ** health.unansweredInARow);
-    health.unansweredInARow += 1;
+    const health = this.healthOf(backend);
+    const ejectionMs = Math.min(
+      MAX_EJECTION_MS,
+      initialEjectionMs * 2 ** health.consecutiveUnanswered,
+    );
+    health.consecutiveUnanswered += 1;
     health.lastUnansweredAt = now;
-    health.avoidUntil = Math.max(health.avoidUntil, now + pause);
+    health.ejectedUntil = Math.max(health.ejectedUntil, now + ejectionMs);
   }
 
-  /** Backends that have lately left several requests in a row without an answer. */
+  /** Backends that recently left several consecutive requests without a response. */
   failing(now: number): string[] {
     const failing: string[] = [];
-    for (const [backend, { unansweredInARow, lastUnansweredAt }] of this.backends) {
-      const isRecent = now - lastUnansweredAt <= FAILING_LIFETIME_MS;
-      if (unansweredInARow >= FAILING_FROM && isRecent) failing.push(backend);
+    for (const [backend, { consecutiveUnanswered, lastUnansweredAt }] of this.backends) {
+      const isRecent = now - lastUnansweredAt <= FAILING_REPORT_MS;
+      if (consecutiveUnanswered >= FAILING_THRESHOLD && isRecent) failing.push(backend);
     }
     return failing;
   }
 
-  /** Whether the backend is left alone for now. */
+  /** Whether the backend is currently ejected. */
   isAvoided(backend: string, now: number): boolean {
     return this.avoidedUntil(backend) > now;
   }
 
-  /** Until when the backend is left alone; 0 if it has answered. */
+  /** Time at which the ejection ends; 0 if the backend has not failed since its last complete response. */
   avoidedUntil(backend: string): number {
-    return this.backends.get(backend)?.avoidUntil ?? 0;
+    return this.backends.get(backend)?.ejectedUntil ?? 0;
   }
 
   /** Smoothed share of failures, 0 to 1. */
@@ -86,28 +89,28 @@
     return this.backends.get(backend)?.failureShare ?? 0;
   }
 
-  /** The backend has started again: its earlier start says nothing of it. */
+  /** Drops the history of a backend that restarted: it does not apply to the new process. */
   forget(backend: string): void {
     this.backends.delete(backend);
   }
 
-  /** Forgets backends that are no longer listed. */
+  /** Drops the history of all backends that are not in the set. */
   keepOnly(backends: ReadonlySet<string>): void {
     for (const backend of this.backends.keys()) {
       if (!backends.has(backend)) this.backends.delete(backend);
     }
   }
 
-  private of(backend: string): Health {
+  private healthOf(backend: string): Health {
     const known = this.backends.get(backend);
     if (known !== undefined) return known;
-    const fresh: Health = {
-      unansweredInARow: 0,
+    const created: Health = {
+      consecutiveUnanswered: 0,
       lastUnansweredAt: -Infinity,
-      avoidUntil: 0,
+      ejectedUntil: 0,
       failureShare: 0,
     };
-    this.backends.set(backend, fresh);
-    return fresh;
+    this.backends.set(backend, created);
+    return created;
   }
 }
--- a/src/core/backend-ledger.ts
+++ b/src/core/backend-ledger.ts
@@ -1,11 +1,11 @@
 /**
- * What the owner of a service knows about one backend's models.
+ * The owner's record of one backend's models and of the load and unload orders sent to it.
  *
- * Memory is safe by construction: an order carries the sequence at which its
- * room was worked out, and the backend takes it only at that sequence. An order
- * without an answer may still be taken later, but only if no other order has
- * been taken in between; so the next order, given at the same sequence, and a
- * late one exclude each other. Pure.
+ * Orders cannot overcommit the backend's memory: an order carries the sequence number for which its
+ * memory demand was computed, and the backend accepts it only at that sequence number. An unanswered
+ * order may still be accepted later, but only if the backend has accepted no other order in between.
+ * Therefore at most one of a delayed order and the next order, which has the same sequence number, is
+ * accepted. No I/O.
  */
 import type { BackendReport, ModelOrder, OrderOutcome } from './model-order.js';
 import type {
@@ -15,126 +15,127 @@
   ModelSpec,
 } from './service-configuration.js';
 
-/** After this time without an order in progress a report shows all that has been done. */
-const SETTLED_MS = 400;
-/** An order that got no answer is not carried out later than this: the wire holds nothing back for longer. */
-const LATE_ORDER_MS = 10_000;
+/** Once no order has been in progress for this long, a report shows the effects of all earlier orders. */
+const REPORT_SETTLE_MS = 400;
+/** An unanswered order is not carried out after this time: the network delays nothing for longer. */
+const MAX_ORDER_DELAY_MS = 10_000;
 
 /** A loaded model. */
 export interface LedgerModel {
   readonly adapters: Set<string>;
-  /** When its load ended here; never if it was found loaded. */
+  /** Time at which this owner saw the load finish; `-Infinity` if the model was already loaded. */
   readonly loadedAt: number;
 }
 
-/** An order that the backend carries out. */
+/** An order that the backend has accepted and is carrying out. */
 export interface RunningOrder {
   readonly order: ModelOrder;
-  /** Milliseconds of a steady clock at which it is expected to end. */
+  /** Expected completion time, in milliseconds of a monotonic clock. */
   readonly expectedEnd: number;
-  /** Sequence of the backend once it was taken. */
+  /** The backend's sequence number after it accepted the order. */
   readonly sequence: number;
 }
 
-/** An order without an answer: the backend may still take it, if it has taken exactly so many orders then. */
+/** An unanswered order. The backend may still accept it while its own sequence number equals `sequence`. */
 export interface UnansweredOrder {
   readonly order: ModelOrder;
   readonly sequence: number;
-  /** Milliseconds of a steady clock after which it is not taken any more. */
+  /** Time after which the order can no longer be accepted, in milliseconds of a monotonic clock. */
   readonly until: number;
 }
 
-/** How far the ledger can be trusted. */
+/** Whether the ledger is up to date and the next order may be sent. */
 export type LedgerPhase =
-  /** A report must be read before the next order. */
+  /** A report must be applied before the next order. */
   | 'unsynchronized'
-  /** Orders may be given. */
+  /** The next order may be sent. */
   | 'ready'
-  /** An order has been sent; its answer is awaited. */
+  /** An order has been sent and its response is pending. */
   | 'ordering';
 
-/** One backend's models, orders and copies. */
+/** Models, orders and stored model copies of one backend. */
 export class BackendLedger {
   phase: LedgerPhase = 'unsynchronized';
-  /** Orders that the backend has taken. */
+  /** Number of orders that the backend has accepted. */
   sequence = 0;
   readonly models = new Map<string, LedgerModel>();
-  /** The order that has been sent and not been answered. */
+  /** The order that was sent and whose response is pending. */
   sent: ModelOrder | undefined;
-  /** When the order that was sent is expected to be carried out. */
+  /** Expected completion time of the sent order. */
   private sentExpectedEnd = 0;
-  /** The model order in progress; adapters do not keep the backend from others. */
+  /** The model order in progress. Adapter orders are tracked separately because they do not block other orders. */
   running: RunningOrder | undefined;
   readonly comingAdapters = new Map<string, RunningOrder>();
   inMemory: ReadonlySet<string> = new Set();
   onDisk: ReadonlySet<string> = new Set();
-  /** Since when reports have told of the same sequence and of no order in progress. */
-  private calm: { readonly sequence: number; readonly since: number } | undefined;
-  /** It has not answered when asked: what it holds does not count for callers. */
+  /** Period during which all reports showed the same sequence number and no order in progress. */
+  private idlePeriod: { readonly sequence: number; readonly since: number } | undefined;
+  /** The backend did not respond to the last query, so its models are not offered to callers. */
   isSilent = false;
-  /** Orders of this start that got no answer. Its own sequence keeps them apart from later ones. */
+  /** Unanswered orders to the current process. The sequence number keeps them from taking effect beside later orders. */
   private unanswered: UnansweredOrder[] = [];
   /**
-   * Orders to the backend's earlier start that may reach this one. Its sequence begins anew and may come to
-   * theirs, so room is kept for them until it has passed that, or they are too old.
+   * Unanswered orders to the backend's previous process that may still reach the current one. The sequence
+   * number restarts with the process and may reach the number of such an order, so memory is reserved for
+   * the order until the sequence number has passed it or the order has expired.
    */
   private lateOrders: readonly UnansweredOrder[] = [];
 
-  /** @param start - Which start of the backend this is; undefined if nobody has told. */
+  /** @param start - Identifies the backend's process across restarts; undefined if unknown. */
   constructor(
     readonly id: string,
     public start: string | undefined = undefined,
   ) {}
 
-  /** Orders that got no answer, the one among them that is on its way. */
+  /** Returns the unanswered orders that may still be accepted, including the one that was just sent. */
   unansweredOrders(now: number): UnansweredOrder[] {
     const { sent, sequence } = this;
-    const onItsWay = sent && { order: sent, sequence, until: now + LATE_ORDER_MS };
-    const all = [...this.lateOrders, ...this.unanswered, ...(onItsWay ? [onItsWay] : [])];
+    const inTransit = sent && { order: sent, sequence, until: now + MAX_ORDER_DELAY_MS };
+    const all = [...this.lateOrders, ...this.unanswered, ...(inTransit ? [inTransit] : [])];
     return all.filter(({ until }) => until > now);
   }
 
-  /** Keeps room for orders that the backend's earlier start has not answered. */
+  /** Reserves memory for unanswered orders to the backend's previous process. */
   awaitLateOrders(orders: readonly UnansweredOrder[]): void {
     this.lateOrders = orders;
   }
 
-  /** Lets go of the room for orders that are not taken any more. */
+  /** Releases the memory reserved for orders that can no longer be accepted. */
   forgetLateOrders(now: number): void {
-    const mayCome = (late: UnansweredOrder): boolean => late.until > now;
-    this.unanswered = this.unanswered.filter(mayCome);
-    this.lateOrders = this.lateOrders.filter(mayCome);
+    const mayArrive = (late: UnansweredOrder): boolean => late.until > now;
+    this.unanswered = this.unanswered.filter(mayArrive);
+    this.lateOrders = this.lateOrders.filter(mayArrive);
   }
 
-  /** Loads that the backend may still be given by its earlier start's orders, of models or of adapters. */
+  /** Load orders, for models or adapters, to the previous process that the current one may still accept. */
   private lateLoads(): ModelOrder[] {
-    const mayCome = this.lateOrders.filter(({ sequence }) => sequence >= this.sequence);
-    return mayCome.map(({ order }) => order).filter(({ operation }) => operation === 'load');
+    const mayArrive = this.lateOrders.filter(({ sequence }) => sequence >= this.sequence);
+    return mayArrive.map(({ order }) => order).filter(({ operation }) => operation === 'load');
   }
 
-  /** The order that changes the models now: sent, or in progress. */
+  /** The order that is sent or in progress. */
   get currentOrder(): ModelOrder | undefined {
     return this.sent ?? this.running?.order;
   }
 
-  /** When the order that changes the models now is expected to be carried out; 0 if there is none. */
+  /** Expected completion time of the current order; 0 if there is none. */
   get expectedEnd(): number {
     return this.sent === undefined ? (this.running?.expectedEnd ?? 0) : this.sentExpectedEnd;
   }
 
-  /** Whether an order for a model may be given now. */
+  /** Whether a model order may be sent now. */
   get takesModelOrder(): boolean {
     return this.phase === 'ready' && this.running === undefined && this.comingAdapters.size === 0;
   }
 
-  /** Whether an order for an adapter may be given now. */
+  /** Whether an adapter order may be sent now. */
   get takesAdapterOrder(): boolean {
     return this.phase === 'ready' && this.running === undefined;
   }
 
   /**
-   * Takes over a report. Returns false while it does not show the whole state: a
-   * report may say that an order has ended before its models show the effect.
+   * Applies a report. Returns false if the report is outdated or does not yet show the whole state: a
+   * report may show that an order has finished before its model list shows the effect.
    */
   adopt(report: BackendReport, now: number): boolean {
     if (report.sequence < this.sequence) return false;
@@ -143,25 +144,25 @@
     this.sequence = report.sequence;
     this.setModels(report, now);
     this.setCopies(report.inMemory, report.onDisk);
-    this.dropArrivedAdapters(report, now);
+    this.dropFinishedAdapters(report, now);
     this.running = undefined;
     this.phase = 'ready';
     return true;
   }
 
-  /** Whether the backend has told for a time that it has taken nothing new and does nothing. */
+  /** Whether reports have shown an idle backend and an unchanged sequence number for long enough. */
   private isSettled(report: BackendReport, now: number): boolean {
     if (report.busy) {
-      this.calm = undefined;
+      this.idlePeriod = undefined;
       return false;
     }
-    if (this.calm?.sequence !== report.sequence) {
-      this.calm = { sequence: report.sequence, since: now };
+    if (this.idlePeriod?.sequence !== report.sequence) {
+      this.idlePeriod = { sequence: report.sequence, since: now };
     }
-    return now - this.calm.since >= SETTLED_MS;
+    return now - this.idlePeriod.since >= REPORT_SETTLE_MS;
   }
 
-  /** Whether the report shows the end of the order in progress, and nothing unknown before it. */
+  /** Whether the report shows the effect of the order in progress and no orders unknown to the ledger. */
   private showsEffect(report: BackendReport): boolean {
     const running = this.running;
     if (report.busy || this.phase !== 'ready' || report.sequence !== this.sequence) return false;
@@ -171,18 +172,18 @@
     return isListed === (operation === 'load');
   }
 
-  /** An adapter that is no longer on its way counts until it is listed, or must have failed. */
-  private dropArrivedAdapters(report: BackendReport, now: number): void {
-    for (const [key, coming] of this.comingAdapters) {
-      const { model, adapter = '' } = coming.order;
+  /** Drops pending adapters that are loaded, or that are overdue and no longer loading and so must have failed. */
+  private dropFinishedAdapters(report: BackendReport, now: number): void {
+    for (const [key, pending] of this.comingAdapters) {
+      const { model, adapter = '' } = pending.order;
       const isListed = this.models.get(model)?.adapters.has(adapter) === true;
-      const isComing = report.coming.some((reference) => adapterKey(reference) === key);
-      const isOverdue = now - coming.expectedEnd >= SETTLED_MS;
-      if (isListed || (!isComing && isOverdue)) this.comingAdapters.delete(key);
+      const isLoading = report.coming.some((reference) => adapterKey(reference) === key);
+      const isOverdue = now - pending.expectedEnd >= REPORT_SETTLE_MS;
+      if (isListed || (!isLoading && isOverdue)) this.comingAdapters.delete(key);
     }
   }
 
-  /** Takes the end of the order in progress from the platform's list; false if it shows none. */
+  /** Completes the order in progress if the platform's list shows its effect; returns false otherwise. */
   observe(record: BackendRecord, now: number): boolean {
     const running = this.running;
     if (running === undefined || this.phase !== 'ready') return false;
@@ -196,7 +197,7 @@
     return true;
   }
 
-  /** Believes the platform's list until a report has been read; no order rests on it. */
+  /** Fills in the platform's list until a report has been applied. No order is based on it. */
   assume(record: BackendRecord): void {
     for (const { name, adapters } of record.models) {
       this.models.set(name, { adapters: new Set(adapters), loadedAt: -Infinity });
@@ -204,41 +205,41 @@
     this.setCopies(record.inMemory, record.onDisk);
   }
 
-  /** Believes a former owner's word on the load in progress until a report has been read; no order rests on it. */
+  /** Fills in the previous owner's load in progress until a report has been applied. No order is based on it. */
   assumeLoading(model: string, expectedEnd: number): void {
     if (this.phase !== 'unsynchronized' || this.models.has(model)) return;
     const order: ModelOrder = { operation: 'load', model, adapter: undefined };
     this.running = { order, expectedEnd, sequence: this.sequence };
   }
 
-  /** Updates where copies are at hand. */
+  /** Sets which models the backend has copies of in host memory and on disk. */
   setCopies(inMemory: readonly string[], onDisk: readonly string[]): void {
     this.inMemory = new Set(inMemory);
     this.onDisk = new Set(onDisk);
   }
 
-  /** Notes that an order is being sent that is expected to be carried out by `expectedEnd`. */
+  /** Records that an order is being sent. @param expectedEnd - Expected completion time. */
   send(order: ModelOrder, expectedEnd = 0): void {
     this.phase = 'ordering';
     this.sent = order;
     this.sentExpectedEnd = expectedEnd;
   }
 
-  /** Notes the end of an order call. */
+  /** Records the result of an order call. */
   settle(order: ModelOrder, outcome: OrderOutcome, now: number, durationMs: number): void {
     this.sent = undefined;
     switch (outcome.type) {
       case 'accepted':
         this.phase = 'ready';
         this.sequence += 1;
-        this.begin(order, now + durationMs);
+        this.startOrder(order, now + durationMs);
         return;
       case 'holds':
         this.phase = 'ready';
-        this.holds(order, now);
+        this.recordImmediate(order, now);
         return;
       case 'unknown':
-        this.unanswered.push({ order, sequence: this.sequence, until: now + LATE_ORDER_MS });
+        this.unanswered.push({ order, sequence: this.sequence, until: now + MAX_ORDER_DELAY_MS });
         this.phase = 'unsynchronized';
         return;
       case 'conflict':
@@ -249,7 +250,7 @@
     }
   }
 
-  /** Megabytes taken, adapters and what is on its way included. */
+  /** Megabytes in use, including adapters, loads in progress and orders that may still be accepted. */
   usedMegabytes(host: ModelHostSpec): number {
     let used = 0;
     for (const [name, model] of this.models) {
@@ -257,8 +258,8 @@
       used += spec?.megabytes ?? host.megabytes;
       used += model.adapters.size * (spec?.adapterMegabytes ?? 0);
     }
-    for (const coming of this.comingAdapters.values()) {
-      used += modelSpec(host, coming.order.model)?.adapterMegabytes ?? 0;
+    for (const pending of this.comingAdapters.values()) {
+      used += modelSpec(host, pending.order.model)?.adapterMegabytes ?? 0;
     }
     const loading = this.running?.order;
     if (loading?.operation === 'load') used += modelSpec(host, loading.model)?.megabytes ?? 0;
@@ -266,7 +267,7 @@
     return used;
   }
 
-  /** Adapters that take a slot. */
+  /** Number of adapter slots in use, including loads in progress and orders that may still be accepted. */
   usedAdapterSlots(): number {
     let used = this.comingAdapters.size;
     used += this.lateLoads().filter(({ adapter }) => adapter !== undefined).length;
@@ -274,7 +275,7 @@
     return used;
   }
 
-  private begin(order: ModelOrder, expectedEnd: number): void {
+  private startOrder(order: ModelOrder, expectedEnd: number): void {
     const running: RunningOrder = { order, expectedEnd, sequence: this.sequence };
     if (order.adapter === undefined) {
       this.running = running;
@@ -285,8 +286,8 @@
     }
   }
 
-  /** The order was needless, or was carried out at once. */
-  private holds(order: ModelOrder, now: number): void {
+  /** Records an order that was unnecessary or was carried out immediately. */
+  private recordImmediate(order: ModelOrder, now: number): void {
     if (order.operation === 'load') {
       const model = this.models.get(order.model);
       if (order.adapter !== undefined) model?.adapters.add(order.adapter);
@@ -295,7 +296,7 @@
       }
       return;
     }
-    // An adapter that nobody uses goes at once, which counts as an order taken.
+    // An adapter without running requests is unloaded immediately, which counts as an accepted order.
     this.sequence += 1;
     if (order.adapter === undefined) this.models.delete(order.model);
     else this.models.get(order.model)?.adapters.delete(order.adapter);
@@ -310,25 +311,26 @@
       const loadedAt = before.get(name)?.loadedAt ?? (isLoaded ? now : -Infinity);
       this.models.set(name, { adapters: new Set(adapters), loadedAt });
     }
-    // A report may not show yet what the platform's list has shown.
+    // A report may lag behind the platform's list and not show a model that was loaded a moment ago.
     for (const [name, model] of before) {
-      if (now - model.loadedAt < SETTLED_MS && !this.models.has(name)) this.models.set(name, model);
+      if (now - model.loadedAt < REPORT_SETTLE_MS && !this.models.has(name))
+        this.models.set(name, model);
     }
   }
 }
 
-/** What a load takes, of a model or of an adapter. */
+/** Megabytes that a load of a model or an adapter needs. */
 function loadMegabytes(host: ModelHostSpec, { model, adapter }: ModelReference): number {
   const spec = modelSpec(host, model);
   return (adapter === undefined ? spec?.megabytes : spec?.adapterMegabytes) ?? 0;
 }
 
-/** The specification of a model. */
+/** Returns a model's specification, or undefined if the host's configuration lacks the model. */
 export function modelSpec(host: ModelHostSpec, name: string): ModelSpec | undefined {
   return catalogueOf(host).get(name)?.spec;
 }
 
-/** Place of a model in the operator's list, from 0; the list's length for one that it lacks. */
+/** Zero-based position of a model in the operator's list; the list's length if the model is not in it. */
 export function modelRank(host: ModelHostSpec, name: string): number {
   return catalogueOf(host).get(name)?.rank ?? host.models.length;
 }
@@ -338,28 +340,28 @@
   readonly rank: number;
 }
 
-/** By name; a host's specification never changes, so its catalogue is made once. */
+/** Model specifications by name. A host's specification never changes, so each catalogue is built once. */
 const catalogues = new WeakMap<ModelHostSpec, ReadonlyMap<string, CatalogueEntry>>();
 
 function catalogueOf(host: ModelHostSpec): ReadonlyMap<string, CatalogueEntry> {
   const known = catalogues.get(host);
   if (known !== undefined) return known;
-  const made = new Map(host.models.map((spec, rank) => [spec.name, { spec, rank }]));
-  catalogues.set(host, made);
-  return made;
+  const catalogue = new Map(host.models.map((spec, rank) => [spec.name, { spec, rank }]));
+  catalogues.set(host, catalogue);
+  return catalogue;
 }
 
-/** A text that names an adapter of a model. */
+/** Key that identifies an adapter of a model. */
 export function adapterKey(reference: ModelReference): string {
   return `${reference.model}/${reference.adapter ?? ''}`;
 }
 
-/** Whether an order loads the model itself. */
+/** Whether an order loads the model itself rather than one of its adapters. */
 export function isLoadOf(order: ModelOrder, model: string): boolean {
   return order.operation === 'load' && order.model === model && order.adapter === undefined;
 }
 
-/** Whether an order unloads the model itself. */
+/** Whether an order unloads the model itself rather than one of its adapters. */
 export function isUnloadOf(order: ModelOrder, model: string): boolean {
   return order.operation === 'unload' && order.model === model && order.adapter === undefined;
 }
--- a/src/core/backend-presence.ts
+++ b/src/core/backend-presence.ts
@@ -1,7 +1,7 @@
 /**
- * Which backends exist, from lists that may be late, news of peers, and a store that
- * may have been away. Revisions of the store order it all: an end holds for every
- * record that is not newer than it. Pure; times are milliseconds of a steady clock.
+ * Tracks which backends exist, from lists that may be stale, announcements of peers, and a store that
+ * may have been unavailable. Store revisions order all of these: the end of a backend overrides every
+ * record of it that is not newer. No I/O; times are milliseconds of a monotonic clock.
  */
 import murmurhash from 'murmurhash';
 import { isAnotherStart, startKey } from './backend-starts.js';
@@ -12,80 +12,80 @@
   readonly backends: readonly BackendRecord[];
   readonly revision: number;
   /**
-   * Backends may be missing that are there: the store was away a moment ago, and they
-   * have not entered themselves again; or the list is a late one.
+   * The list may lack running backends: either the store was unavailable a moment ago and they have
+   * not registered again yet, or the list is stale.
    */
   readonly mayMissBackends: boolean;
-  /** It is what the platform held up to some seconds ago. */
+  /** The list is stale: it may show the platform's state of some seconds ago. */
   readonly isLate?: boolean;
-  /** Backends that are missing may enter themselves again for so long; {@link MISSING_HOLD_MS} by default. */
+  /** How long missing backends may take to register again; {@link MISSING_GRACE_MS} by default and at most. */
   readonly returnWithinMs?: number;
 }
 
-/** A backend that is leaving or gone, as the store showed it at a revision. */
+/** A backend that is leaving or has ended, as the store showed it at a revision. */
 export interface EndedBackend {
   readonly id: string;
   readonly revision: number;
 }
 
-/** What a list has changed. */
+/** Changes caused by a list. */
 export interface PresenceChanges {
-  /** Backends that take no new requests any more. */
+  /** Backends that no longer take new requests. */
   readonly ended: readonly EndedBackend[];
-  /** Backends that do since this list, or have started again under their id; none for the first list. */
+  /** Backends that now take new requests or have restarted under the same id; empty for the first list. */
   readonly started: readonly BackendRecord[];
 }
 
 /**
- * A backend that the list misses after a loss of the store counts as there for so long:
- * the platform promises entries that lapsed back within about 2 s, and requests must end
- * within as much after the true end of a backend.
+ * A backend that the list lacks after a store outage still counts as running for this long. The platform
+ * promises that expired entries are restored within about 2 s, and no request may go to a backend later
+ * than about 2 s after it really ended.
  */
-const MISSING_HOLD_MS = 1_800;
-/** A peer's word that a backend has started counts so long; late lists follow within seconds. */
+const MISSING_GRACE_MS = 1_800;
+/** A peer's announcement of a started backend is valid for this long; even stale lists show it within seconds. */
 const ANNOUNCEMENT_LIFETIME_MS = 10_000;
-/** Ends that are remembered. */
-const REMEMBERED_ENDS = 2_000;
+/** Maximum number of ended backends whose end revision is kept. */
+const MAX_REMEMBERED_ENDS = 2_000;
 
 interface MissingBackend {
-  /** When it counts as ended unless it is back. */
-  readonly heldUntil: number;
+  /** Time at which the backend counts as ended unless it is listed again. */
+  readonly graceEndsAt: number;
   readonly revision: number;
-  /** Only late lists have missed it. */
-  readonly isLateWord: boolean;
+  /** Only stale lists have lacked it. */
+  readonly isFromStaleList: boolean;
 }
 
-/** The backends of all services at one daemon. */
+/** The backends of all services, as known to one daemon. */
 export class BackendPresence {
   private records = new Map<string, BackendRecord>();
-  /** Listed before, missing from the last list, and counted as there for a while. */
+  /** Backends that were listed before, are missing from the last list, and still count as running. */
   private readonly missing = new Map<string, MissingBackend>();
-  /** Told by a peer and not listed yet, with the time. */
+  /** Backends that a peer announced and that are not listed yet, with the time of the announcement. */
   private readonly announced = new Map<string, number>();
-  /** The revisions at which backends had ended, the oldest first. */
-  private readonly ends = new Map<string, number>();
+  /** Revision at which each backend ended, in the order of insertion. */
+  private readonly endRevisions = new Map<string, number>();
   private hasList = false;
-  /** Undefined if something has changed since it was worked out. */
+  /** Cached digest; undefined if something has changed since it was computed. */
   private digest: number | undefined;
 
-  /** The record of an id. */
+  /** Returns the record with an id. */
   get(id: string): BackendRecord | undefined {
     return this.records.get(id);
   }
 
-  /** All backends that are there, leaving ones among them. */
+  /** Returns all known backends, including leaving ones. */
   all(): BackendRecord[] {
     return [...this.records.values()];
   }
 
-  /** Whether a backend takes new requests. */
+  /** Whether a backend takes new requests: it is not leaving and its record is newer than its last known end. */
   isServing(record: BackendRecord): boolean {
-    return !record.leaving && (this.ends.get(record.id) ?? -1) < record.revision;
+    return !record.leaving && (this.endRevisions.get(record.id) ?? -1) < record.revision;
   }
 
   /**
-   * A digest of the ids and starts of all backends that take new requests, from 0 to 2^32 - 1: daemons that
-   * hold the same ones have the same digest.
+   * Digest of the ids and process starts of all backends that take new requests, from 0 to 2^32 - 1. It is
+   * equal on daemons that know the same set.
    */
   servingDigest(): number {
     this.digest ??= this.all()
@@ -94,7 +94,7 @@
     return this.digest;
   }
 
-  /** Replaces the platform's list. */
+  /** Replaces the platform's list and returns what it changed. */
   take(list: BackendList, now: number): PresenceChanges {
     const wasServing = (id: string): boolean => {
       const record = before.get(id);
@@ -105,10 +105,10 @@
     const listed = list.backends.map((record) => newerOf(before.get(record.id), record));
     this.records = new Map(listed.map((record) => [record.id, record]));
     const leaving = listed.filter(
-      ({ id, leaving }) => leaving && (wasServing(id) || !this.ends.has(id)),
+      ({ id, leaving }) => leaving && (wasServing(id) || !this.endRevisions.has(id)),
     );
     const ended: EndedBackend[] = leaving.map(({ id, revision }) => ({ id, revision }));
-    ended.push(...this.compare(before, list, now));
+    ended.push(...this.reconcileUnlisted(before, list, now));
     const started = listed.filter((record) => {
       const isAnother = isAnotherStart(before.get(record.id), record);
       return this.isServing(record) && (isAnother || !wasServing(record.id));
@@ -118,8 +118,8 @@
     return { ended: ended.filter((end) => this.noteEnded(end)), started: isFirst ? [] : started };
   }
 
-  /** Backends of before that are not listed: kept for a while, or ended. */
-  private compare(
+  /** Keeps each previously known backend that the list lacks for a grace period, or returns it as ended. */
+  private reconcileUnlisted(
     before: ReadonlyMap<string, BackendRecord>,
     list: BackendList,
     now: number,
@@ -131,32 +131,32 @@
         this.announced.delete(id);
         continue;
       }
-      if (this.isSurelyGone(record, list)) {
+      if (this.isConfirmedEnded(record, list)) {
         this.missing.delete(id);
         this.announced.delete(id);
         ended.push({ id, revision: list.revision });
         continue;
       }
       this.records.set(id, record);
-      // A word of a peer outlives only lists from before it: one that knows of the backend and lacks it is news.
-      const isAhead = this.announced.has(id) && record.revision > list.revision;
-      if (isAhead || this.missing.has(id)) continue;
+      // An announcement overrides only lists that are older than it. A newer list without the backend counts as missing it.
+      const isNewerThanList = this.announced.has(id) && record.revision > list.revision;
+      if (isNewerThanList || this.missing.has(id)) continue;
       this.announced.delete(id);
-      const { revision, isLate = false, returnWithinMs = MISSING_HOLD_MS } = list;
-      const heldUntil = now + Math.min(returnWithinMs, MISSING_HOLD_MS);
-      this.missing.set(id, { heldUntil, revision, isLateWord: isLate });
+      const { revision, isLate = false, returnWithinMs = MISSING_GRACE_MS } = list;
+      const graceEndsAt = now + Math.min(returnWithinMs, MISSING_GRACE_MS);
+      this.missing.set(id, { graceEndsAt, revision, isFromStaleList: isLate });
     }
     return ended;
   }
 
-  /** Whether a backend has ended that a list lacks. */
-  private isSurelyGone({ id, revision }: BackendRecord, list: BackendList): boolean {
+  /** Whether a list proves that a backend that it lacks has ended. */
+  private isConfirmedEnded({ id, revision }: BackendRecord, list: BackendList): boolean {
     if (list.mayMissBackends || list.revision < revision) return false;
     const missing = this.missing.get(id);
-    return missing === undefined || missing.isLateWord;
+    return missing === undefined || missing.isFromStaleList;
   }
 
-  /** Lets go of what was missing, or only announced, for too long; returns what has ended by that. */
+  /** Removes backends that were missing, or announced but not listed, for too long. Returns the missing ones that ended. */
   expire(now: number): EndedBackend[] {
     if (this.announced.size + this.missing.size > 0) this.digest = undefined;
     for (const [id, since] of this.announced) {
@@ -165,8 +165,8 @@
       this.records.delete(id);
     }
     const ended: EndedBackend[] = [];
-    for (const [id, { heldUntil, revision }] of this.missing) {
-      if (now < heldUntil) continue;
+    for (const [id, { graceEndsAt, revision }] of this.missing) {
+      if (now < graceEndsAt) continue;
       this.missing.delete(id);
       this.records.delete(id);
       if (this.noteEnded({ id, revision })) ended.push({ id, revision });
@@ -174,20 +174,20 @@
     return ended;
   }
 
-  /** A backend is leaving or gone as of a revision. Returns false if that was known. */
+  /** Records that a backend is leaving or has ended as of a revision. Returns false if that was already known. */
   noteEnded({ id, revision }: EndedBackend): boolean {
-    if ((this.ends.get(id) ?? -1) >= revision) return false;
+    if ((this.endRevisions.get(id) ?? -1) >= revision) return false;
     this.digest = undefined;
-    this.ends.delete(id);
-    this.ends.set(id, revision);
-    if (this.ends.size > REMEMBERED_ENDS) {
-      const [oldest] = this.ends.keys();
-      if (oldest !== undefined) this.ends.delete(oldest);
+    this.endRevisions.delete(id);
+    this.endRevisions.set(id, revision);
+    if (this.endRevisions.size > MAX_REMEMBERED_ENDS) {
+      const [oldest] = this.endRevisions.keys();
+      if (oldest !== undefined) this.endRevisions.delete(oldest);
     }
     return true;
   }
 
-  /** A peer has seen a backend that this daemon's list does not show yet. Returns whether that was news. */
+  /** Records a backend that a peer announced and that this daemon's list may not show yet. Returns whether it was new. */
   noteStarted(record: BackendRecord, now: number): boolean {
     const known = this.records.get(record.id);
     if (known !== undefined && known.revision >= record.revision) return false;
@@ -198,12 +198,12 @@
       this.announced.set(record.id, now);
       return true;
     }
-    this.records.set(record.id, afterNews(known, record));
+    this.records.set(record.id, mergeAnnouncement(known, record));
     return true;
   }
 }
 
-/** A list that is late must not take a backend back to what it was before newer news, or to an earlier start. */
+/** Keeps a stale list from reverting a backend to an older record or to an earlier process. */
 function newerOf(known: BackendRecord | undefined, listed: BackendRecord): BackendRecord {
   if (known === undefined) return listed;
   if (known.revision > listed.revision) return known;
@@ -211,10 +211,17 @@
   return { ...listed, start: known.start };
 }
 
-/** News say where a backend is; what it holds is as the list has told it last, if that was of the same start. */
-function afterNews(known: BackendRecord, news: BackendRecord): BackendRecord {
-  if (isAnotherStart(known, news)) return news;
+/** Takes the location from an announcement, but the models from the last list if both are of the same process. */
+function mergeAnnouncement(known: BackendRecord, announcement: BackendRecord): BackendRecord {
+  if (isAnotherStart(known, announcement)) return announcement;
   const { models, sequence, inMemory, onDisk } = known;
-  const start = news.start ?? known.start;
-  return { ...news, models, sequence, inMemory, onDisk, ...(start === undefined ? {} : { start }) };
+  const start = announcement.start ?? known.start;
+  return {
+    ...announcement,
+    models,
+    sequence,
+    inMemory,
+    onDisk,
+    ...(start === undefined ? {} : { start }),
+  };
 }
--- a/src/core/capacity/capacity-news.ts
+++ b/src/core/capacity/capacity-news.ts
@@ -1,29 +1,29 @@
-/** Remembers which figures of capacity the daemons have been told. Pure. */
+/** Tracks which capacity figures an owner has sent to the daemons, so that it sends only changes. No I/O. */
 import type { LearnedFigures } from './learned-capacity.js';
 
-/** What was told in one epoch. */
+/** Figures that were sent during one ownership epoch. */
 export class CapacityNews {
   private readonly speeds = new Map<string, number>();
   private readonly gaps = new Map<string, number>();
   private pauseShares: readonly number[] = [];
 
-  /** What has changed; undefined if nothing has. A backend that is forgotten is told to be usual again. */
+  /** Returns the changes since the last call, or undefined if there are none. A removed backend is reset to speed 1. */
   take(figures: LearnedFigures | undefined): LearnedFigures | undefined {
     if (figures === undefined) return undefined;
-    const speeds = changed(this.speeds, figures.speeds);
+    const speeds = takeChangedEntries(this.speeds, figures.speeds);
     for (const backend of this.speeds.keys()) {
       if (figures.speeds.has(backend)) continue;
       this.speeds.delete(backend);
       speeds.set(backend, 1);
     }
-    const gaps = changed(this.gaps, figures.gaps);
+    const gaps = takeChangedEntries(this.gaps, figures.gaps);
     const haveSharesChanged = String(this.pauseShares) !== String(figures.pauseShares);
     this.pauseShares = figures.pauseShares;
     if (speeds.size === 0 && gaps.size === 0 && !haveSharesChanged) return undefined;
     return { speeds, gaps, pauseShares: haveSharesChanged ? this.pauseShares : [] };
   }
 
-  /** All that was told; undefined if nothing was. */
+  /** Returns all figures sent so far, or undefined if there are none. */
   everything(): LearnedFigures | undefined {
     const { speeds, gaps, pauseShares } = this;
     if (speeds.size === 0 && gaps.size === 0 && pauseShares.length === 0) return undefined;
@@ -31,16 +31,16 @@
   }
 }
 
-/** Entries that differ from what was told; they are told from now on. */
-function changed(
-  told: Map<string, number>,
-  known: ReadonlyMap<string, number>,
+/** Returns the entries that differ from those sent, and records them as sent. */
+function takeChangedEntries(
+  sent: Map<string, number>,
+  current: ReadonlyMap<string, number>,
 ): Map<string, number> {
-  const news = new Map<string, number>();
-  for (const [name, value] of known) {
-    if (told.get(name) === value) continue;
-    told.set(name, value);
-    news.set(name, value);
+  const changes = new Map<string, number>();
+  for (const [name, value] of current) {
+    if (sent.get(name) === value) continue;
+    sent.set(name, value);
+    changes.set(name, value);
   }
-  return news;
+  return changes;
 }
--- a/src/core/capacity/capacity-view.ts
+++ b/src/core/capacity/capacity-view.ts
@@ -1,30 +1,30 @@
 /**
- * What is expected of the backends of one service, apart from their load: how fast each runs, and
- * how long the pauses between the events of a model's streams are there. Types only.
+ * Expected performance of the backends of one service, regardless of their load: the speed of each, and
+ * the pauses between the events of a model's streams there. Types and a default only.
  */
 
-/** Expectations at one moment. */
+/** Capacity estimates at one moment. */
 export interface CapacityView {
   /**
-   * Speed of a backend against the usual one of its service: 1 is usual, 2 twice as fast.
-   * 1 while nothing has been learned of it.
+   * Speed of a backend relative to the usual speed in its service: 1 is usual, 2 is twice as fast.
+   * 1 while there is no estimate for the backend.
    */
   speedOf(backend: string): number;
   /**
    * Expected milliseconds between two events of a stream of the model at the backend; undefined
-   * while nothing has been learned of the model.
+   * while there is no estimate for the model.
    */
   eventGapMs(backend: string, model: string): number | undefined;
   /**
-   * Share of the model's streams, 0 to 1, that are expected to pause for longer than their callers
-   * bear at the backend; 0 while nothing has been learned. It is smallest at the fastest backend.
+   * Share of the model's streams, 0 to 1, that are expected to pause at the backend for longer than their
+   * callers accept; 0 while there is no estimate. It is smallest at the fastest backend.
    *
-   * @param pauseGoalMs - The longest pause that the callers bear.
+   * @param pauseGoalMs - The longest pause that the callers accept, in milliseconds.
    */
   pauseRisk(backend: string, model: string, pauseGoalMs: number): number;
 }
 
-/** Expectations where nothing is learned: all backends are alike. */
+/** View without any estimates: all backends count as equal. */
 export const EVEN_CAPACITY: CapacityView = {
   speedOf: () => 1,
   eventGapMs: () => undefined,
--- a/src/core/capacity/copy-quality.ts
+++ b/src/core/capacity/copy-quality.ts
@@ -1,117 +1,120 @@
 /**
- * What copies of models are good for by where they lie: a model's streams pause too long at a
- * backend that is slow for it. Answers load under which busy models' copies lie at slow backends
- * while fast ones hold models that would be in time anywhere. Pure.
+ * Rates the copies of a model by the speed of the backend that holds them: a model's streams pause too long
+ * at a backend that is too slow for it. This counters placements in which slow backends hold the busy models
+ * while fast ones hold models whose streams would be on time anywhere. No I/O.
  */
 import type { BackendLedger } from '../backend-ledger.js';
 import type { CapacityView } from './capacity-view.js';
 
-/** What the planner knows of capacity. */
+/** Capacity estimates for the placement planner. */
 export interface PlannedCapacity {
   readonly view: CapacityView;
-  /** The longest pause that callers of a model bear, in milliseconds; infinite if none is known. */
+  /** The longest pause that callers of a model accept, in milliseconds; infinite if unknown. */
   pauseGoalMs(model: string): number;
 }
 
-/** A copy at which all streams are late is still worth this part: late is better than refused. */
-const LEAST_QUALITY = 0.3;
-/** A copy is as good as the best place from this quality on: a lesser difference is not moved for. */
+/** Quality of a copy whose streams are all late: a late stream is still better than a refused request. */
+const MIN_QUALITY = 0.3;
+/** Quality from which a copy counts as good as the best one: a smaller difference does not justify a move. */
 const GOOD_QUALITY = 0.8;
 /**
- * A copy counts in full for so long after its load, in milliseconds: it has cost its load, and
- * what is believed of its backend may change while it is new.
+ * A copy counts as fully good for this long after its load, because the load has been paid for and the
+ * estimate for its backend may still change.
  */
-const SMALLEST_STAY_MS = 10_000;
-/** What a caller that begins to wait loses by late pauses, in milliseconds of waiting. */
-const LATE_STREAM_MS = 1_500;
-/** The same for each urgent request a second that will come. */
-const LATE_RATE_MS = 4_000;
-/** No place is avoided for longer than this, in milliseconds. */
-const MOST_LATE_MS = 8_000;
+const NEW_COPY_PERIOD_MS = 10_000;
+/** Cost of late pauses for a caller that starts to wait, as milliseconds of waiting. */
+const LATE_STREAM_COST_MS = 1_500;
+/** Additional cost, in the same unit, for each expected urgent request per second. */
+const URGENT_RATE_COST_MS = 4_000;
+/** Maximum cost of lateness at a backend, so that none is avoided for longer than this, in milliseconds. */
+const MAX_LATENESS_COST_MS = 8_000;
 
 interface Extremes {
   readonly fastest: string;
   readonly slowest: string;
 }
 
-/** What is known of the places for one model. */
-interface ModelPlaces {
-  /** Share of streams in time at the best place. */
-  readonly bestInTime: number;
-  /** Whether even the slowest place is as good. */
+/** Quality of the backends for one model. */
+interface ModelBackendQuality {
+  /** Share of streams that are on time at the best backend. */
+  readonly bestOnTimeShare: number;
+  /** Whether even the slowest backend counts as good as the best one. */
   readonly isGoodAnywhere: boolean;
-  /** By backend, as far as asked for. */
+  /** Cached quality by backend; filled on demand. */
   readonly qualities: Map<string, number>;
 }
 
-/** Quality of copies for one round of planning. */
+/** Quality of model copies during one planning round. */
 export class CopyQuality {
-  /** The backends at which every model's risk is smallest and greatest; worked out when first asked for. */
+  /** The backends with the lowest and the highest pause risk for every model; computed on first use. */
   private extremes: Extremes | undefined;
-  private readonly places = new Map<string, ModelPlaces>();
+  private readonly qualityByModel = new Map<string, ModelBackendQuality>();
 
-  /** @param capacity - Undefined if all backends count as alike. */
+  /** @param capacity - Undefined if all backends count as equal. */
   constructor(
     private readonly capacity: PlannedCapacity | undefined,
     private readonly backends: readonly BackendLedger[],
     private readonly now: number,
   ) {}
 
-  /** Quality of a place for a model against its best place, {@link LEAST_QUALITY} to 1. */
+  /** Quality of a backend for a model relative to the best backend, from {@link MIN_QUALITY} to 1. */
   ofPlace(backend: string, model: string): number {
     if (this.isGoodAnywhere(model)) return 1;
-    const { bestInTime, qualities } = this.placesOf(model);
-    const quality = qualities.get(backend) ?? this.workOut(backend, model, bestInTime);
+    const { bestOnTimeShare, qualities } = this.qualityOfModel(model);
+    const quality = qualities.get(backend) ?? this.computeQuality(backend, model, bestOnTimeShare);
     qualities.set(backend, quality);
     return quality;
   }
 
   /**
-   * Whether all places are as good for a model, as for most: then none needs to be looked at. Without it a round
-   * over hundreds of backends and models would take much longer.
+   * Whether all backends are equally good for a model, as is the case for most models. Backends then need not be
+   * rated one by one; without this check a round over hundreds of backends and models would take much longer.
    */
   isGoodAnywhere(model: string): boolean {
-    return this.capacity === undefined || this.placesOf(model).isGoodAnywhere;
+    return this.capacity === undefined || this.qualityOfModel(model).isGoodAnywhere;
   }
 
-  /** Quality of a copy that is held; a new one counts in full. */
+  /** Quality of an existing copy; 1 for a newly loaded one. */
   ofCopy(ledger: BackendLedger, model: string): number {
     const loadedAt = ledger.models.get(model)?.loadedAt ?? this.now;
-    const isNew = this.now - loadedAt < SMALLEST_STAY_MS;
+    const isNew = this.now - loadedAt < NEW_COPY_PERIOD_MS;
     return isNew ? 1 : this.ofPlace(ledger.id, model);
   }
 
-  /** Whether a copy at the place is as good as anywhere. */
+  /** Whether a copy at the backend counts as good as at the best backend. */
   isGood(backend: string, model: string): boolean {
     return this.ofPlace(backend, model) >= GOOD_QUALITY;
   }
 
   /**
-   * What lateness at the place costs callers, in milliseconds of waiting.
+   * Cost of late streams at the backend for callers, in milliseconds of waiting.
    *
-   * @param urgentRate - Urgent requests a second for the model.
+   * @param urgentRate - Urgent requests per second for the model.
    */
   lateMs(backend: string, model: string, urgentRate: number): number {
-    const lost = 1 - this.ofPlace(backend, model);
-    if (lost === 0) return 0;
-    return Math.min(MOST_LATE_MS, lost * (LATE_STREAM_MS + urgentRate * LATE_RATE_MS));
+    const qualityLoss = 1 - this.ofPlace(backend, model);
+    if (qualityLoss === 0) return 0;
+    return Math.min(
+      MAX_LATENESS_COST_MS,
+      qualityLoss * (LATE_STREAM_COST_MS + urgentRate * URGENT_RATE_COST_MS),
+    );
   }
 
-  private placesOf(model: string): ModelPlaces {
-    const known = this.places.get(model);
+  private qualityOfModel(model: string): ModelBackendQuality {
+    const known = this.qualityByModel.get(model);
     if (known !== undefined) return known;
     const { fastest, slowest } = this.extremeBackends();
-    const bestInTime = 1 - this.riskAt(fastest, model);
-    const isGoodAnywhere = this.workOut(slowest, model, bestInTime) === 1;
-    const made: ModelPlaces = { bestInTime, isGoodAnywhere, qualities: new Map() };
-    this.places.set(model, made);
-    return made;
+    const bestOnTimeShare = 1 - this.riskAt(fastest, model);
+    const isGoodAnywhere = this.computeQuality(slowest, model, bestOnTimeShare) === 1;
+    const created: ModelBackendQuality = { bestOnTimeShare, isGoodAnywhere, qualities: new Map() };
+    this.qualityByModel.set(model, created);
+    return created;
   }
 
-  private workOut(backend: string, model: string, bestInTime: number): number {
-    if (bestInTime <= 0) return 1;
-    const inTime = 1 - this.riskAt(backend, model);
-    const quality = Math.max(LEAST_QUALITY, inTime / bestInTime);
+  private computeQuality(backend: string, model: string, bestOnTimeShare: number): number {
+    if (bestOnTimeShare <= 0) return 1;
+    const onTimeShare = 1 - this.riskAt(backend, model);
+    const quality = Math.max(MIN_QUALITY, onTimeShare / bestOnTimeShare);
     return quality >= GOOD_QUALITY ? 1 : quality;
   }
 
@@ -122,11 +125,11 @@
 
   private findExtremes(): Extremes {
     let [fastest, slowest] = ['', ''];
-    let [most, least] = [0, Infinity];
+    let [highest, lowest] = [0, Infinity];
     for (const { id } of this.backends) {
       const speed = this.capacity?.view.speedOf(id) ?? 1;
-      if (speed > most) [fastest, most] = [id, speed];
-      if (speed < least) [slowest, least] = [id, speed];
+      if (speed > highest) [fastest, highest] = [id, speed];
+      if (speed < lowest) [slowest, lowest] = [id, speed];
     }
     return { fastest, slowest };
   }
--- a/src/core/capacity/ejection-floor.ts
+++ b/src/core/capacity/ejection-floor.ts
@@ -1,27 +1,27 @@
 /**
- * Bounds how many backends of a service one daemon leaves alone (ejects) at once. Where more than a share
- * of them seem to fail, the daemon or its links are more likely at fault, and callers would wait
- * for nobody. Pure.
+ * Limits how many backends of a service one daemon ejects (sends no requests to) at once. If more than this
+ * share of them seem to fail, the daemon or its network links are more likely at fault, and ejecting
+ * them all would leave callers without any backend to wait for. No I/O.
  */
 
-/** Largest share of a service's backends that a daemon leaves alone: the others bear the load of all. */
+/** Largest share of a service's backends that a daemon ejects, because the others must carry the whole load. */
 export const MOST_EJECTED_SHARE = 0.5;
 
-/** A backend that the daemon would leave alone. */
+/** A backend that the daemon would eject. */
 export interface AvoidedBackend {
   readonly id: string;
-  /** When it would be asked again, in milliseconds of a steady clock. */
+  /** When the ejection would end, in milliseconds of a monotonic clock. */
   readonly until: number;
 }
 
 /**
- * Backends beyond the share, which may be asked all the same if nobody else can take a request:
- * those whose time ends first.
+ * Returns the backends in excess of the limit: those whose ejection ends first. They may still get a request
+ * if no other backend can take it.
  *
  * @param serving - Backends of the service that take requests.
  */
 export function sparedBackends(avoided: readonly AvoidedBackend[], serving: number): Set<string> {
-  const most = Math.max(1, Math.floor(serving * MOST_EJECTED_SHARE));
-  const longest = [...avoided].sort((a, b) => b.until - a.until);
-  return new Set(longest.slice(most).map(({ id }) => id));
+  const maxEjected = Math.max(1, Math.floor(serving * MOST_EJECTED_SHARE));
+  const longestEjectedFirst = [...avoided].sort((a, b) => b.until - a.until);
+  return new Set(longestEjectedFirst.slice(maxEjected).map(({ id }) => id));
 }
--- a/src/core/capacity/gap-samples.ts
+++ b/src/core/capacity/gap-samples.ts
@@ -1,48 +1,49 @@
 /**
- * What one daemon sees of the gaps between events of streams, gathered between two reports to the
- * owner of a service. Gaps are summed as logarithms, so that spells of slowness and single stalls
- * weigh little. Pure; times are milliseconds of a steady clock.
+ * Collects the gaps that one daemon observes between the events of streams, until the next report to the
+ * owner of the service. Gaps are summed as logarithms, so that slow periods and single stalls have little
+ * weight. No I/O; times are milliseconds of a monotonic clock.
  */
 import { ratioClass, RATIO_CLASSES } from './pause-shares.js';
 
-/** Gaps of one model's streams at one backend. */
+/** Observed gaps of one model's streams at one backend. */
 export interface GapSample {
   readonly backend: string;
   readonly model: string;
   readonly gaps: number;
   /** Sum of the natural logarithms of the gaps in milliseconds. */
   readonly logSum: number;
-  /** The shortest pause goal among the streams, in milliseconds. */
+  /** Shortest pause goal of the streams, in milliseconds. */
   readonly pauseGoalMs: number;
 }
 
-/** What a daemon reports of streams. */
+/** A daemon's report on streams. */
 export interface GapReport {
   readonly samples: readonly GapSample[];
-  /** Streams that have ended, by the class of their longest pause against their usual gap. */
+  /** Numbers of finished streams, by the class of the ratio of their longest pause to their usual gap. */
   readonly pauseClasses: readonly number[];
 }
 
-/** Between two reports of gaps, in milliseconds: reports that are urgent for others carry none. */
+/** Minimum time between two reports of gaps; reports sent early for other reasons carry no gaps. */
 const REPORT_PERIOD_MS = 250;
-/** Entries of one report; the others wait for the next. */
-const MOST_SAMPLES = 48;
-/** Pairs that are gathered while no report is taken; further ones are left out. */
-const MOST_GATHERED = 512;
-/** Events that come closer together were held up on the way: they belong to the gap before. */
-const SAME_READ_MS = 2;
-/** Gaps are counted as no shorter and no longer than this, in milliseconds. */
-const SHORTEST_COUNTED_MS = 1;
-const LONGEST_COUNTED_MS = 5_000;
-/** Streams with fewer gaps say nothing of pauses. */
-const LEAST_GAPS = 8;
+/** Maximum number of samples in one report; the rest is sent with later reports. */
+const MAX_REPORT_SAMPLES = 48;
+/** Maximum number of backend and model pairs collected between reports; further pairs are ignored. */
+const MAX_COLLECTED_PAIRS = 512;
+/** Events closer together than this were delayed on the network and count towards the gap before them. */
+const BURST_GAP_MS = 2;
+/** Gaps are clamped to this range. */
+const MIN_COUNTED_GAP_MS = 1;
+const MAX_COUNTED_GAP_MS = 5_000;
+/** Streams with fewer gaps are ignored in the pause statistics. */
+const MIN_GAPS = 8;
 /**
- * A stream whose usual gap is further below its goal cannot come near it by a spell: its pauses
- * come from elsewhere and are no measure for slower ones.
+ * Streams whose pause goal is more than this many times their usual gap are ignored in the pause statistics.
+ * A slow period of the backend cannot bring them near the goal, so their pauses have other causes and do
+ * not predict those of slower streams.
  */
-const NEAR_GOAL_RATIO = 6;
+const MAX_GOAL_RATIO = 6;
 
-interface Gathered {
+interface CollectedGaps {
   readonly backend: string;
   readonly model: string;
   gaps: number;
@@ -50,48 +51,48 @@
   pauseGoalMs: number;
 }
 
-/** Gathers the gaps of one service's streams. */
+/** Collects the gaps of one service's streams. */
 export class GapSamples {
-  private readonly gathered = new Map<string, Gathered>();
+  private readonly collected = new Map<string, CollectedGaps>();
   private pauseClasses = RATIO_CLASSES.map(() => 0);
   private streams = 0;
   private reportedAt = -Infinity;
 
-  /** Whether there is something to report, and the last report was long enough ago. */
+  /** Whether there is data to report and the minimum time since the last report has passed. */
   isDue(now: number): boolean {
-    const isEmpty = this.gathered.size === 0 && this.streams === 0;
+    const isEmpty = this.collected.size === 0 && this.streams === 0;
     return !isEmpty && now - this.reportedAt >= REPORT_PERIOD_MS;
   }
 
-  /** Begins to watch a stream. */
+  /** Starts to measure a stream. */
   watch(backend: string, model: string, pauseGoalMs: number): StreamGaps {
     return new StreamGaps(this, backend, model, pauseGoalMs);
   }
 
-  /** A stream has had so many gaps of one length. */
+  /** Adds gaps of one length from one stream. */
   add(sample: GapSample): void {
     const { backend, model, pauseGoalMs } = sample;
     const key = `${backend} ${model}`;
-    const known = this.gathered.get(key) ?? { backend, model, gaps: 0, logSum: 0, pauseGoalMs };
-    if (!this.gathered.has(key) && this.gathered.size >= MOST_GATHERED) return;
+    const known = this.collected.get(key) ?? { backend, model, gaps: 0, logSum: 0, pauseGoalMs };
+    if (!this.collected.has(key) && this.collected.size >= MAX_COLLECTED_PAIRS) return;
     known.gaps += sample.gaps;
     known.logSum += sample.logSum;
     known.pauseGoalMs = Math.min(known.pauseGoalMs, pauseGoalMs);
-    this.gathered.set(key, known);
+    this.collected.set(key, known);
   }
 
-  /** A stream has ended; its longest pause was so many times its usual gap. */
+  /** Counts a finished stream by the ratio of its longest pause to its usual gap. */
   addPause(ratio: number): void {
     const index = ratioClass(ratio);
     this.pauseClasses[index] = (this.pauseClasses[index] ?? 0) + 1;
     this.streams += 1;
   }
 
-  /** What has been gathered since the last report, the oldest first. */
+  /** Returns and removes the data for a report, starting with the pairs that were collected first. */
   take(now: number): GapReport {
     this.reportedAt = now;
-    const samples = [...this.gathered.values()].slice(0, MOST_SAMPLES);
-    for (const { backend, model } of samples) this.gathered.delete(`${backend} ${model}`);
+    const samples = [...this.collected.values()].slice(0, MAX_REPORT_SAMPLES);
+    for (const { backend, model } of samples) this.collected.delete(`${backend} ${model}`);
     const { pauseClasses } = this;
     this.pauseClasses = RATIO_CLASSES.map(() => 0);
     this.streams = 0;
@@ -99,10 +100,10 @@
   }
 }
 
-/** The gaps of one stream while one backend sends it. */
+/** Measures the gaps of one stream while one backend sends it. */
 export class StreamGaps {
   private lastReadAt: number | undefined;
-  /** The gap before the last read, until it is sure that all its events have come. */
+  /** Gap before the last read; kept until all events that belong to it have arrived. */
   private pendingMs: number | undefined;
   private pendingEvents = 0;
   private gaps = 0;
@@ -116,42 +117,42 @@
     private readonly pauseGoalMs: number,
   ) {}
 
-  /** Whole events have come from the backend at once. */
+  /** Records complete events that arrived from the backend in one read. */
   noteRead(events: number, now: number): void {
     if (events === 0) return;
     const sinceMs = now - (this.lastReadAt ?? -Infinity);
-    if (sinceMs < SAME_READ_MS) {
+    if (sinceMs < BURST_GAP_MS) {
       this.pendingEvents += events;
       return;
     }
-    this.countPending();
+    this.countPendingGap();
     this.pendingMs = this.lastReadAt === undefined ? undefined : sinceMs;
     this.pendingEvents = events;
     this.lastReadAt = now;
   }
 
-  /** The backend is not read for a time, because the caller reads slowly: that gap is not its own. */
+  /** Excludes the current gap: the daemon stops reading because the caller is slow, so the backend is not the cause. */
   interrupt(): void {
-    this.countPending();
+    this.countPendingGap();
     this.lastReadAt = undefined;
   }
 
-  /** The stream has ended. */
+  /** Ends the measurement and counts the stream in the pause statistics. */
   end(): void {
     this.interrupt();
-    if (this.gaps < LEAST_GAPS) return;
+    if (this.gaps < MIN_GAPS) return;
     const usualMs = Math.exp(this.logSum / this.gaps);
     this.gaps = 0;
-    if (this.pauseGoalMs > usualMs * NEAR_GOAL_RATIO) return;
+    if (this.pauseGoalMs > usualMs * MAX_GOAL_RATIO) return;
     this.samples.addPause(this.longestMs / usualMs);
   }
 
-  private countPending(): void {
+  private countPendingGap(): void {
     const { pendingMs, pendingEvents: gaps, backend, model, pauseGoalMs } = this;
     this.pendingMs = undefined;
     this.pendingEvents = 0;
     if (pendingMs === undefined || gaps === 0) return;
-    const gapMs = Math.min(LONGEST_COUNTED_MS, Math.max(SHORTEST_COUNTED_MS, pendingMs / gaps));
+    const gapMs = Math.min(MAX_COUNTED_GAP_MS, Math.max(MIN_COUNTED_GAP_MS, pendingMs / gaps));
     const logSum = gaps * Math.log(gapMs);
     this.longestMs = Math.max(this.longestMs, pendingMs);
     this.gaps += gaps;
--- a/src/core/capacity/heard-capacity.ts
+++ b/src/core/capacity/heard-capacity.ts
@@ -1,4 +1,4 @@
-/** What a daemon has heard of a service's capacity from its owner. Pure. */
+/** Capacity figures that a daemon has received from the owner of a service. No I/O. */
 import { EVEN_CAPACITY, type CapacityView } from './capacity-view.js';
 import {
   areCredibleShares,
@@ -9,37 +9,37 @@
 } from './learned-capacity.js';
 
 /**
- * An owner's figures count so long after its last word, in milliseconds: backends stay as fast as
- * they were while a new owner takes over and learns anew.
+ * How long an owner's figures stay valid after its last update, in milliseconds. Backends keep their speed
+ * while a new owner takes over and collects its own data.
  */
-const LIFETIME_MS = 15_000;
+const FIGURES_LIFETIME_MS = 15_000;
 
-/** A new owner has learned enough after so long, in milliseconds; until then its predecessor's word holds. */
-const LEARNING_MS = 3_000;
+/** Time that a new owner needs to collect enough data; until then its predecessor's figures apply. */
+const LEARNING_PERIOD_MS = 3_000;
 
-/** Figures of one service, put together from the owner's changes. */
+/** Figures of one service, accumulated from the owner's changes. */
 export class HeardCapacity {
   private readonly speeds = new Map<string, number>();
   private readonly gaps = new Map<string, number>();
   private pauseShares: readonly number[] = [];
-  private heardAt = -Infinity;
-  private firstHeardAt: number | undefined;
+  private lastUpdateAt = -Infinity;
+  private firstUpdateAt: number | undefined;
 
-  /** @param former - What the former owner has told; undefined if there was none. */
-  constructor(private former?: HeardCapacity) {}
+  /** @param predecessor - Figures from the previous owner; undefined if there was none. */
+  constructor(private predecessor?: HeardCapacity) {}
 
-  /** For the same owner, which tells everything again: its own word is void, its predecessor's holds as long as before. */
+  /** Returns empty figures for the same owner, which sends its full state again. The predecessor's figures apply for as long as before. */
   emptied(): HeardCapacity {
-    const made = new HeardCapacity(this.former);
-    made.firstHeardAt = this.firstHeardAt;
-    return made;
+    const cleared = new HeardCapacity(this.predecessor);
+    cleared.firstUpdateAt = this.firstUpdateAt;
+    return cleared;
   }
 
-  /** The owner lives, and has told these changes. What cannot be true is left out. */
+  /** Records that the owner is alive and applies its changes. Implausible values are ignored. */
   take(figures: LearnedFigures | undefined, now: number): void {
-    this.heardAt = now;
-    this.firstHeardAt ??= now;
-    if (!this.isLearning(now)) this.former = undefined;
+    this.lastUpdateAt = now;
+    this.firstUpdateAt ??= now;
+    if (!this.isLearning(now)) this.predecessor = undefined;
     if (figures === undefined) return;
     for (const [backend, speed] of figures.speeds) {
       if (isCredibleSpeed(speed)) this.speeds.set(backend, speed);
@@ -49,21 +49,21 @@
     if (pauseShares.length > 0 && areCredibleShares(pauseShares)) this.pauseShares = pauseShares;
   }
 
-  /** The owner says nothing of the backend any more. */
+  /** Removes a backend that the owner no longer reports. */
   forget(backend: string): void {
     this.speeds.delete(backend);
-    this.former?.forget(backend);
+    this.predecessor?.forget(backend);
   }
 
-  /** What is expected by the owner's word. */
+  /** Returns the capacity view that follows from the owner's figures, or from its predecessor's while it is learning. */
   view(now: number): CapacityView {
-    if (this.former !== undefined && this.isLearning(now)) return this.former.view(now);
-    if (now - this.heardAt > LIFETIME_MS) return EVEN_CAPACITY;
+    if (this.predecessor !== undefined && this.isLearning(now)) return this.predecessor.view(now);
+    if (now - this.lastUpdateAt > FIGURES_LIFETIME_MS) return EVEN_CAPACITY;
     const { speeds, gaps, pauseShares } = this;
     return new LearnedCapacity({ speeds, gaps, pauseShares });
   }
 
   private isLearning(now: number): boolean {
-    return now - (this.firstHeardAt ?? now) < LEARNING_MS;
+    return now - (this.firstUpdateAt ?? now) < LEARNING_PERIOD_MS;
   }
 }
--- a/src/core/capacity/learned-capacity.ts
+++ b/src/core/capacity/learned-capacity.ts
@@ -1,18 +1,18 @@
-/** What an owner tells of its backends' capacity, and the expectations that follow from it. Pure. */
+/** Capacity figures that an owner sends to the daemons, and the capacity view computed from them. No I/O. */
 import type { CapacityView } from './capacity-view.js';
 import { shareBeyond, USUAL_PAUSE_SHARES } from './pause-shares.js';
 
-/** Figures as an owner has learned them; of what is missing nothing is known. */
+/** Figures that an owner has learned; there is no estimate for a missing entry. */
 export interface LearnedFigures {
-  /** Speeds of backends against the usual one of the service. */
+  /** Speeds of backends relative to the usual speed in the service. */
   readonly speeds: ReadonlyMap<string, number>;
   /** Usual milliseconds between two events of a model's streams at a backend of speed 1. */
   readonly gaps: ReadonlyMap<string, number>;
-  /** Shares of streams by the class of their longest pause; empty while nothing is learned. */
+  /** Share of streams whose longest pause reaches each ratio class; empty while nothing has been learned. */
   readonly pauseShares: readonly number[];
 }
 
-/** Expectations by an owner's figures. */
+/** Capacity view computed from an owner's figures. */
 export class LearnedCapacity implements CapacityView {
   constructor(private readonly figures: LearnedFigures) {}
 
@@ -34,25 +34,25 @@
   }
 }
 
-/** Speeds that can be believed. */
+/** Range of plausible speeds. */
 export const SLOWEST_SPEED = 0.1;
 export const FASTEST_SPEED = 10;
-/** Usual gaps that can be believed, in milliseconds. */
+/** Range of plausible usual gaps, in milliseconds. */
 export const SHORTEST_GAP_MS = 0.5;
 export const LONGEST_GAP_MS = 60_000;
 
-/** Whether an owner's word on a backend's speed can be believed. */
+/** Whether a reported speed is plausible. */
 export function isCredibleSpeed(speed: number): boolean {
   return speed >= SLOWEST_SPEED && speed <= FASTEST_SPEED;
 }
 
-/** Whether a gap between events can be believed. */
+/** Whether a gap between events is plausible. */
 export function isCredibleGap(milliseconds: number): boolean {
   return milliseconds >= SHORTEST_GAP_MS && milliseconds <= LONGEST_GAP_MS;
 }
 
-/** Whether shares of streams can be believed: one for each class, between 0 and 1. */
+/** Whether shares of streams are valid: empty, or one per ratio class and all between 0 and 1. */
 export function areCredibleShares(shares: readonly number[]): boolean {
-  const isWhole = shares.length === 0 || shares.length === USUAL_PAUSE_SHARES.length;
-  return isWhole && shares.every((share) => share >= 0 && share <= 1);
+  const hasValidLength = shares.length === 0 || shares.length === USUAL_PAUSE_SHARES.length;
+  return hasValidLength && shares.every((share) => share >= 0 && share <= 1);
 }
--- a/src/core/capacity/pause-shares.ts
+++ b/src/core/capacity/pause-shares.ts
@@ -1,27 +1,26 @@
 /**
- * How much longer than its usual gap the longest pause of a stream is: counts of streams by that
- * ratio, and the share beyond a ratio. Spells in which backends work slowly show here, learned over
- * a whole service. Pure.
+ * Distribution of the ratio of a stream's longest pause to its usual gap, as shares of streams by ratio
+ * class. It reflects the periods in which backends are slow, and is learned over a whole service. No I/O.
  */
 
-/** Lower ends of the classes of ratios; the first takes all below the second. */
+/** Lower bounds of the ratio classes; the first class also takes all smaller ratios. */
 export const RATIO_CLASSES: readonly number[] = [1, 1.25, 1.5, 2, 2.5, 3, 4, 6];
 
-/** Shares of streams whose longest pause reaches each class, while nothing is learned: those of calm backends. */
+/** Default shares of streams whose longest pause reaches each class, until shares are learned: those of undisturbed backends. */
 export const USUAL_PAUSE_SHARES: readonly number[] = [1, 0.7, 0.4, 0.2, 0.12, 0.08, 0.04, 0.02];
 
-/** The class of a ratio. */
+/** Returns the index of a ratio's class. */
 export function ratioClass(ratio: number): number {
-  let found = 0;
-  for (const [index, from] of RATIO_CLASSES.entries()) if (ratio >= from) found = index;
-  return found;
+  let classIndex = 0;
+  for (const [index, from] of RATIO_CLASSES.entries()) if (ratio >= from) classIndex = index;
+  return classIndex;
 }
 
 /**
- * Share of streams whose longest pause passes `ratio` times their usual gap, between the classes
- * by the logarithm of the ratio. 1 up to the usual gap.
+ * Share of streams whose longest pause exceeds `ratio` times their usual gap, interpolated between the
+ * classes on the logarithm of the ratio. It is 1 for ratios up to 1.
  *
- * @param shares - One for each class, falling.
+ * @param shares - One per class, in descending order.
  */
 export function shareBeyond(ratio: number, shares: readonly number[]): number {
   if (ratio <= 1) return 1;
--- a/src/core/capacity/pause-statistics.ts
+++ b/src/core/capacity/pause-statistics.ts
@@ -1,49 +1,49 @@
-/** Learns over one service how much longer than usual the longest pauses of streams are. Pure. */
+/** Learns, over one service, how the longest pauses of streams relate to their usual gaps. No I/O. */
 import { RATIO_CLASSES, USUAL_PAUSE_SHARES } from './pause-shares.js';
 
-/** Streams of so long ago count half: the work and its disturbances change within minutes. */
+/** Half-life of the counts: the load and its disturbances change within minutes. */
 const HALF_LIFE_MS = 120_000;
-/** Weight of the usual shares beside what is counted, in streams: until so many have ended, they decide. */
-const USUAL_STREAMS = 20;
-/** Shares that change by less stay as they are told. */
+/** Weight of the default shares, in streams: they dominate until this many streams have finished. */
+const PRIOR_STREAMS = 20;
+/** Published shares are kept unless one changes by more than this. */
 const SHARE_TOLERANCE = 0.05;
-/** Streams that one report can tell of in a class: more is no count. */
-const MOST_STREAMS = 10_000;
+/** Maximum count per class in one report; a larger count is invalid. */
+const MAX_STREAMS_PER_CLASS = 10_000;
 
-/** Counts of streams that fade with the time; times are milliseconds of a steady clock. */
+/** Exponentially decaying counts of streams; times are milliseconds of a monotonic clock. */
 export class PauseStatistics {
   private counts = RATIO_CLASSES.map(() => 0);
   private updatedAt = 0;
 
-  /** Adds a report's counts; false if they are nonsense. */
+  /** Adds a report's counts. Returns false if they are invalid. */
   add(counts: readonly number[], now: number): boolean {
     if (counts.length === 0) return true;
-    const isCounted = counts.every((count) => count >= 0 && count <= MOST_STREAMS);
-    if (!isCounted || counts.length !== RATIO_CLASSES.length) return false;
-    this.fade(now);
+    const areValidCounts = counts.every((count) => count >= 0 && count <= MAX_STREAMS_PER_CLASS);
+    if (!areValidCounts || counts.length !== RATIO_CLASSES.length) return false;
+    this.decay(now);
     this.counts = this.counts.map((count, index) => count + (counts[index] ?? 0));
     return true;
   }
 
-  /** Shares of streams that reach each class; those told before if they hold still. */
-  shares(told: readonly number[], now: number): readonly number[] {
-    this.fade(now);
+  /** Returns the share of streams that reach each class, or `previous` if no share has changed by more than the tolerance. */
+  shares(previous: readonly number[], now: number): readonly number[] {
+    this.decay(now);
     const streams = this.counts.reduce((sum, count) => sum + count, 0);
-    if (streams < 1) return told;
+    if (streams < 1) return previous;
     let beyond = streams;
     const shares = this.counts.map((count, index) => {
-      const usual = USUAL_STREAMS * (USUAL_PAUSE_SHARES[index] ?? 0);
-      const share = (beyond + usual) / (streams + USUAL_STREAMS);
+      const priorStreams = PRIOR_STREAMS * (USUAL_PAUSE_SHARES[index] ?? 0);
+      const share = (beyond + priorStreams) / (streams + PRIOR_STREAMS);
       beyond -= count;
       return share;
     });
-    const moved = shares.some((share, index) => {
-      return Math.abs(share - (told[index] ?? -1)) > SHARE_TOLERANCE;
+    const hasChanged = shares.some((share, index) => {
+      return Math.abs(share - (previous[index] ?? -1)) > SHARE_TOLERANCE;
     });
-    return moved ? shares : told;
+    return hasChanged ? shares : previous;
   }
 
-  private fade(now: number): void {
+  private decay(now: number): void {
     const factor = 0.5 ** (Math.max(0, now - this.updatedAt) / HALF_LIFE_MS);
     this.updatedAt = now;
     this.counts = this.counts.map((count) => count * factor);
