--- a/src/core/backend-directory.ts
+++ b/src/core/backend-directory.ts
@@ -66,12 +66,12 @@
   private readonly placements = new Map<string, ReceivedPlacement>();
   private readonly missingModels = new Map<string, number>();
   private readonly starts = new BackendStarts();
-  private readonly shutdowns = new DeclaredLeavings();
+  private readonly announcedShutdowns = new DeclaredLeavings();
   private restarts: BackendRestart[] = [];
 
   /** Replaces the platform's list. A process listed as leaving never serves again, whatever later lists show. */
   setBackends(list: BackendList, now: number): PresenceChanges {
-    for (const record of list.backends) if (record.leaving) this.shutdowns.note(record);
+    for (const record of list.backends) if (record.leaving) this.announcedShutdowns.note(record);
     const changes = this.presence.take(list, now);
     for (const record of this.presence.all()) this.recordStart(record);
     return changes;
@@ -124,7 +124,7 @@
 
   /** Records that a backend's process announced its own shutdown. Returns false if that was already known. */
   noteLeaving(process: BackendProcess): boolean {
-    return this.shutdowns.note(process);
+    return this.announcedShutdowns.note(process);
   }
 
   /** Records a backend that a peer reported and that this daemon's list may not show yet. Returns false if it was already known. */
@@ -149,9 +149,9 @@
   /** Returns all known backends; those that announced their shutdown are marked as leaving. */
   all(): BackendRecord[] {
     const all = this.presence.all();
-    if (this.shutdowns.isEmpty) return all;
+    if (this.announcedShutdowns.isEmpty) return all;
     return all.map((record) =>
-      this.shutdowns.has(record) ? { ...record, leaving: true } : record,
+      this.announcedShutdowns.has(record) ? { ...record, leaving: true } : record,
     );
   }
 
@@ -162,7 +162,7 @@
 
   /** Whether a backend takes new requests: the list says so and it has not announced its shutdown. */
   private isServing(record: BackendRecord): boolean {
-    return this.presence.isServing(record) && !this.shutdowns.has(record);
+    return this.presence.isServing(record) && !this.announcedShutdowns.has(record);
   }
 
   /**
--- a/test/core/backend-ledger.test.ts
+++ b/test/core/backend-ledger.test.ts
@@ -8,8 +8,8 @@
 
 function report(held: readonly string[], sequence: number, busy = false): BackendReport {
   const models = held.map((name) => ({ name, adapters: [] }));
-  const none = { coming: [], inMemory: [], onDisk: [], waiting: 0, running: 0 };
-  return { ...none, busy, sequence, models };
+  const empty = { coming: [], inMemory: [], onDisk: [], waiting: 0, running: 0 };
+  return { ...empty, busy, sequence, models };
 }
 
 function readyLedger(): BackendLedger {
@@ -19,7 +19,7 @@
   return ledger;
 }
 
-function loading(): BackendLedger {
+function loadingLedger(): BackendLedger {
   const ledger = readyLedger();
   ledger.send(LOAD);
   ledger.settle(LOAD, { type: 'accepted' }, 1_000, 1_500);
@@ -27,7 +27,7 @@
 }
 
 describe('BackendLedger', () => {
-  it('takes no order before reports have told the same for a time', () => {
+  it('accepts no order until reports have shown the same sequence number for 400 ms', () => {
     const ledger = new BackendLedger('x');
     expect(ledger.adopt(report(['old'], 3), 0)).toBe(false);
     expect(ledger.takesModelOrder).toBe(false);
@@ -35,23 +35,23 @@
     expect(ledger.takesModelOrder).toBe(true);
   });
 
-  it('goes on counting a load that a report calls ended without showing it', () => {
-    const ledger = loading();
+  it('keeps a load in progress when a report shows it finished but does not list the model', () => {
+    const ledger = loadingLedger();
     expect(ledger.adopt(report(['old'], 1), 2_500)).toBe(false);
     expect(ledger.currentOrder).toEqual(LOAD);
     expect(ledger.adopt(report(['old', 'new'], 1), 2_650)).toBe(true);
     expect([...ledger.models.keys()]).toEqual(['old', 'new']);
   });
 
-  it('keeps what the list has shown when a late report does not show it yet', () => {
-    const ledger = loading();
+  it('keeps a model that the list has shown when a delayed report does not show it yet', () => {
+    const ledger = loadingLedger();
     const listed = { models: report(['old', 'new'], 1).models, sequence: 1 } as BackendRecord;
     expect(ledger.observe(listed, 2_500)).toBe(true);
     ledger.adopt(report(['old'], 1), 2_550);
     expect(ledger.models.has('new')).toBe(true);
   });
 
-  it("believes a former owner's load until a report shows otherwise", () => {
+  it("assumes the previous owner's load in progress until a report disproves it", () => {
     const ledger = new BackendLedger('x');
     ledger.assumeLoading('new', 5_000);
     expect(ledger.currentOrder).toEqual(LOAD);
@@ -64,24 +64,24 @@
     expect(ledger.takesModelOrder).toBe(true);
   });
 
-  it("keeps room for an order to the backend's earlier start until that cannot be taken any more", () => {
+  it("reserves memory for an order to the backend's previous process until it can no longer be accepted", () => {
     const host = hostOf(['old', 'new']);
-    const earlier = readyLedger();
-    earlier.send(LOAD);
-    earlier.settle(LOAD, { type: 'unknown', reason: 'no answer' }, 1_000, 1_500);
-    const later = new BackendLedger('x', 'two');
-    later.awaitLateOrders(earlier.unansweredOrders(2_000));
-    expect(later.usedMegabytes(host)).toBe(70);
-    later.forgetLateOrders(11_000);
-    expect(later.usedMegabytes(host)).toBe(0);
-    later.awaitLateOrders(earlier.unansweredOrders(2_000));
-    later.adopt(report([], 1), 2_000);
-    later.adopt(report([], 1), 2_400);
-    expect(later.usedMegabytes(host)).toBe(0);
+    const previous = readyLedger();
+    previous.send(LOAD);
+    previous.settle(LOAD, { type: 'unknown', reason: 'no answer' }, 1_000, 1_500);
+    const restarted = new BackendLedger('x', 'two');
+    restarted.awaitLateOrders(previous.unansweredOrders(2_000));
+    expect(restarted.usedMegabytes(host)).toBe(70);
+    restarted.forgetLateOrders(11_000);
+    expect(restarted.usedMegabytes(host)).toBe(0);
+    restarted.awaitLateOrders(previous.unansweredOrders(2_000));
+    restarted.adopt(report([], 1), 2_000);
+    restarted.adopt(report([], 1), 2_400);
+    expect(restarted.usedMegabytes(host)).toBe(0);
   });
 
-  it('does not take an older report', () => {
-    const ledger = loading();
+  it('rejects a report older than the last accepted order', () => {
+    const ledger = loadingLedger();
     expect(ledger.adopt(report(['old'], 0), 2_000)).toBe(false);
     expect(ledger.sequence).toBe(1);
   });
--- a/test/core/backend-presence.test.ts
+++ b/test/core/backend-presence.test.ts
@@ -23,8 +23,8 @@
   return { backends, revision, mayMissBackends: false };
 }
 
-/** A list read right after the store was away, or a late one. */
-function doubtfulList(revision: number, backends: readonly BackendRecord[]): BackendList {
+/** A list that may lack running backends: read just after a store outage, or stale. */
+function incompleteList(revision: number, backends: readonly BackendRecord[]): BackendList {
   return { ...list(revision, backends), mayMissBackends: true };
 }
 
@@ -37,58 +37,61 @@
 }
 
 describe('BackendPresence', () => {
-  it('ends a backend at once that a current list misses', () => {
+  it('ends a backend immediately when a current list lacks it', () => {
     const presence = new BackendPresence();
     presence.take(list(1, [record('x'), record('y')]), 0);
     expect(presence.take(list(2, [record('x')]), 0).ended).toEqual([{ id: 'y', revision: 2 }]);
     expect(serving(presence)).toEqual(['x']);
   });
 
-  it('keeps serving from backends whose entries lapsed while the store was away', () => {
+  it('keeps backends serving whose entries expired during a store outage', () => {
     const presence = new BackendPresence();
     presence.take(list(1, [record('x'), record('y')]), 0);
-    expect(presence.take(doubtfulList(5, [record('x')]), 1_000).ended).toEqual([]);
+    expect(presence.take(incompleteList(5, [record('x')]), 1_000).ended).toEqual([]);
     expect(serving(presence)).toEqual(['x', 'y']);
-    const back = record('y', { revision: 6 });
-    expect(presence.take(list(6, [record('x'), back]), 2_500)).toEqual({ ended: [], started: [] });
+    const returned = record('y', { revision: 6 });
+    expect(presence.take(list(6, [record('x'), returned]), 2_500)).toEqual({
+      ended: [],
+      started: [],
+    });
     expect(presence.expire(10_000)).toEqual([]);
     expect(serving(presence)).toEqual(['x', 'y']);
   });
 
-  it('ends one that is still missing two seconds after the return of the store', () => {
+  it('ends a backend that is still missing two seconds after the store has recovered', () => {
     const presence = new BackendPresence();
     presence.take(list(1, [record('x'), record('y')]), 0);
-    presence.take(doubtfulList(5, [record('x')]), 1_000);
+    presence.take(incompleteList(5, [record('x')]), 1_000);
     expect(presence.take(list(6, [record('x', { revision: 6 })]), 2_000).ended).toEqual([]);
     expect(presence.expire(2_700)).toEqual([]);
     expect(presence.expire(3_000)).toEqual([{ id: 'y', revision: 5 }]);
     expect(serving(presence)).toEqual(['x']);
   });
 
-  it('holds one that goes some time after the return of the store only until lapsed entries are back', () => {
+  it('keeps a missing backend no longer than the re-registration time of the list, and at most 1.8 s', () => {
     const presence = new BackendPresence();
     presence.take(list(1, [record('x'), record('y')]), 0);
-    const soonSure = { ...doubtfulList(5, [record('x')]), returnWithinMs: 400 };
-    expect(presence.take(soonSure, 1_000).ended).toEqual([]);
+    const shortWindow = { ...incompleteList(5, [record('x')]), returnWithinMs: 400 };
+    expect(presence.take(shortWindow, 1_000).ended).toEqual([]);
     expect(presence.expire(1_399)).toEqual([]);
     expect(presence.expire(1_400)).toEqual([{ id: 'y', revision: 5 }]);
-    const unsure = { ...doubtfulList(6, []), returnWithinMs: 9_000 };
-    expect(presence.take(unsure, 2_000).ended).toEqual([]);
+    const longWindow = { ...incompleteList(6, []), returnWithinMs: 9_000 };
+    expect(presence.take(longWindow, 2_000).ended).toEqual([]);
     expect(presence.expire(3_800)).toEqual([{ id: 'x', revision: 6 }]);
   });
 
-  it('ends one that a late list misses as soon as a current list misses it too', () => {
+  it('ends a backend that a stale list lacks as soon as a current list lacks it too', () => {
     const presence = new BackendPresence();
     presence.take(list(1, [record('x'), record('y')]), 0);
-    const lateList = { ...doubtfulList(5, [record('x')]), isLate: true };
-    expect(presence.take(lateList, 1_000).ended).toEqual([]);
+    const staleList = { ...incompleteList(5, [record('x')]), isLate: true };
+    expect(presence.take(staleList, 1_000).ended).toEqual([]);
     const ended = [{ id: 'y', revision: 6 }];
     expect(presence.take(list(6, [record('x')]), 1_100).ended).toEqual(ended);
     expect(presence.expire(10_000)).toEqual([]);
     expect(serving(presence)).toEqual(['x']);
   });
 
-  it('ends one that a peer has told of when a list that is newer misses it', () => {
+  it('ends a backend announced by a peer when a newer list lacks it', () => {
     const presence = new BackendPresence();
     presence.take(list(1, [record('x')]), 0);
     presence.noteStarted(record('y', { revision: 3 }), 100);
@@ -96,7 +99,7 @@
     expect(presence.take(list(4, [record('x')]), 300).ended).toEqual([{ id: 'y', revision: 4 }]);
   });
 
-  it('has the same digest as another that serves the same backends, however it came to that', () => {
+  it('computes the same digest for the same serving backends, regardless of their history', () => {
     const [one, other] = [new BackendPresence(), new BackendPresence()];
     one.take(list(1, [record('x'), record('y')]), 0);
     other.take(list(1, [record('y')]), 0);
@@ -107,23 +110,23 @@
     expect(one.servingDigest()).not.toBe(other.servingDigest());
     other.take(list(6, [record('x'), record('y', { leaving: true, revision: 6 })]), 0);
     expect(one.servingDigest()).toBe(other.servingDigest());
-    other.take({ ...doubtfulList(7, []) }, 1_000);
+    other.take({ ...incompleteList(7, []) }, 1_000);
     other.expire(3_000);
     expect(other.servingDigest()).toBe(new BackendPresence().servingDigest());
   });
 
-  it('serves again from one that was taken for gone and has entered itself anew', () => {
+  it('serves again from an ended backend that has registered again', () => {
     const presence = new BackendPresence();
     presence.take(list(1, [record('x')]), 0);
     presence.take(list(2, []), 0);
     expect(presence.take(list(2, [record('x')]), 0).started).toEqual([]);
     expect(serving(presence)).toEqual([]);
-    const anew = record('x', { revision: 3 });
-    expect(presence.take(list(3, [anew]), 0).started).toEqual([anew]);
+    const registeredAgain = record('x', { revision: 3 });
+    expect(presence.take(list(3, [registeredAgain]), 0).started).toEqual([registeredAgain]);
     expect(serving(presence)).toEqual(['x']);
   });
 
-  it('tells once that a backend is leaving, however often its entry changes', () => {
+  it('reports a leaving backend only once, however often its entry changes', () => {
     const presence = new BackendPresence();
     presence.take(list(1, [record('x')]), 0);
     const leaving = record('x', { leaving: true, revision: 2 });
@@ -132,18 +135,18 @@
     expect(presence.take(list(4, []), 0).ended).toEqual([{ id: 'x', revision: 4 }]);
   });
 
-  it('uses a backend that a peer has seen before its own late list shows it', () => {
+  it('uses a backend announced by a peer before the stale own list shows it', () => {
     const presence = new BackendPresence();
     presence.take(list(1, [record('x')]), 0);
     expect(presence.noteStarted(record('y', { revision: 2 }), 100)).toBe(true);
     expect(presence.noteStarted(record('y', { revision: 2 }), 100)).toBe(false);
-    expect(presence.take(doubtfulList(1, [record('x')]), 2_000).ended).toEqual([]);
+    expect(presence.take(incompleteList(1, [record('x')]), 2_000).ended).toEqual([]);
     expect(serving(presence)).toEqual(['x', 'y']);
     expect(presence.expire(10_200)).toEqual([]);
     expect(serving(presence)).toEqual(['x']);
   });
 
-  it('does not take a late word that a backend has started for more than its end', () => {
+  it('ignores a delayed start announcement that is older than the end of the backend', () => {
     const presence = new BackendPresence();
     presence.take(list(1, []), 0);
     expect(presence.noteEnded({ id: 'y', revision: 3 })).toBe(true);
@@ -152,7 +155,7 @@
     expect(serving(presence)).toEqual([]);
   });
 
-  it('keeps what a backend holds when a peer tells where it is', () => {
+  it('keeps the models of a backend when a peer announces its location', () => {
     const presence = new BackendPresence();
     presence.take(list(1, [record('x')]), 0);
     presence.noteStarted(record('x', { revision: 2, models: [] }), 0);
--- a/test/core/backend-restarts.test.ts
+++ b/test/core/backend-restarts.test.ts
@@ -1,9 +1,7 @@
 /**
- * Symptom to expect: a backend that has ended and started again under its id is sent requests for models
- * that it held before, is avoided for what its earlier process did, and counts as full of requests that
- * ended with that process.
- *
- * Cause: an id was taken for one start of a process.
+ * Guards against treating a restarted backend as the same process because it has the same id. It then got
+ * requests for models that only the previous process held, stayed ejected for failures of the previous process,
+ * and counted as loaded with requests that had ended with that process.
  */
 import { describe, expect, it } from 'vitest';
 import { BackendDirectory } from '../../src/core/backend-directory.js';
@@ -38,46 +36,46 @@
   return { backends, revision, mayMissBackends: false };
 }
 
-describe('a backend that starts again under its id', () => {
-  it('is told of as started, though it was never missing', () => {
+describe('a backend that restarts under the same id', () => {
+  it('is reported as started although it was never missing from the list', () => {
     const presence = new BackendPresence();
     presence.take(list(1, record('one')), 0);
-    const again = record('two', { revision: 2, ...EMPTY });
-    expect(presence.take(list(2, again), 0).started).toEqual([again]);
-    const beat = record('two', { revision: 3, ...EMPTY });
-    expect(presence.take(list(3, beat), 0).started).toEqual([]);
+    const restarted = record('two', { revision: 2, ...EMPTY });
+    expect(presence.take(list(2, restarted), 0).started).toEqual([restarted]);
+    const heartbeat = record('two', { revision: 3, ...EMPTY });
+    expect(presence.take(list(3, heartbeat), 0).started).toEqual([]);
   });
 
-  it('is not sent back to its earlier start by a list from before', () => {
+  it('is not reverted to its previous process by a stale list', () => {
     const presence = new BackendPresence();
     presence.take(list(1, record('one')), 0);
     presence.noteStarted(record('two', { revision: 5, ...EMPTY }), 0);
-    const late = {
+    const staleList = {
       ...list(4, record('one', { revision: 3 })),
       mayMissBackends: true,
       isLate: true,
     };
-    expect(presence.take(late, 100).started).toEqual([]);
+    expect(presence.take(staleList, 100).started).toEqual([]);
     expect(presence.get('x')).toMatchObject({ start: 'two', models: [], sequence: 0 });
     expect(presence.take(list(6, record('two', { revision: 6 })), 200).started).toEqual([]);
     expect(presence.get('x')?.sequence).toBe(7);
   });
 
-  it('holds nothing when a peer tells of its new start', () => {
+  it('holds no models after a peer announces its restart', () => {
     const presence = new BackendPresence();
     presence.take(list(1, record('one')), 0);
     presence.noteStarted(record('two', { revision: 2, ...EMPTY }), 100);
     expect(presence.get('x')).toMatchObject({ start: 'two', models: [], sequence: 0 });
   });
 
-  it('keeps its start and what it holds when a peer tells where it is and knows of no starts', () => {
+  it('keeps its start and sequence when a peer that reports no starts announces its location', () => {
     const presence = new BackendPresence();
     presence.take(list(1, record('one')), 0);
     presence.noteStarted(record(undefined, { revision: 2, ...EMPTY, address: '10.1.0.2:1' }), 100);
     expect(presence.get('x')).toMatchObject({ start: 'one', sequence: 7, address: '10.1.0.2:1' });
   });
 
-  it('has another digest than its earlier start', () => {
+  it('has a different digest than its previous process', () => {
     const [one, other] = [new BackendPresence(), new BackendPresence()];
     one.take(list(1, record('one')), 0);
     other.take(list(1, record('one')), 0);
@@ -86,22 +84,22 @@
     expect(one.servingDigest()).not.toBe(other.servingDigest());
   });
 
-  it('is not believed to hold, load or carry what the owner said of its earlier start', () => {
+  it('does not inherit the models, loads and requests that the owner reported for its previous process', () => {
     const directory = new BackendDirectory();
     directory.setBackends(list(1, record('one')), 0);
     const held = { name: 'm', adapters: [], readyInMs: 0, unloading: false };
-    const coming = { name: 'n', adapters: [], readyInMs: 900, unloading: false };
-    const backends = new Map([['x', [held, coming]]]);
+    const loading = { name: 'n', adapters: [], readyInMs: 900, unloading: false };
+    const backends = new Map([['x', [held, loading]]]);
     directory.hearPlacement(updateOf({ backends, loads: new Map([['x', 9]]) }), 0);
-    const again = record('two', { revision: 2, ...EMPTY });
-    directory.setBackends(list(2, again), 100);
-    expect(directory.holds(again, MODEL, 100)).toBe(false);
-    expect(directory.loadingAt(again, 100)).toBeUndefined();
-    expect(directory.loadOf(again, 100)).toBe(0);
+    const restarted = record('two', { revision: 2, ...EMPTY });
+    directory.setBackends(list(2, restarted), 100);
+    expect(directory.holds(restarted, MODEL, 100)).toBe(false);
+    expect(directory.loadingAt(restarted, 100)).toBeUndefined();
+    expect(directory.loadOf(restarted, 100)).toBe(0);
     expect(directory.readyInMs('s', MODEL, 100, () => false)).toBeUndefined();
   });
 
-  it('is asked of its owner anew, whose word may be of the new start already', () => {
+  it('makes the owner send its full state, because its last update may describe the new process', () => {
     const directory = new BackendDirectory();
     directory.setBackends(list(1, record('one')), 0);
     directory.hearPlacement(updateOf(), 0);
@@ -111,16 +109,16 @@
     expect(directory.hearPlacement(updateOf({ baseVersion: 1 }), 400)).toBe('applied');
   });
 
-  it('may hold what its earlier start was found to lack', () => {
+  it('may hold a model that its previous process lacked', () => {
     const directory = new BackendDirectory();
     directory.setBackends(list(1, record('one')), 0);
     directory.noteAbsence('x', MODEL, 0);
-    const again = record('two', { revision: 2 });
-    directory.setBackends(list(2, again), 50);
-    expect(directory.holds(again, MODEL, 50)).toBe(true);
+    const restarted = record('two', { revision: 2 });
+    directory.setBackends(list(2, restarted), 50);
+    expect(directory.holds(restarted, MODEL, 50)).toBe(true);
   });
 
-  it('is told of once, by list or news, also when its entry was gone for a time', () => {
+  it('is reported as restarted once, by list or announcement, even if its entry was missing in between', () => {
     const directory = new BackendDirectory();
     directory.setBackends(list(1, record('one')), 0);
     expect(directory.takeRestarts()).toEqual([]);
@@ -135,7 +133,7 @@
     expect(directory.takeRestarts()).toHaveLength(1);
   });
 
-  it('is one start where the platform tells of none', () => {
+  it('does not count as restarted where the platform reports no starts', () => {
     const directory = new BackendDirectory();
     directory.setBackends(list(1, record(undefined)), 0);
     directory.setBackends(list(2, record(undefined, { revision: 2 })), 0);
@@ -143,7 +141,7 @@
     expect(directory.takeRestarts()).toEqual([]);
   });
 
-  it('has none of the requests in flight that daemons have told of, and does not fail', () => {
+  it('does not inherit reported requests in flight or failures', () => {
     const demand = new ModelDemand();
     const use = [{ backend: 'x', model: 'm', adapter: 'a', inFlight: 3 }];
     const other = { backend: 'y', model: 'm', adapter: undefined, inFlight: 2 };
--- a/test/core/capacity/copy-quality.test.ts
+++ b/test/core/capacity/copy-quality.test.ts
@@ -21,7 +21,7 @@
   return ledger;
 }
 
-/** Streams of "hot" are late at backends of half the usual speed, and nowhere else. */
+/** Capacity under which streams of "hot" are late at backends of half the usual speed and nowhere else. */
 function capacityOf(speeds: Readonly<Record<string, number>>): PlannedCapacity {
   const figures = { speeds: new Map(Object.entries(speeds)), gaps: new Map([['hot', 110]]) };
   const pauseShares = [1, 0.05, 0.02, 0, 0, 0, 0, 0];
@@ -49,46 +49,46 @@
 }
 
 describe('CopyQuality', () => {
-  it('counts all places as good while nothing is learned', () => {
+  it('rates all backends as good while there are no estimates', () => {
     const quality = new CopyQuality(undefined, [ledgerOf('x', [])], NOW);
     expect([quality.ofPlace('x', 'hot'), quality.lateMs('x', 'hot', 10)]).toEqual([1, 0]);
   });
 
-  it('counts all places as good where all are as late', () => {
+  it('rates all backends as good when all are equally slow', () => {
     const backends = [ledgerOf('x', []), ledgerOf('y', [])];
     const quality = new CopyQuality(capacityOf({ x: 0.5, y: 0.5 }), backends, NOW);
     expect([quality.ofPlace('x', 'hot'), quality.ofPlace('y', 'hot')]).toEqual([1, 1]);
   });
 
-  it('counts a new copy in full for ten seconds', () => {
+  it('rates a new copy as fully good for ten seconds', () => {
     const slow = ledgerOf('slow', []);
     slow.models.set('hot', { adapters: new Set(), loadedAt: NOW });
     const capacity = capacityOf({ slow: 0.5 });
-    const at = (now: number): number => {
+    const qualityAt = (now: number): number => {
       return new CopyQuality(capacity, [slow, ledgerOf('y', [])], now).ofCopy(slow, 'hot');
     };
-    expect([at(NOW + 9_999), at(NOW + 10_000)]).toEqual([1, 0.3]);
+    expect([qualityAt(NOW + 9_999), qualityAt(NOW + 10_000)]).toEqual([1, 0.3]);
   });
 });
 
-describe('the worth of copies', () => {
-  it('is smaller where streams are late, so that this one makes way first', () => {
+describe('ModelWorth with capacity estimates', () => {
+  it('values a copy less where its streams are late, so that it is replaced first', () => {
     const [slow, good] = [ledgerOf('slow', ['hot']), ledgerOf('good', ['hot'])];
-    const alike = new ModelWorth(inputOf([slow, good], undefined));
+    const uniformWorth = new ModelWorth(inputOf([slow, good], undefined));
     const worth = new ModelWorth(inputOf([slow, good], capacityOf({ slow: 0.5 })));
-    expect(alike.ofCopy(slow, 'hot')).toBe(alike.ofCopy(good, 'hot'));
+    expect(uniformWorth.ofCopy(slow, 'hot')).toBe(uniformWorth.ofCopy(good, 'hot'));
     expect(worth.ofCopy(slow, 'hot')).toBeLessThan(0.5 * worth.ofCopy(good, 'hot'));
   });
 
-  it('stays whole for the only copy', () => {
+  it('does not reduce the value of the only copy', () => {
     const backends = [ledgerOf('slow', ['hot']), ledgerOf('good', [])];
-    const alike = new ModelWorth(inputOf(backends, undefined));
+    const uniformWorth = new ModelWorth(inputOf(backends, undefined));
     const worth = new ModelWorth(inputOf(backends, capacityOf({ slow: 0.5 })));
     const [slow] = backends;
-    expect(slow && worth.ofCopy(slow, 'hot')).toBe(slow && alike.ofCopy(slow, 'hot'));
+    expect(slow && worth.ofCopy(slow, 'hot')).toBe(slow && uniformWorth.ofCopy(slow, 'hot'));
   });
 
-  it('makes a load go to a place where streams are in time', () => {
+  it('loads a model at a backend where its streams are on time', () => {
     const backends = [ledgerOf('slow', []), ledgerOf('good', ['rare'])];
     const input = inputOf(backends, capacityOf({ slow: 0.5 }));
     expect(new LoadPlaces(input, new ModelWorth(input)).cheapest(modelOf('hot'))?.ledger.id).toBe(
--- a/test/core/capacity/gap-samples.test.ts
+++ b/test/core/capacity/gap-samples.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { GapSamples, type StreamGaps } from '../../../src/core/capacity/gap-samples.js';
 
-/** Reads of one event each, so many milliseconds after one another. */
+/** Records reads of one event each, separated by the given gaps in milliseconds. */
 function readAll(stream: StreamGaps, gaps: readonly number[]): void {
   let now = 0;
   stream.noteRead(1, now);
@@ -14,18 +14,18 @@
 }
 
 describe('GapSamples', () => {
-  it('sums the gaps of a pair, and tells each once', () => {
+  it('sums the gaps of a backend and model, and reports each gap once', () => {
     const samples = new GapSamples();
     const stream = samples.watch('b', 'm', 200);
     readAll(stream, [40, 40, 40]);
     stream.end();
-    const [told] = samples.take(0).samples;
-    expect(told).toMatchObject({ backend: 'b', model: 'm', gaps: 3, pauseGoalMs: 200 });
-    expect(Math.exp((told?.logSum ?? 0) / 3)).toBeCloseTo(40);
+    const [reported] = samples.take(0).samples;
+    expect(reported).toMatchObject({ backend: 'b', model: 'm', gaps: 3, pauseGoalMs: 200 });
+    expect(Math.exp((reported?.logSum ?? 0) / 3)).toBeCloseTo(40);
     expect(samples.isDue(500)).toBe(false);
   });
 
-  it('shares a stall of its own out over the events that it held up', () => {
+  it('spreads a stall over the events that it delayed', () => {
     const samples = new GapSamples();
     const stream = samples.watch('b', 'm', 200);
     readAll(stream, [40, 40, 200, 0, 0.5, 0.5, 0.5, 40]);
@@ -33,7 +33,7 @@
     expect(usualGap(samples)).toBeGreaterThan(38);
   });
 
-  it('leaves the time out in which the caller did not read', () => {
+  it('excludes the time in which the caller did not read', () => {
     const samples = new GapSamples();
     const stream = samples.watch('b', 'm', 200);
     stream.noteRead(1, 0);
@@ -45,7 +45,7 @@
     expect(usualGap(samples)).toBeCloseTo(40);
   });
 
-  it('tells how much longer than usual the longest pause of a stream was', () => {
+  it('classifies a stream by the ratio of its longest pause to its usual gap', () => {
     const samples = new GapSamples();
     const stream = samples.watch('b', 'm', 200);
     readAll(stream, [...Array<number>(20).fill(60), 150, ...Array<number>(20).fill(60)]);
@@ -53,7 +53,7 @@
     expect(samples.take(0).pauseClasses).toEqual([0, 0, 0, 1, 0, 0, 0, 0]);
   });
 
-  it('tells a bounded number of pairs at once, and the others later', () => {
+  it('limits the number of samples per report and sends the rest with the next one', () => {
     const samples = new GapSamples();
     for (let index = 0; index < 60; index++) {
       const stream = samples.watch(`b${index}`, 'm', 200);
--- a/test/core/capacity/placement-replay.ts
+++ b/test/core/capacity/placement-replay.ts
@@ -1,4 +1,4 @@
-/** An owner that places models, and daemons that send streams to them, without a network; seeded. */
+/** Seeded in-process simulation of an owner that places models and of daemons that send streams to them. */
 import { BackendLedger } from '../../../src/core/backend-ledger.js';
 import { StaleLoadSelection } from '../../../src/core/backend-selection-stale-load.js';
 import { EVEN_CAPACITY } from '../../../src/core/capacity/capacity-view.js';
@@ -12,11 +12,11 @@
 
 const STEP_MS = 250;
 const PAUSE_GOAL_MS = 200;
-const BUSY = ['slow', 'middle', 'fast'];
-const RARE = Array.from({ length: 9 }, (_, index) => `rare${index}`);
-const HOST = hostOf([...RARE, ...BUSY]);
-/** Two models fit: the busiest lie where they are worst off. */
-const HELD: Readonly<Record<string, readonly string[]>> = {
+const BUSY_MODELS = ['slow', 'middle', 'fast'];
+const RARE_MODELS = Array.from({ length: 9 }, (_, index) => `rare${index}`);
+const HOST = hostOf([...RARE_MODELS, ...BUSY_MODELS]);
+/** Initial placement. Two models fit on a backend, and the model "slow" is on the slowest ones. */
+const INITIAL_MODELS: Readonly<Record<string, readonly string[]>> = {
   b0: ['slow', 'rare0'],
   b1: ['middle', 'rare1'],
   b2: ['fast', 'rare2'],
@@ -36,10 +36,10 @@
   readonly endsAt: number;
 }
 
-/** One service under load. */
+/** Simulates one service under load. */
 export class PlacementReplay {
   readonly streams: SimulatedStreams;
-  /** All loads that were ordered: backend and model. */
+  /** All load orders so far, each as "backend model". */
   readonly loads: string[] = [];
   private readonly ledgers: readonly BackendLedger[];
   private readonly planner = new PlacementPlanner();
@@ -48,7 +48,7 @@
   private readonly orders = new Map<string, RunningOrder>();
   private running: RunningStream[] = [];
 
-  /** @param rate - Streams a second for each busy model. */
+  /** @param rate - Streams per second for each busy model. */
   constructor(
     private readonly isLearned: boolean,
     private readonly rate: number,
@@ -58,10 +58,10 @@
     const paces = { slow: 0.25, middle: 0.35, fast: 1 };
     const load = { speeds: { ...speeds }, paces, held: {}, daemons: 4, rate: 0, eventsEach: 25 };
     this.streams = new SimulatedStreams(load, seed);
-    this.ledgers = Object.entries(HELD).map(([id, held]) => ledgerOf(id, held));
+    this.ledgers = Object.entries(INITIAL_MODELS).map(([id, held]) => ledgerOf(id, held));
   }
 
-  /** Share of the streams that ended in a time and paused for too long. */
+  /** Advances the simulation. Returns the share of late streams among those that ended meanwhile. */
   play(milliseconds: number): number {
     const before = { streams: this.streams.streams, late: this.streams.late };
     const until = this.streams.now + milliseconds;
@@ -69,26 +69,29 @@
     return (this.streams.late - before.late) / Math.max(1, this.streams.streams - before.streams);
   }
 
-  /** Backends that hold a model. */
+  /** Returns the backends that hold a model. */
   holders(model: string): string[] {
     return this.ledgers.filter((ledger) => ledger.models.has(model)).map(({ id }) => id);
   }
 
   private step(): void {
     const { now } = this.streams;
-    this.endOrders(now);
+    this.completeOrders(now);
     this.running = this.running.filter((stream) => stream.endsAt > now);
-    const arrivals = [...BUSY, ...RARE].map((model) => ({ model, count: this.arrivals(model) }));
+    const arrivals = [...BUSY_MODELS, ...RARE_MODELS].map((model) => ({
+      model,
+      count: this.arrivals(model),
+    }));
     for (const { model, count } of arrivals) {
       for (let index = 0; index < count; index++) this.send(model, now);
     }
     this.report(arrivals, now);
-    this.give(now);
+    this.sendOrders(now);
     this.streams.play(STEP_MS);
   }
 
   private arrivals(model: string): number {
-    const rate = BUSY.includes(model) ? this.rate : 0.02;
+    const rate = BUSY_MODELS.includes(model) ? this.rate : 0.02;
     const expected = (rate * STEP_MS) / 1_000;
     return Math.floor(expected) + (this.streams.random.chance(expected % 1) ? 1 : 0);
   }
@@ -118,7 +121,7 @@
 
   private report(arrivals: readonly { model: string; count: number }[], now: number): void {
     const samples = arrivals.map(({ model, count }) => {
-      const goalMs = BUSY.includes(model) ? 600 : 6_000;
+      const goalMs = BUSY_MODELS.includes(model) ? 600 : 6_000;
       return { model, adapter: undefined, arrivals: count, waiting: 0, goalMs, dueInMs: goalMs };
     });
     const use = this.running.map(({ backend, model }) => {
@@ -127,7 +130,7 @@
     this.demand.hear({ daemon: 'd', samples, use, failing: [] }, now);
   }
 
-  private give(now: number): void {
+  private sendOrders(now: number): void {
     const { demand, streams, ledgers: backends } = this;
     const capacity: PlannedCapacity = {
       view: streams.estimate.steadyView(),
@@ -144,10 +147,10 @@
       policies: LOAD_POLICIES,
       capacity: this.isLearned ? capacity : undefined,
     });
-    for (const each of planned) this.begin(each, now);
+    for (const order of planned) this.startOrder(order, now);
   }
 
-  private begin(planned: PlannedOrder, now: number): void {
+  private startOrder(planned: PlannedOrder, now: number): void {
     const { backend, order, durationMs } = planned;
     const ledger = this.ledgers.find(({ id }) => id === backend);
     ledger?.send(order, now + durationMs);
@@ -156,7 +159,7 @@
     this.orders.set(backend, { planned, endsAt: now + durationMs });
   }
 
-  private endOrders(now: number): void {
+  private completeOrders(now: number): void {
     for (const [backend, { planned, endsAt }] of this.orders) {
       if (endsAt > now) continue;
       this.orders.delete(backend);
--- a/test/core/capacity/simulated-streams.ts
+++ b/test/core/capacity/simulated-streams.ts
@@ -1,9 +1,9 @@
-/** Streams of a service whose backends differ in speed and have spells of slowness; seeded. */
+/** Seeded simulation of a service's streams: backends differ in speed and have slow spells. */
 import { CapacityEstimate } from '../../../src/core/capacity/capacity-estimate.js';
 import { GapSamples, type GapReport } from '../../../src/core/capacity/gap-samples.js';
 import { SeededRandom } from '../../soak/seeded-random.js';
 
-/** Time between two reports of a daemon, and between two fits of the owner. */
+/** Interval between two reports of a daemon, and between two fits by the owner. */
 const REPORT_MS = 250;
 const USUAL_GAP_MS = 40;
 const SPELL_MS = 600;
@@ -11,19 +11,19 @@
 const SPELL_FACTOR = 2.5;
 const PAUSE_GOAL_MS = 200;
 
-/** What the load is made of. */
+/** Parameters of the load. */
 export interface StreamLoad {
   readonly speeds: Record<string, number>;
   readonly paces: Readonly<Record<string, number>>;
-  /** Models held by each backend. */
+  /** Models that each backend holds. */
   readonly held: Readonly<Record<string, readonly string[]>>;
   readonly daemons: number;
-  /** Streams that begin in a second at each backend for each of its models. */
+  /** Streams that start per second at each backend for each of its models. */
   readonly rate: number;
   readonly eventsEach: number;
 }
 
-/** A time in which a backend works slowly, besides its spells. */
+/** A period during which a backend is slow, in addition to its spells. */
 export interface SlowTime {
   readonly backend: string;
   readonly from: number;
@@ -37,17 +37,17 @@
   readonly apply: () => void;
 }
 
-/** Plays a load and lets an owner learn from it. */
+/** Simulates a load and feeds the daemons' reports to an owner's estimate. */
 export class SimulatedStreams {
   readonly estimate = new CapacityEstimate();
   readonly random: SeededRandom;
   now = 0;
-  /** Streams that have ended, and those of them that paused for longer than their goal. */
+  /** Number of finished streams, and of those among them that paused for longer than their goal. */
   streams = 0;
   late = 0;
   private readonly samples: GapSamples[];
-  private readonly spells = new Map<string, number[]>();
-  /** Add to it before the time comes. */
+  private readonly spellEnds = new Map<string, number[]>();
+  /** Slow periods; add each one before it starts. */
   readonly slowTimes: SlowTime[] = [];
   private reads: Read[] = [];
 
@@ -60,9 +60,9 @@
   }
 
   /**
-   * Plays so long.
+   * Advances the simulation by the given time.
    *
-   * @param alter - Changes what a daemon reports.
+   * @param alter - Replaces a daemon's report before the owner receives it.
    */
   play(
     milliseconds: number,
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Begins a stream; it is played as the time goes on. Returns when it will end. */
+  /** Starts a stream, whose events take effect as the simulation advances. Returns the time at which it ends. */
   beginStream(backend: string, model: string, startsAt: number): number {
     const daemon = Math.floor(this.random.between(0, this.load.daemons));
     const gaps = this.samples[daemon]?.watch(backend, model, PAUSE_GOAL_MS);
@@ -125,7 +125,7 @@
     }
   }
 
-  /** Its process starts anew at another speed; what runs there is lost. */
+  /** Restarts a backend's process at another speed; its running streams are lost. */
   restart(backend: string, speed: number): void {
     this.reads = this.reads.filter((read) => read.backend !== backend);
     this.estimate.forget(backend);
@@ -134,32 +134,32 @@
 
   private slowness(backend: string, at: number): number {
     const spell = this.isInSpell(backend, at) ? SPELL_FACTOR : 1;
-    const lasting = this.slowTimes.find((time) => {
+    const slowTime = this.slowTimes.find((time) => {
       return time.backend === backend && at >= time.from && at < time.until;
     });
-    return spell * (lasting?.factor ?? 1);
+    return spell * (slowTime?.factor ?? 1);
   }
 
-  /** Spells begin at random, so that they take their share of the time. */
+  /** Whether a backend is in a slow spell. Spells start at random and take {@link SPELL_SHARE} of the time on average. */
   private isInSpell(backend: string, at: number): boolean {
-    const ends = this.spells.get(backend) ?? [];
-    this.spells.set(backend, ends);
+    const ends = this.spellEnds.get(backend) ?? [];
+    this.spellEnds.set(backend, ends);
     while ((ends.at(-1) ?? 0) <= at) {
-      const calm = this.random.between(0, (2 * SPELL_MS * (1 - SPELL_SHARE)) / SPELL_SHARE);
-      ends.push((ends.at(-1) ?? 0) + calm + SPELL_MS);
+      const idleMs = this.random.between(0, (2 * SPELL_MS * (1 - SPELL_SHARE)) / SPELL_SHARE);
+      ends.push((ends.at(-1) ?? 0) + idleMs + SPELL_MS);
     }
     return ends.some((end) => at < end && at >= end - SPELL_MS);
   }
 }
 
-/** True speeds with their geometric mean as 1. */
+/** Scales the true speeds so that their geometric mean is 1. */
 export function centred(speeds: Readonly<Record<string, number>>): Map<string, number> {
   const logs = Object.values(speeds).map((speed) => Math.log(speed));
   const mean = logs.reduce((sum, log) => sum + log, 0) / logs.length;
   return new Map(Object.entries(speeds).map(([id, speed]) => [id, speed / Math.exp(mean)]));
 }
 
-/** Backends of three speeds by turns, each with two of three models. */
+/** Load on backends with three alternating speeds, each with two of three models. */
 export function unequalLoad(backends: number, part: Partial<StreamLoad> = {}): StreamLoad {
   const speeds: Record<string, number> = {};
   const held: Record<string, readonly string[]> = {};
