--- a/src/core/backend-health.ts
+++ b/src/core/backend-health.ts
@@ -79,7 +79,7 @@
     return this.avoidedUntil(backend) > now;
   }
 
-  /** Time at which the ejection ends; 0 if the backend has not failed since its last complete response. */
+  /** Time at which the ejection ends; 0 after a complete response, or if no request to the backend has gone without a response. */
   avoidedUntil(backend: string): number {
     return this.backends.get(backend)?.ejectedUntil ?? 0;
   }
--- a/src/core/backend-ledger.ts
+++ b/src/core/backend-ledger.ts
@@ -109,8 +109,8 @@
 
   /** Load orders, for models or adapters, to the previous process that the current one may still accept. */
   private lateLoads(): ModelOrder[] {
-    const mayArrive = this.lateOrders.filter(({ sequence }) => sequence >= this.sequence);
-    return mayArrive.map(({ order }) => order).filter(({ operation }) => operation === 'load');
+    const acceptable = this.lateOrders.filter(({ sequence }) => sequence >= this.sequence);
+    return acceptable.map(({ order }) => order).filter(({ operation }) => operation === 'load');
   }
 
   /** The order that is sent or in progress. */
--- a/src/core/backend-presence.ts
+++ b/src/core/backend-presence.ts
@@ -62,7 +62,7 @@
   private readonly missing = new Map<string, MissingBackend>();
   /** Backends that a peer announced and that are not listed yet, with the time of the announcement. */
   private readonly announced = new Map<string, number>();
-  /** Revision at which each backend ended, in the order of insertion. */
+  /** Revision at which each backend ended; the least recently updated entry comes first. */
   private readonly endRevisions = new Map<string, number>();
   private hasList = false;
   /** Cached digest; undefined if something has changed since it was computed. */
--- a/src/core/capacity/capacity-estimate.ts
+++ b/src/core/capacity/capacity-estimate.ts
@@ -1,6 +1,6 @@
 /**
  * Estimates the speeds of a service's backends and the event gaps of its models from the reports of all
- * daemons. The model is log(gap) = log(the model's usual gap) - log(the backend's speed). Statistics of
+ * daemons. The statistical model is log(gap) = log(the model's usual gap) - log(the backend's speed). Statistics of
  * each pair of a backend and a model decay exponentially. Speeds and gaps are fitted to them in
  * alternation (alternating least squares); ridge regression pulls each towards its prior while there is
  * little data. Outlying reports are winsorized, so that spells (short slow periods of a backend) hardly
@@ -37,7 +37,7 @@
 const PUBLISH_TOLERANCE = Math.log(1.1);
 /** Weight of a pair from which its expected gap is accurate enough to judge a report. */
 const MIN_JUDGING_WEIGHT = 2;
-/** Log deviations of reports are clamped to this size when slowness is measured. */
+/** Log deviations of reports are clamped to this size when slowness is measured: a larger deviation counts as a spell. */
 const MAX_DEVIATION = Math.log(3);
 /**
  * Log deviations are clamped to this size when the speed is estimated. Like a median, the speed is then
--- a/test/core/capacity/ejection-floor.test.ts
+++ b/test/core/capacity/ejection-floor.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { sparedBackends } from '../../../src/core/capacity/ejection-floor.js';
 
-describe('sparedBackends', () => {
+describe('backendsExemptFromEjection', () => {
   const ejected = ['x', 'y', 'z'].map((id, index) => ({ id, until: 1_000 + index }));
 
   it('exempts no backend while at most half of the service is ejected', () => {
--- a/test/core/capacity/heard-capacity.test.ts
+++ b/test/core/capacity/heard-capacity.test.ts
@@ -17,7 +17,7 @@
   };
 }
 
-describe('CapacityNews', () => {
+describe('CapacityChanges', () => {
   it('returns each change once, and resets a removed backend to the usual speed', () => {
     const tracker = new CapacityNews();
     expect(tracker.take(figuresOf({ x: 0.6, y: 2 }))?.speeds.size).toBe(2);
@@ -27,7 +27,7 @@
   });
 });
 
-describe('HeardCapacity', () => {
+describe('ReceivedCapacity', () => {
   it('accumulates changes', () => {
     const received = new HeardCapacity();
     received.take(figuresOf({ x: 0.5 }, { m: 100 }), 0);
