--- a/src/core/backend-ledger.ts
+++ b/src/core/backend-ledger.ts
@@ -72,7 +72,7 @@
   private idlePeriod: { readonly sequence: number; readonly since: number } | undefined;
   /** The backend did not respond to the last query, so its models are not offered to callers. */
   isSilent = false;
-  /** Unanswered orders to the current process. The sequence number keeps them from taking effect beside later orders. */
+  /** Unanswered orders to the current process. The backend rejects them by their sequence number once it has accepted a later order. */
   private unanswered: UnansweredOrder[] = [];
   /**
    * Unanswered orders to the backend's previous process that may still reach the current one. The sequence
