--- a/src/core/claim-table.ts
+++ b/src/core/claim-table.ts
@@ -1,20 +1,21 @@
 /**
- * A voter's table of idempotency keys, and the count of votes at a router. The
- * same key through two routers runs once: a request is sent only after a quorum
- * of voters has granted its key and none has refused it. Pure.
+ * A voter's table of claimed idempotency keys, and the vote count at a router.
+ * When two routers receive the same key, only one request runs: a request is sent
+ * only after a quorum of voters has granted its key and no voter has refused it.
+ * Performs no I/O.
  */
 
-/** Voters asked for each key. */
+/** Number of voters per key. */
 export const CLAIM_VOTERS = 3;
-/** Grants needed before a request is sent. */
+/** Number of grants required before a request is sent. */
 export const CLAIM_QUORUM = 2;
-/** Milliseconds that a key stays claimed. */
+/** Time after which a claim expires, in milliseconds. */
 export const CLAIM_LIFETIME_MS = 10 * 60_000;
 
-/** Stands in place of a request when a key was claimed for two: neither is granted any more. */
+/** Request value of a key that two requests have claimed; the key is then refused to both. */
 const CONTESTED = '';
 
-/** A key that a request holds. */
+/** An idempotency key claimed by a request. */
 export interface KeyClaim {
   readonly tenant: string;
   readonly key: string;
@@ -22,96 +23,101 @@
   readonly expiresAt: number;
 }
 
-/** Keys claimed at one voter. */
+/** Idempotency keys claimed at one voter. */
 export class ClaimTable {
   private readonly claims = new Map<string, KeyClaim>();
 
-  private informed = false;
+  private isComplete = false;
 
-  /** `startedAt`: a voter younger than a claim's lifetime may have forgotten claims. */
+  /** @param startedAt - Start of the voter process; claims granted before it may be lost until they expire. */
   constructor(private readonly startedAt: number) {}
 
-  /** Whether the voter may not know all claims that still count. */
+  /** Whether unexpired claims may be missing from the table, because the process has restarted. */
   isYoung(now: number): boolean {
-    return !this.informed && now - this.startedAt < CLAIM_LIFETIME_MS;
+    return !this.isComplete && now - this.startedAt < CLAIM_LIFETIME_MS;
   }
 
   /**
-   * The voter has pulled the claims of all others, none of them young, after
-   * every round that could count a vote of the process before it was over.
+   * Marks the table as complete. The caller has fetched the claims of all other
+   * voters, whose tables were complete, after the end of every round that could
+   * still count a vote of this voter's previous process.
    */
   markInformed(): void {
-    this.informed = true;
+    this.isComplete = true;
   }
 
-  /** Grants a key that is free or already held by the same request. */
+  /** Claims a key. Returns true if the key was free or the same request already holds it. */
   claim(tenant: string, key: string, request: string, now: number): boolean {
     const id = claimId(tenant, key);
-    const held = this.claims.get(id);
-    if (held !== undefined && held.expiresAt > now) return held.request === request;
+    const existing = this.claims.get(id);
+    if (existing !== undefined && existing.expiresAt > now) return existing.request === request;
     this.claims.set(id, { tenant, key, request, expiresAt: now + CLAIM_LIFETIME_MS });
     return true;
   }
 
-  /** Gives a key back that the request holds; it has not run and never will. */
+  /** Releases a key that the request holds. The request has not run and will never run. */
   release(tenant: string, key: string, request: string): void {
     const id = claimId(tenant, key);
     if (this.claims.get(id)?.request === request) this.claims.delete(id);
   }
 
   /**
-   * Takes over claims from another voter. Where the two know a key for
-   * different requests, either may have its quorum: the key is refused to both.
+   * Merges claims of another voter. If the two tables hold a key for different
+   * requests, either request may have its quorum, so the key is refused to both.
    */
   adopt(claims: readonly KeyClaim[], now: number): void {
     for (const claim of claims) {
       if (claim.expiresAt <= now) continue;
       const id = claimId(claim.tenant, claim.key);
-      const held = this.claims.get(id);
-      const contested = held !== undefined && held.request !== claim.request;
+      const existing = this.claims.get(id);
+      const contested = existing !== undefined && existing.request !== claim.request;
       this.claims.set(id, contested ? { ...claim, request: CONTESTED } : claim);
     }
   }
 
-  /** Drops what has expired. */
+  /** Deletes expired claims. */
   expire(now: number): void {
     for (const [id, claim] of this.claims) if (claim.expiresAt <= now) this.claims.delete(id);
   }
 
-  /** All claims, for a hand-over. */
+  /** Returns all claims, for transfer to another voter. */
   all(): KeyClaim[] {
     return [...this.claims.values()];
   }
 }
 
-/** How a round of votes stands. */
+/** Outcome of a voting round so far. */
 export type ClaimOutcome = 'pending' | 'granted' | 'taken' | 'unavailable';
 
-/** The votes for one request's key. */
+/** The votes on one request's idempotency key. */
 export class ClaimRound {
   private readonly grants = new Map<string, boolean>();
   private refused = false;
 
   constructor(private readonly voters: readonly string[]) {}
 
-  /** Counts a vote and says how the round stands. */
-  vote(voter: string, granted: boolean, young: boolean): ClaimOutcome {
+  /** Counts a vote and returns the outcome so far. */
+  vote(voter: string, granted: boolean, mayLackClaims: boolean): ClaimOutcome {
     if (!this.voters.includes(voter)) return this.outcome();
-    if (granted) this.grants.set(voter, young);
+    if (granted) this.grants.set(voter, mayLackClaims);
     else this.refused = true;
     return this.outcome();
   }
 
   /**
-   * Two voters who remember, or all of them young: a young voter may have
-   * forgotten an earlier claim, but where all are, the group itself is new.
+   * A round needs grants from two voters with complete tables, or from all voters
+   * if none has a complete table. A restarted voter may have lost an earlier
+   * claim; if all voters have just started, the group is new and has no claims.
    */
   outcome(): ClaimOutcome {
     if (this.refused) return 'taken';
-    const remembering = [...this.grants.values()].filter((young) => !young).length;
-    if (remembering >= CLAIM_QUORUM) return 'granted';
-    const areAll = this.voters.length >= CLAIM_QUORUM && this.grants.size === this.voters.length;
-    const isNewGroup = areAll && remembering === 0;
+    const completeVoters = [...this.grants.values()].filter(
+      (mayLackClaims) => !mayLackClaims,
+    ).length;
+    if (completeVoters >= CLAIM_QUORUM) return 'granted';
+    const haveAllGranted =
+      this.voters.length >= CLAIM_QUORUM && this.grants.size === this.voters.length;
+    const isNewGroup = haveAllGranted && completeVoters === 0;
     return isNewGroup ? 'granted' : 'pending';
   }
 }
--- a/src/core/configuration-lease.ts
+++ b/src/core/configuration-lease.ts
@@ -1,30 +1,31 @@
 /**
- * How long a daemon may rely on its configuration. A key that was taken away must not be
- * served for longer than the operator allows, also by a daemon that is cut off or was
- * frozen; so each holds a proof, the steady time up to which its configuration is known to
- * be the newest, and serves keys only while that is recent. Proofs come from the platform's
- * answers, or from a peer's: the age that the peer tells, counted back from the moment at
- * which it was asked. No clocks are compared and a message in flight lengthens nothing.
- * `spec/revocation.pml` is its model. Pure; times are milliseconds of the lease clock.
+ * Limits how long a daemon may rely on its configuration. A revoked key must not be served
+ * for longer than the operator allows, even by a daemon that is partitioned or was suspended.
+ * Each daemon therefore holds a proof: the time up to which its configuration is known to be
+ * the newest. It serves keys only while that time is recent. Proofs come from responses of
+ * the platform, or from a peer, which reports the age of its own proof; the daemon subtracts
+ * this age from the time at which it sent the request. So no clocks of two machines are
+ * compared, and the latency of a message never extends a lease. The model is
+ * `spec/revocation.pml`. Performs no I/O; times are milliseconds of the lease clock.
  */
 
 import { NewestProof } from './newest-proof.js';
 
-/** No configuration newer than `version` had been accepted at `provenAt`. */
+/** States that at `provenAt` the platform had accepted no configuration newer than `version`. */
 export interface CurrencyProof {
   readonly version: number;
-  /** By the lease clock of the daemon that holds the proof. */
+  /** Milliseconds of the lease clock of the daemon that holds the proof. */
   readonly provenAt: number;
 }
 
-/** One daemon's proof. */
+/** The configuration lease of one daemon. */
 export class ConfigurationLease {
   private readonly proof = new NewestProof();
   private version = 0;
-  /** The best proof of a configuration that this daemon has not got yet. */
+  /** The newest proof for a configuration that this daemon has not received yet. */
   private pending: CurrencyProof | undefined;
 
-  /** A configuration is in force: a proof that has waited for it counts from now on. */
+  /** Records that a configuration is in force, and applies the pending proof if it is for this version or an older one. */
   configured(version: number): void {
     this.version = Math.max(this.version, version);
     const { pending } = this;
@@ -33,7 +34,7 @@
     this.proof.prove(pending.provenAt);
   }
 
-  /** Takes a proof; one of a newer configuration waits for it. */
+  /** Adds a proof. A proof for a newer configuration stays pending until that configuration is in force. */
   prove(proof: CurrencyProof): void {
     if (proof.version <= this.version) {
       this.proof.prove(proof.provenAt);
@@ -42,7 +43,7 @@
     }
   }
 
-  /** Milliseconds since the configuration was proved current; infinite if it never was. */
+  /** Milliseconds since the configuration was last proven to be the newest; infinite without a proof. */
   ageMs(now: number): number {
     return this.proof.ageMs(now);
   }
--- a/src/core/crash-records.ts
+++ b/src/core/crash-records.ts
@@ -1,199 +1,204 @@
 /**
- * What is known of requests that were running at backends when these crashed: which request, at which starts of
- * backends, and whether it has been answered since. The union of what any daemons have noted is the same in whatever order, and
- * however often, it is told, so daemons agree without asking one another first.
- * Pure; times are milliseconds of a steady clock.
+ * Records of requests that were running at backends when these crashed: the request's digest, the backend starts that crashed,
+ * and whether the request has been answered since. Merging records is commutative and idempotent, so daemons that exchange
+ * their records reach the same state without coordination.
+ * Performs no I/O; times are milliseconds of a steady clock.
  */
 import murmurhash from 'murmurhash';
 
-/** From so many crashes on that are held against it a request is refused. */
-const CONDEMNED_FROM = 3;
-/** From so many on it runs beside no other such request: what crashes next tells which of them it was. */
-const SUSPECT_FROM = 2;
-/** After so long without a crash, a repeat or an answer a request is forgotten: its caller has stopped, or the backends' software has changed. */
-const REMEMBERED_MS = 600_000;
-/** One that has been answered since its last crash is remembered only until all daemons have heard of the answer. */
-const ANSWERED_REMEMBERED_MS = 30_000;
-/** Requests that are remembered, those with the most crashes: each crash adds all that ran at the backend. */
-const MOST_REQUESTS = 2_048;
-/** Starts of backends that are remembered of one request. */
-const MOST_STARTS = 8;
-
-/** What one daemon tells another of one request. */
+/** Number of attributed crashes from which on a request is refused. */
+const CONDEMNED_MIN_CRASHES = 3;
+/** Number of attributed crashes from which on a request runs beside no other suspect, so that the next crash identifies the cause. */
+const SUSPECT_MIN_CRASHES = 2;
+/** A record is deleted after this time without a crash, repeat or answer: the caller has stopped, or the backends' software has changed. */
+const RETENTION_MS = 600_000;
+/** A record without attributed crashes is kept only until the answer has spread to all daemons. */
+const ANSWERED_RETENTION_MS = 30_000;
+/** Most records kept, those with the most crashes: each crash adds a record for every request at the backend. */
+const MAX_RECORDS = 2_048;
+/** Most backend starts kept per request. */
+const MAX_STARTS_PER_RECORD = 8;
+
+/** A request's record, as daemons exchange it. */
 export interface CrashRecord {
-  /** Digest of what makes the request the same one when it comes again, in hexadecimal. */
+  /** Digest that is equal for repeats of the same request, in hexadecimal. */
   readonly digest: string;
-  /** Starts of backends that have crashed while it was there. */
+  /** Starts of backends that crashed while the request was running there. */
   readonly starts: readonly string[];
-  /** Those of them that it was answered after: they are held against it no more. */
+  /** Starts whose crashes are no longer attributed to the request, because it was answered later. */
   readonly excused: readonly string[];
-  /** Milliseconds since it was last heard of. */
+  /** Milliseconds since the last crash, repeat or answer. */
   readonly ageMs: number;
 }
 
-/** How a request may be sent. */
+/** Restriction on sending a request. */
 export type CrashVerdict =
-  /** As any other. */
+  /** Sent without restriction. */
   | 'sound'
-  /** Not beside another suspect. */
+  /** Not sent to a backend that runs another suspect. */
   | 'suspect'
-  /** Not at all. */
+  /** Refused. */
   | 'condemned';
 
-interface Known {
+interface RecordState {
   starts: readonly string[];
   excused: readonly string[];
-  heardAt: number;
+  lastSeenAt: number;
 }
 
-/** All requests that one daemon knows to have met crashes. */
+/** All crash records of one daemon. */
 export class CrashRecords {
   /** By digest. */
-  private readonly known = new Map<string, Known>();
-  private fingerprint: number | undefined;
-  /** The most crashes that a request has met of those that were at a start; undefined if something has changed. */
-  private mostByStart: Map<string, number> | undefined;
+  private readonly known = new Map<string, RecordState>();
+  private cachedStateDigest: number | undefined;
+  /** By backend start: the largest number of attributed crashes of any request that ran there. A cache; undefined after a change. */
+  private cachedMostCrashes: Map<string, number> | undefined;
 
-  /** Whether nothing is known: no request needs a look then. */
+  /** Whether there are no records, so that requests need no check. */
   get isEmpty(): boolean {
     return this.known.size === 0;
   }
 
-  /** A backend's start has crashed while the request was there. Returns what others should be told, if it is new. */
+  /** Records a crash of a backend start that was running the request. Returns the record to send to other daemons if it is new. */
   noteCrash(digest: string, start: string, now: number): CrashRecord | undefined {
     return this.merge({ digest, starts: [start], excused: [], ageMs: 0 }, now);
   }
 
-  /** The request has been answered: what it met before was not its doing. */
+  /** Records that the request was answered, so it did not cause the earlier crashes. Returns the record to send to other daemons if it is new. */
   noteAnswer(digest: string, now: number): CrashRecord | undefined {
     const known = this.known.get(digest);
-    if (known === undefined || heldAgainst(known).length === 0) return undefined;
+    if (known === undefined || attributedStarts(known).length === 0) return undefined;
     return this.merge({ digest, starts: [], excused: known.starts, ageMs: 0 }, now);
   }
 
-  /** It has come again: a caller that goes on is remembered for longer. */
+  /** Records that a caller has repeated the request, which extends the time for which its record is kept. */
   noteRepeat(digest: string, now: number): void {
     const known = this.known.get(digest);
-    if (known !== undefined) known.heardAt = now;
+    if (known !== undefined) known.lastSeenAt = now;
   }
 
-  /** Takes in what another daemon knows; returns what of it was new here. */
+  /** Merges records of another daemon. Returns those that contained something new. */
   hear(records: readonly CrashRecord[], now: number): CrashRecord[] {
-    const news = records.filter((record) => record.ageMs < REMEMBERED_MS);
-    return news.filter((record) => this.merge(record, now) !== undefined);
+    const unexpired = records.filter((record) => record.ageMs < RETENTION_MS);
+    return unexpired.filter((record) => this.merge(record, now) !== undefined);
   }
 
-  /** Whether a start of a backend is known to have crashed. */
+  /** Whether any record names the backend start as crashed. */
   hasCrashed(start: string): boolean {
     return [...this.known.values()].some(({ starts }) => starts.includes(start));
   }
 
   verdict(digest: string): CrashVerdict {
     const crashes = this.crashesOf(digest);
-    if (crashes >= CONDEMNED_FROM) return 'condemned';
-    return crashes >= SUSPECT_FROM ? 'suspect' : 'sound';
+    if (crashes >= CONDEMNED_MIN_CRASHES) return 'condemned';
+    return crashes >= SUSPECT_MIN_CRASHES ? 'suspect' : 'sound';
   }
 
   /**
-   * Crashes that are held against a request: one that ran beside another that has met more crashes is held against that other
-   * one, so what merely ran beside is not taken for the cause.
+   * Number of crashes attributed to a request. If several requests were running at a crashed backend, the crash is attributed to
+   * the one with the most crashes, so that a request that only ran beside the cause is not blamed.
    */
   crashesOf(digest: string): number {
     const known = this.known.get(digest);
     if (known === undefined) return 0;
-    const own = heldAgainst(known);
-    if (own.length < SUSPECT_FROM) return own.length;
-    const most = this.mostCrashes();
+    const own = attributedStarts(known);
+    if (own.length < SUSPECT_MIN_CRASHES) return own.length;
+    const most = this.mostCrashesByStart();
     return own.filter((start) => (most.get(start) ?? 0) <= own.length).length;
   }
 
-  /** Requests that are refused. */
+  /** Digests of the requests that are refused. */
   condemned(): string[] {
     return [...this.known.keys()].filter((digest) => this.verdict(digest) === 'condemned');
   }
 
-  /** All that others may lack. */
+  /** Returns all records, to be sent to other daemons. */
   all(now: number): CrashRecord[] {
-    return [...this.known].map(([digest, { starts, excused, heardAt }]) => {
-      return { digest, starts, excused, ageMs: Math.round(now - heardAt) };
+    return [...this.known].map(([digest, { starts, excused, lastSeenAt }]) => {
+      return { digest, starts, excused, ageMs: Math.round(now - lastSeenAt) };
     });
   }
 
-  /** The same at daemons that know the same, whatever the age of it; 0 if nothing is known. */
+  /** A hash of all records without their ages, equal at daemons with equal records; 0 without records. */
   stateDigest(): number {
-    this.fingerprint ??= [...this.known].reduce((sum, [digest, { starts, excused }]) => {
+    this.cachedStateDigest ??= [...this.known].reduce((sum, [digest, { starts, excused }]) => {
       return (sum ^ murmurhash.v3(`${digest} ${starts.join()} ${excused.join()}`)) >>> 0;
     }, 0);
-    return this.fingerprint;
+    return this.cachedStateDigest;
   }
 
-  /** Drops what was not heard of for long. */
+  /** Deletes records that have expired. */
   forgetOld(now: number): void {
     for (const [digest, known] of this.known) {
-      const isHeld = heldAgainst(known).length > 0;
-      if (now - known.heardAt < (isHeld ? REMEMBERED_MS : ANSWERED_REMEMBERED_MS)) continue;
+      const hasAttributedCrashes = attributedStarts(known).length > 0;
+      if (now - known.lastSeenAt < (hasAttributedCrashes ? RETENTION_MS : ANSWERED_RETENTION_MS))
+        continue;
       this.known.delete(digest);
-      this.changed();
+      this.invalidateCaches();
     }
   }
 
-  private mostCrashes(): ReadonlyMap<string, number> {
-    if (this.mostByStart !== undefined) return this.mostByStart;
+  private mostCrashesByStart(): ReadonlyMap<string, number> {
+    if (this.cachedMostCrashes !== undefined) return this.cachedMostCrashes;
     const most = new Map<string, number>();
     for (const known of this.known.values()) {
-      const held = heldAgainst(known);
+      const held = attributedStarts(known);
       for (const start of held) most.set(start, Math.max(most.get(start) ?? 0, held.length));
     }
-    this.mostByStart = most;
+    this.cachedMostCrashes = most;
     return most;
   }
 
-  private changed(): void {
-    this.fingerprint = undefined;
-    this.mostByStart = undefined;
+  private invalidateCaches(): void {
+    this.cachedStateDigest = undefined;
+    this.cachedMostCrashes = undefined;
   }
 
-  /** Returns the record if it holds anything new. */
+  /** Merges a record; returns it if it contained something new. */
   private merge(record: CrashRecord, now: number): CrashRecord | undefined {
     const { digest } = record;
-    const known = this.known.get(digest) ?? { starts: [], excused: [], heardAt: -Infinity };
+    const known = this.known.get(digest) ?? { starts: [], excused: [], lastSeenAt: -Infinity };
     const starts = union(known.starts, [...record.starts, ...record.excused]);
     const excused = union(known.excused, record.excused);
-    // A record without a crash would take memory that no bound counts.
+    // A record without a crash would bypass the limit on records and use unbounded memory.
     if (starts.length === 0) return undefined;
     const isNew = starts.length > known.starts.length || excused.join() !== known.excused.join();
-    const heardAt = Math.max(known.heardAt, now - record.ageMs);
-    this.known.set(digest, { starts, excused, heardAt });
+    const lastSeenAt = Math.max(known.lastSeenAt, now - record.ageMs);
+    this.known.set(digest, { starts, excused, lastSeenAt });
     if (!isNew) return undefined;
-    this.changed();
-    this.makeRoom();
+    this.invalidateCaches();
+    this.evictExcess();
     return record;
   }
 
-  /** Those with the fewest crashes go first, then those that were heard of longest ago. */
-  private makeRoom(): void {
-    if (this.known.size <= MOST_REQUESTS) return;
-    let least: { digest: string; crashes: number; heardAt: number } | undefined;
+  /** Evicts the record with the fewest crashes; among equal ones, the record that was updated the longest time ago. */
+  private evictExcess(): void {
+    if (this.known.size <= MAX_RECORDS) return;
+    let least: { digest: string; crashes: number; lastSeenAt: number } | undefined;
     for (const [digest, known] of this.known) {
-      const candidate = { digest, crashes: heldAgainst(known).length, heardAt: known.heardAt };
-      if (least === undefined || goesBefore(candidate, least)) least = candidate;
+      const candidate = {
+        digest,
+        crashes: attributedStarts(known).length,
+        lastSeenAt: known.lastSeenAt,
+      };
+      if (least === undefined || isEvictedBefore(candidate, least)) least = candidate;
     }
     if (least !== undefined) this.known.delete(least.digest);
   }
 }
 
-type Candidate = { readonly crashes: number; readonly heardAt: number };
+type Candidate = { readonly crashes: number; readonly lastSeenAt: number };
 
-function goesBefore(one: Candidate, other: Candidate): boolean {
+function isEvictedBefore(one: Candidate, other: Candidate): boolean {
   if (one.crashes !== other.crashes) return one.crashes < other.crashes;
-  return one.heardAt < other.heardAt;
+  return one.lastSeenAt < other.lastSeenAt;
 }
 
-function heldAgainst({ starts, excused }: Known): string[] {
+function attributedStarts({ starts, excused }: RecordState): string[] {
   return starts.filter((start) => !excused.includes(start));
 }
 
-/** In order and no longer than what is kept, so that all daemons keep the same ones. */
+/** Sorted and truncated to `MAX_STARTS_PER_RECORD`, so that all daemons keep the same starts. */
 function union(one: readonly string[], other: readonly string[]): string[] {
-  return [...new Set([...one, ...other])].sort().slice(0, MOST_STARTS);
+  return [...new Set([...one, ...other])].sort().slice(0, MAX_STARTS_PER_RECORD);
 }
--- a/src/core/declared-leavings.ts
+++ b/src/core/declared-leavings.ts
@@ -1,51 +1,52 @@
 /**
- * Backends that have said themselves, in an answer, that they leave. Unlike what a list shows, that is never taken back: the same
- * process does not serve again, whatever a list or another daemon says later (`spec/leaving.pml`). Pure.
+ * Backend processes that have announced in a response that they are shutting down. Unlike the state in a list, an announcement is
+ * final: the process never serves again, even if a list or another daemon later reports that it does (`spec/leaving.pml`).
+ * Performs no I/O.
  */
 
-/** Processes that are remembered: each start of a backend leaves once, and is gone soon after. */
-const MOST_REMEMBERED = 2_000;
+/** Most backend ids kept. Old ones can be dropped, because each process announces its shutdown once and exits soon after. */
+const MAX_BACKENDS = 2_000;
 
-/** What names one process of a backend. */
+/** Identifies one process of a backend. */
 export interface BackendProcess {
   readonly id: string;
-  /** Differs between two processes under the same id; undefined if nobody has told. */
+  /** Differs between two processes with the same id; undefined if unknown. */
   readonly start?: string;
 }
 
-/** The process that a record, or another word on a backend, is of. */
+/** Extracts the process identity from a record or another object that contains it. */
 export function processOf({ id, start }: BackendProcess): BackendProcess {
   return { id, ...(start === undefined ? {} : { start }) };
 }
 
-/** The processes that one daemon knows to leave. */
+/** The processes that one daemon knows to be shutting down. */
 export class DeclaredLeavings {
-  /** Starts by id; the empty text for a process whose start is not known. */
+  /** Starts by backend id; the empty string stands for an unknown start. */
   private readonly starts = new Map<string, Set<string>>();
 
   get isEmpty(): boolean {
     return this.starts.size === 0;
   }
 
-  /** Notes that a process leaves. Returns false if that was known. */
+  /** Records that a process is shutting down. Returns false if that was already recorded. */
   note({ id, start = '' }: BackendProcess): boolean {
-    const known = this.starts.get(id) ?? new Set();
-    if (known.has(start)) return false;
+    const leavingStarts = this.starts.get(id) ?? new Set();
+    if (leavingStarts.has(start)) return false;
     this.starts.delete(id);
-    this.starts.set(id, known.add(start));
-    this.forgetOldest();
+    this.starts.set(id, leavingStarts.add(start));
+    this.evictOldest();
     return true;
   }
 
-  /** Whether a process leaves. One whose start is not known is taken for any that is. */
+  /** Whether a process is shutting down. An unknown start, given or recorded, matches every start of the id. */
   has({ id, start = '' }: BackendProcess): boolean {
-    const known = this.starts.get(id);
-    if (known === undefined) return false;
-    return start === '' || known.has(start) || known.has('');
+    const leavingStarts = this.starts.get(id);
+    if (leavingStarts === undefined) return false;
+    return start === '' || leavingStarts.has(start) || leavingStarts.has('');
   }
 
-  private forgetOldest(): void {
-    if (this.starts.size <= MOST_REMEMBERED) return;
+  private evictOldest(): void {
+    if (this.starts.size <= MAX_BACKENDS) return;
     const [oldest] = this.starts.keys();
     if (oldest !== undefined) this.starts.delete(oldest);
   }
--- a/src/core/documents.ts
+++ b/src/core/documents.ts
@@ -1,6 +1,6 @@
 /**
- * What operators declare: templates and tenants. Schemas check every document
- * before it is accepted; unknown keys are errors.
+ * Documents that operators apply: templates and tenants. A schema validates every
+ * document before it is accepted; unknown keys are errors.
  */
 import { Result } from 'true-myth';
 import { z } from 'zod';
@@ -11,7 +11,7 @@
 const GIGABYTE = 1e9;
 const MEGABYTE = 1e6;
 
-/** Priority classes, most urgent first. The position is the number on the wire. */
+/** Priority classes, most urgent first. The index is the number on the wire. */
 export const PRIORITY_CLASSES = ['live', 'interactive', 'batch'] as const;
 
 /** A priority class. */
@@ -27,22 +27,22 @@
   .regex(/^[a-z0-9][a-z0-9.-]{0,62}$/, 'a name has lower-case letters, digits, "-" and "."');
 
 const limitsSchema = z.strictObject({
-  /** Requests that run at once. */
+  /** Requests that run concurrently. */
   inFlight: z.number().int().positive().default(256),
   requestsPerSecond: z.number().positive().default(1000),
-  /** Requests that wait at one router. */
+  /** Requests that can wait at one router. */
   queue: z.number().int().positive().default(256),
 });
 
 const keepAliveSchema = z.strictObject({
   policy: z.enum(['fixed', 'adaptive', 'forever']).default('fixed'),
-  /** For `fixed`: seconds that an idle replica stays. For `adaptive`: the longest stay. */
+  /** For `fixed`: seconds until an idle replica is unloaded. For `adaptive`: the maximum. */
   idleSeconds: z.number().positive().default(300),
 });
 
 const siteWeightSchema = z.strictObject({ site: nameSchema, weight: z.number().min(0) });
 
-/** The part of a template that describes a service, after its parameters are filled in. */
+/** The service section of a template, after parameter substitution. */
 const serviceSchema = z.strictObject({
   model: z.strictObject({
     name: nameSchema,
@@ -52,15 +52,15 @@
   adapters: z
     .array(z.strictObject({ name: nameSchema, megabytes: z.number().positive() }))
     .default([]),
-  /** Requests that a replica runs at once. */
+  /** Requests that a replica runs concurrently. */
   slots: z.number().int().positive().default(8),
   maxReplicas: z.number().int().min(0).max(1000).default(1),
   priority: z.enum(PRIORITY_CLASSES).default('interactive'),
-  /** Deadline of a request that names none. */
+  /** Deadline of a request that does not set its own. */
   deadlineSeconds: z.number().positive().max(86_400).default(30),
   limits: limitsSchema.prefault({}),
   keepAlive: keepAliveSchema.prefault({}),
-  /** Weights of the sites of a migration; equal over all sites when empty. */
+  /** Weights of the sites during a migration; if empty, all sites have equal weight. */
   sites: z.array(siteWeightSchema).default([]),
 });
 
@@ -73,7 +73,7 @@
   kind: z.literal('Template'),
   name: nameSchema,
   parameters: z.array(parameterSchema).default([]),
-  /** May hold `${parameter}` in any text; checked when a tenant fills it in. */
+  /** Any string may contain `${parameter}`; validated when a tenant's parameters are substituted. */
   service: z.record(z.string(), z.unknown()),
 });
 
@@ -82,7 +82,7 @@
   name: nameSchema,
   template: nameSchema,
   parameters: z.record(z.string(), z.union([z.string(), z.number()])).default({}),
-  /** SHA-256 of the bearer keys that open the tenant, in hexadecimal. */
+  /** SHA-256 hashes of the tenant's bearer keys, in hexadecimal. */
   keyHashes: z.array(z.string().regex(/^[0-9a-f]{64}$/)).default([]),
 });
 
@@ -93,13 +93,13 @@
 /** A document that operators apply. */
 export type OperatorDocument = TemplateDocument | TenantDocument;
 
-/** A share of a tenant's replicas for one site. */
+/** The weight of one site in the split of a tenant's replicas. */
 export interface SiteWeight {
   readonly site: string;
   readonly weight: number;
 }
 
-/** A tenant with its template filled in: what routers and owners work with. */
+/** A tenant rendered from its template, as routers and pool owners use it. */
 export interface TenantSpec {
   readonly name: string;
   readonly model: string;
@@ -123,28 +123,30 @@
   readonly keyHashes: readonly string[];
 }
 
-/** Checks a document of either kind. Fails with `invalid_document`. */
+/** Parses and validates a document of either kind. Fails with `invalid_document`. */
 export function parseDocument(value: unknown): Result<OperatorDocument, ServiceError> {
   const kind = (value as { kind?: unknown } | null)?.kind;
-  if (kind === 'Template') return checked(templateSchema, value, 'Template');
-  if (kind === 'Tenant') return checked(tenantSchema, value, 'Tenant');
+  if (kind === 'Template') return validate(templateSchema, value, 'Template');
+  if (kind === 'Tenant') return validate(tenantSchema, value, 'Tenant');
   const message = `"kind": expected "Template" or "Tenant", got ${JSON.stringify(kind)}`;
   return Result.err(serviceError('invalid_document', message));
 }
 
-/** Fills a tenant's parameters into its template. Fails with `invalid_document`. */
+/** Substitutes a tenant's parameters into its template. Fails with `invalid_document`. */
 export function renderTenant(
   template: TemplateDocument,
   tenant: TenantDocument,
 ): Result<TenantSpec, ServiceError> {
   const values = collectParameters(template, tenant);
   if (values.isErr) return Result.err(values.error);
-  const filled = fillIn(template.service, values.value);
+  const substituted = substitute(template.service, values.value);
   const where = `tenant "${tenant.name}" of template "${template.name}"`;
-  return checked(serviceSchema, filled, where).map((service) => toSpec(tenant, service));
+  return validate(serviceSchema, substituted, where).map((service) =>
+    toTenantSpec(tenant, service),
+  );
 }
 
-function toSpec(tenant: TenantDocument, service: z.infer<typeof serviceSchema>): TenantSpec {
+function toTenantSpec(tenant: TenantDocument, service: z.infer<typeof serviceSchema>): TenantSpec {
   return {
     name: tenant.name,
     model: service.model.name,
@@ -190,21 +192,21 @@
 const WHOLE_REFERENCE = /^\$\{([a-zA-Z0-9]+)\}$/;
 const REFERENCE = /\$\{([a-zA-Z0-9]+)\}/g;
 
-/** Replaces `${name}` in all texts; a text that is one reference keeps the value's type. */
-function fillIn(value: unknown, values: ReadonlyMap<string, string | number>): unknown {
+/** Replaces `${name}` in all strings; a string that is a single reference becomes the value with its type. */
+function substitute(value: unknown, values: ReadonlyMap<string, string | number>): unknown {
   if (typeof value === 'string') {
     const whole = WHOLE_REFERENCE.exec(value)?.[1];
     if (whole !== undefined && values.has(whole)) return values.get(whole);
     return value.replace(REFERENCE, (text, name: string) => String(values.get(name) ?? text));
   }
-  if (Array.isArray(value)) return value.map((item) => fillIn(item, values));
+  if (Array.isArray(value)) return value.map((item) => substitute(item, values));
   if (typeof value !== 'object' || value === null) return value;
   return Object.fromEntries(
-    Object.entries(value).map(([key, item]) => [key, fillIn(item, values)]),
+    Object.entries(value).map(([key, item]) => [key, substitute(item, values)]),
   );
 }
 
-function checked<Schema extends z.ZodType>(
+function validate<Schema extends z.ZodType>(
   schema: Schema,
   value: unknown,
   where: string,
@@ -214,7 +216,7 @@
   return Result.err(serviceError('invalid_document', `${where}: ${describeIssues(parsed.error)}`));
 }
 
-/** Names each key that is wrong and what was expected of it. */
+/** Lists each invalid key with what was expected. */
 export function describeIssues(error: z.ZodError): string {
   return error.issues
     .map((issue) => `${issue.path.length > 0 ? `"${issue.path.join('.')}": ` : ''}${issue.message}`)
--- a/src/core/duties.ts
+++ b/src/core/duties.ts
@@ -1,29 +1,29 @@
 /**
- * Which daemon does what: every daemon works it out from the same list of live
- * members by rendezvous ranking, without an election. Two daemons whose lists
- * differ may both think a duty theirs; the compare-and-swap on the record, and
- * the seal, keep that safe. Pure.
+ * Assigns duties to daemons. Every daemon computes the assignment from the list of
+ * live members by rendezvous hashing, without an election. If the lists of two
+ * daemons differ, both may take the same duty; the compare-and-swap on the record
+ * and the sealing of engines keep that safe. Performs no I/O.
  */
 import { firstCandidate, rankCandidates, rendezvousWeight } from '../common/rendezvous.js';
 
-/** Parts that the tenants' quotas are divided into; each part has one daemon. */
-const QUOTA_PARTS = 256;
+/** Number of partitions of the tenants' quotas; one daemon is responsible for each. */
+const QUOTA_PARTITIONS = 256;
 
-/** A daemon as the ranking sees it. */
+/** The properties of a daemon that the assignment depends on. */
 export interface DutyMember {
   readonly address: string;
   readonly zone: string;
   readonly site: string;
 }
 
-/** A pool as the ranking sees it. */
+/** The properties of a pool that the assignment depends on. */
 export interface DutyPool {
   readonly pool: string;
   readonly zone: string;
   readonly site: string;
 }
 
-/** The daemon that should own a pool: of its zone if there is one, else of its site, else any. */
+/** The daemon that should own a pool: one in the pool's zone if possible, else in its site, else any. */
 export function preferredOwner(pool: DutyPool, members: readonly DutyMember[]): string | undefined {
   const inZone = members.filter((m) => m.zone === pool.zone && m.site === pool.site);
   const inSite = members.filter((m) => m.site === pool.site);
@@ -32,9 +32,9 @@
 }
 
 /**
- * Whether a daemon sees enough of a pool's site to claim the pool: half of the
- * daemons that the platform lists there. One that is cut off from the others
- * would otherwise take pools from owners that live.
+ * Whether a daemon reaches enough of a pool's site to claim the pool: at least half
+ * of the daemons that the platform lists there. Otherwise a partitioned daemon
+ * would take pools from owners that are still running.
  */
 export function seesEnough(
   pool: DutyPool,
@@ -45,26 +45,26 @@
   return seesHalf(members.filter(isThere), listed.filter(isThere));
 }
 
-/** Whether the live members are half of those that the platform lists, or more. */
+/** Whether the live members are at least half of those that the platform lists. */
 export function seesHalf(members: readonly DutyMember[], listed: readonly DutyMember[]): boolean {
   return members.length * 2 >= listed.length;
 }
 
-/** Share of the greatest capacity from which on a daemon counts among the ablest. */
-const ABLE_SHARE = 0.75;
+/** Share of the largest capacity that a daemon needs to count as a high-capacity one. */
+const HIGH_CAPACITY_SHARE = 0.75;
 
 /**
- * The daemons on the most powerful machines: where machines differ, duties that
- * grow with the whole system go to these as long as one of them lives.
+ * The daemons on the most powerful machines. If machines differ, duties whose load
+ * grows with the size of the system go to these while at least one is live.
  */
 export function ablestOf<Member extends { readonly capacity: number }>(
   members: readonly Member[],
 ): Member[] {
-  const greatest = members.reduce((most, member) => Math.max(most, member.capacity), 0);
-  return members.filter((member) => member.capacity >= greatest * ABLE_SHARE);
+  const largest = members.reduce((most, member) => Math.max(most, member.capacity), 0);
+  return members.filter((member) => member.capacity >= largest * HIGH_CAPACITY_SHARE);
 }
 
-/** The daemons of a zone that read the platform's object API. */
+/** Addresses of the daemons in a zone that read the platform's object API. */
 export function readersOf(
   zone: string,
   members: readonly DutyMember[],
@@ -74,7 +74,7 @@
   return rankCandidates(`reader/${zone}`, addressesOf(inZone)).slice(0, readersPerZone);
 }
 
-/** The daemons that `self` hears the configuration from, best first. */
+/** Addresses of the daemons from which `self` receives the configuration, preferred first. */
 export function upstreamsOf(
   self: DutyMember,
   members: readonly DutyMember[],
@@ -85,28 +85,28 @@
   const isReader = own.includes(self.address);
   const near = own.filter((address) => address !== self.address);
   if (!isReader && near.length > 0) return near.slice(0, upstreams);
-  // A reader checks itself against readers of other zones, which may reach the platform when it cannot.
+  // A reader also follows readers in other zones, which may reach the platform when it cannot.
   const zones = [...new Set(members.map((member) => member.zone))].filter((z) => z !== self.zone);
   const far = zones.flatMap((zone) => readersOf(zone, members, 1));
   return [...near, ...rankCandidates(self.address, far)].slice(0, upstreams);
 }
 
-/** The part of the quotas that a tenant belongs to. */
+/** The quota partition of a tenant. */
 export function quotaPart(tenant: string): number {
-  return rendezvousWeight('quota', tenant) % QUOTA_PARTS;
+  return rendezvousWeight('quota', tenant) % QUOTA_PARTITIONS;
 }
 
-/** The parts of the quotas that `self` looks after. */
+/** The quota partitions for which `self` is responsible. */
 export function quotaPartsOf(self: string, members: readonly DutyMember[]): Set<number> {
   const addresses = addressesOf(members);
   const parts = new Set<number>();
-  for (let part = 0; part < QUOTA_PARTS; part++) {
+  for (let part = 0; part < QUOTA_PARTITIONS; part++) {
     if (firstCandidate(`quota/${part}`, addresses) === self) parts.add(part);
   }
   return parts;
 }
 
-/** The daemons that vote on an idempotency key: of different zones as far as there are enough. */
+/** Addresses of the daemons that vote on an idempotency key, in different zones if there are enough zones. */
 export function votersOf(
   tenant: string,
   key: string,
--- a/src/core/feed.ts
+++ b/src/core/feed.ts
@@ -1,27 +1,27 @@
 /**
- * A numbered history of objects, as every daemon holds it: the configuration,
- * or the list of machines. A feed never steps to a lower revision. Values stay
- * encoded, so that thousands of idle tenants cost little memory.
+ * A daemon's replica of a set of versioned objects: the configuration or the list
+ * of machines. The revision of a feed never decreases. Values stay encoded, so that
+ * thousands of idle tenants use little memory.
  */
 
-/** One object at one revision; no value means that it was deleted. */
+/** One object at one revision; the value is undefined if the object was deleted. */
 export interface FeedEntry {
   readonly key: string;
   readonly revision: number;
   readonly value: Uint8Array | undefined;
 }
 
-/** What became of an update. */
+/** Result of an update. */
 export type FeedOutcome = 'applied' | 'old' | 'gap';
 
 /** The state of one feed. */
 export class Feed {
   private readonly entries = new Map<string, { revision: number; value: Uint8Array }>();
-  private reached = 0;
+  private currentRevision = 0;
 
-  /** The revision that this feed has reached; 0 before anything was heard. */
+  /** The current revision; 0 before the first update. */
   get revision(): number {
-    return this.reached;
+    return this.currentRevision;
   }
 
   /** Number of objects. */
@@ -39,21 +39,21 @@
     return this.entries.get(key)?.revision ?? 0;
   }
 
-  /** Keys that start with a prefix. */
+  /** Iterates over the keys that start with a prefix. */
   *keys(prefix: string): Generator<string> {
     for (const key of this.entries.keys()) if (key.startsWith(prefix)) yield key;
   }
 
-  /** All objects, for a snapshot. */
+  /** Returns all objects, for a snapshot. */
   all(): FeedEntry[] {
     return [...this.entries].map(([key, entry]) => ({ key, ...entry }));
   }
 
   /**
-   * Applies the changes that lead from `base` to `revision` and tells `onChange`
-   * each key. The base must be exactly what is held: two readers may have seen
-   * the list of machines at different versions, so only a step from the same
-   * base is complete. Anything else changes nothing.
+   * Applies the changes between `base` and `revision` and calls `onChange` for each
+   * key. The base must equal the current revision: two readers may have read the
+   * list of machines at different versions, so a delta is complete only for the
+   * same base. Any other delta is ignored.
    */
   applyDelta(
     base: number,
@@ -61,9 +61,9 @@
     entries: readonly FeedEntry[],
     onChange: (key: string) => void,
   ): FeedOutcome {
-    if (revision <= this.reached) return 'old';
-    if (base !== this.reached) return 'gap';
-    this.reached = revision;
+    if (revision <= this.currentRevision) return 'old';
+    if (base !== this.currentRevision) return 'gap';
+    this.currentRevision = revision;
     for (const entry of entries) {
       this.set(entry);
       onChange(entry.key);
@@ -71,26 +71,26 @@
     return 'applied';
   }
 
-  /** Replaces the whole state, unless it is older than what is already held. */
+  /** Replaces all objects, unless the snapshot is older than the current revision. */
   applySnapshot(
     revision: number,
     entries: readonly FeedEntry[],
     onChange: (key: string) => void,
   ): FeedOutcome {
-    if (revision < this.reached) return 'old';
-    const changed = this.differences(entries);
-    this.reached = revision;
+    if (revision < this.currentRevision) return 'old';
+    const changed = this.changedKeys(entries);
+    this.currentRevision = revision;
     this.entries.clear();
     for (const entry of entries) this.set(entry);
     for (const key of changed) onChange(key);
     return 'applied';
   }
 
-  private differences(entries: readonly FeedEntry[]): Set<string> {
+  private changedKeys(entries: readonly FeedEntry[]): Set<string> {
     const changed = new Set(this.entries.keys());
     for (const entry of entries) {
-      const held = this.entries.get(entry.key);
-      if (held !== undefined && held.revision === entry.revision) changed.delete(entry.key);
+      const existing = this.entries.get(entry.key);
+      if (existing !== undefined && existing.revision === entry.revision) changed.delete(entry.key);
       else changed.add(entry.key);
     }
     return changed;
--- a/src/core/location-publisher.ts
+++ b/src/core/location-publisher.ts
@@ -1,22 +1,22 @@
-/** Tells routers where a tenant runs, and only when that has changed for them. Pure. */
+/** Sends the locations of tenants to routers, to each router only after a change. Performs no I/O. */
 import type { PoolEffect, TenantLocation } from './pool-messages.js';
 
-/** Steps in which the number of routers is told, for each doubling. */
+/** Steps per doubling to which the number of routers is rounded before it is published. */
 const ROUTER_STEPS_PER_DOUBLING = 4;
 
-/** Remembers what each router was told last. */
+/** Remembers the location last sent to each router. */
 export class LocationPublisher {
-  private readonly pushed = new Map<string, string>();
+  private readonly sentSignatures = new Map<string, string>();
   private version = 0;
 
-  /** The messages for those routers that were told something else before. */
+  /** Returns messages for the routers to which a different location, or none, was sent before. */
   publish(location: TenantLocation, routers: Iterable<string>): PoolEffect[] {
     const signature = locationSignature(location);
     const effects: PoolEffect[] = [];
     for (const router of routers) {
-      const key = pushKey(router, location.tenant);
-      if (this.pushed.get(key) === signature) continue;
-      this.pushed.set(key, signature);
+      const key = subscriptionKey(router, location.tenant);
+      if (this.sentSignatures.get(key) === signature) continue;
+      this.sentSignatures.set(key, signature);
       this.version += 1;
       const { version } = this;
       effects.push({ type: 'push_location', router, location: { ...location, version } });
@@ -24,36 +24,36 @@
     return effects;
   }
 
-  /** Forgets what was told to routers that are not subscribed any more. */
+  /** Deletes the state of routers that are no longer subscribed. */
   keepOnly(isSubscribed: (router: string, tenant: string) => boolean): void {
-    for (const key of this.pushed.keys()) {
+    for (const key of this.sentSignatures.keys()) {
       const [router = '', tenant = ''] = key.split('\n');
-      if (!isSubscribed(router, tenant)) this.pushed.delete(key);
+      if (!isSubscribed(router, tenant)) this.sentSignatures.delete(key);
     }
   }
 
-  /** The router has forgotten what it was told. */
+  /** Deletes the state of a router that has lost the location, so that the location is sent again. */
   forget(router: string, tenant: string): void {
-    this.pushed.delete(pushKey(router, tenant));
+    this.sentSignatures.delete(subscriptionKey(router, tenant));
   }
 }
 
-function pushKey(router: string, tenant: string): string {
+function subscriptionKey(router: string, tenant: string): string {
   return `${router}\n${tenant}`;
 }
 
 /**
- * Routers come and go all the time, and each change would be told to all the
- * others. They hear of it only in steps of about a fifth.
+ * Rounds the number of routers to steps of about a fifth. Routers join and leave
+ * all the time, and without rounding each change would be sent to all others.
  */
-function routersStep(routers: number): number {
+function roundedRouters(routers: number): number {
   return Math.round(ROUTER_STEPS_PER_DOUBLING * Math.log2(routers));
 }
 
-/** What must differ for a router to be told again; the countdown alone does not count. */
+/** Identifies what a router was sent. Leaves the countdown out, so that it alone does not cause a message. */
 function locationSignature(location: TenantLocation): string {
   const replicas = location.replicas
     .map((replica) => `${replica.engine}/${replica.incarnation}`)
     .join(',');
-  return `${location.state}|${routersStep(location.routers)}|${replicas}`;
+  return `${location.state}|${roundedRouters(location.routers)}|${replicas}`;
 }
--- a/src/core/member-entries.ts
+++ b/src/core/member-entries.ts
@@ -1,57 +1,57 @@
 /**
- * What the entries of daemons in the platform's list tell of their ends. Each daemon renews its entry now and then; one that
- * stops as planned removes it. Pure; times are milliseconds of the steady clock.
+ * Detects from the entries in the platform's list of daemons which daemons have ended. Each daemon renews its entry
+ * periodically and removes it on a planned stop. Performs no I/O; times are milliseconds of the steady clock.
  */
 import { RENEWAL_LAPSES_MS } from './admission/limit-shares.js';
 import type { StorePosition } from './store-position.js';
 
-/** A daemon whose entry is unchanged for so long has lapsed by its own clock: lists may be some seconds old. */
-const UNCHANGED_MS = RENEWAL_LAPSES_MS + 60_000;
-/** A daemon whose entry is missing for so long has removed it: a store that comes back from a copy lacks entries until they are written again. */
-const MISSING_MS = 90_000;
+/** A daemon whose entry has been unchanged for this time has expired by its own clock too, since lists can be some seconds old. */
+const UNCHANGED_TIMEOUT_MS = RENEWAL_LAPSES_MS + 60_000;
+/** A daemon whose entry has been missing for this time has removed it. A store restored from a backup lacks entries for a shorter time, until daemons write them again. */
+const MISSING_TIMEOUT_MS = 90_000;
 
-/** An entry as it was read. */
+/** A daemon's entry, as read from the list. */
 export interface MemberEntry {
   readonly address: string;
   readonly revision: StorePosition;
 }
 
-interface SeenEntry {
+interface ObservedEntry {
   revision: StorePosition;
-  /** Since when it is as it is. */
+  /** Time at which this revision was first read. */
   since: number;
 }
 
-/** The entries as one daemon has read them. */
+/** The entries that one daemon has read, and when they last changed. */
 export class MemberEntries {
-  private readonly entries = new Map<string, SeenEntry>();
+  private readonly entries = new Map<string, ObservedEntry>();
   private readonly missingSince = new Map<string, number>();
-  private hasRead = false;
+  private hasObserved = false;
 
-  /** Takes a reading of the whole list. */
+  /** Processes a complete read of the list. */
   observe(list: readonly MemberEntry[], now: number): void {
     const addresses = new Set(list.map(({ address }) => address));
     for (const address of this.entries.keys()) {
-      if (!addresses.has(address)) this.missing(address, now);
+      if (!addresses.has(address)) this.markMissing(address, now);
     }
     for (const { address, revision } of list) {
       this.missingSince.delete(address);
       const known = this.entries.get(address);
       if (known?.revision !== revision) this.entries.set(address, { revision, since: now });
     }
-    this.hasRead = true;
+    this.hasObserved = true;
   }
 
-  /** Whether a daemon's process has ended, or counts nothing any more by its own clock. */
+  /** Whether a daemon's process has ended, or its share of the limits has expired by its own clock. */
   hasEnded(address: string, now: number): boolean {
-    if (!this.hasRead) return false;
+    if (!this.hasObserved) return false;
     const entry = this.entries.get(address);
-    if (entry !== undefined) return now - entry.since >= UNCHANGED_MS;
-    return now - this.missing(address, now) >= MISSING_MS;
+    if (entry !== undefined) return now - entry.since >= UNCHANGED_TIMEOUT_MS;
+    return now - this.markMissing(address, now) >= MISSING_TIMEOUT_MS;
   }
 
-  /** Since when an address has not been in the list. */
-  private missing(address: string, now: number): number {
+  /** Deletes an address's entry and returns the time since which it is missing from the list. */
+  private markMissing(address: string, now: number): number {
     this.entries.delete(address);
     const since = this.missingSince.get(address) ?? now;
     this.missingSince.set(address, since);
--- a/src/core/membership-messages.ts
+++ b/src/core/membership-messages.ts
@@ -1,18 +1,18 @@
 /** Events and effects of the membership protocol. */
 
-/** What a daemon believes about another. */
+/** State of a daemon in the view of another daemon. */
 export type LivenessState = 'alive' | 'suspect' | 'dead' | 'leaving';
 
-/** One daemon as membership sees it. */
+/** A daemon in the view of the membership protocol. */
 export interface MemberView {
   /** Peer address, "ip:port". */
   readonly address: string;
   readonly zone: string;
   readonly site: string;
-  /** Start time in Unix milliseconds, raised to refute a suspicion. */
+  /** Start time in Unix milliseconds, increased to refute a suspicion. */
   readonly incarnation: number;
   readonly state: LivenessState;
-  /** Processor power of its machine, in cores of common speed; 0 if unknown. */
+  /** Processor capacity of the machine, in cores of a common reference speed; 0 if unknown. */
   readonly capacity: number;
 }
 
@@ -27,13 +27,13 @@
       readonly updates: readonly MemberView[];
     };
 
-/** All that a member knows: asked for on a stream, and answered with what the other lacks. */
+/** Exchange of state over a stream: a request holds all members that the sender knows, an answer those that the requester lacks. */
 export interface StateMessage {
   readonly type: 'state_request' | 'state_answer';
   readonly members: readonly MemberView[];
 }
 
-/** What membership reacts to. */
+/** Input of the membership protocol. */
 export type MembershipEvent =
   | { readonly type: 'tick' }
   | {
@@ -41,11 +41,11 @@
       readonly from: string;
       readonly message: ProbeMessage | StateMessage;
     }
-  /** Addresses that the platform's list names; they are probed, not believed. */
+  /** Addresses from the platform's list. They are probed before they count as members. */
   | { readonly type: 'seeds'; readonly addresses: readonly string[] }
   | { readonly type: 'leave' };
 
-/** What membership has done for it. */
+/** Output of the membership protocol, for the caller to carry out. */
 export type MembershipEffect =
   | { readonly type: 'send'; readonly to: string; readonly message: ProbeMessage }
   /** A message that may be too large for a datagram. */
--- a/src/core/membership-news.ts
+++ b/src/core/membership-news.ts
@@ -1,32 +1,32 @@
-/** News of members that ride on probes: the freshest first, within the bytes of a datagram. Pure. */
+/** Membership updates that are piggybacked on probes, newest first, within the size of a datagram. Performs no I/O. */
 import type { MemberView } from './membership-messages.js';
 
-/** Times that a piece of news is passed on, times the logarithm of the group's size. */
-const SPREAD_FACTOR = 3;
-/** Bytes of news on one message: with its head it stays within the 1,400 that no link divides. */
-const MESSAGE_BYTES = 1_200;
-/** Bytes of a piece of news besides its texts: two numbers of 9, a state, and their tags. */
-const PIECE_BYTES = 28;
+/** An update is sent this many times the logarithm of the group's size. */
+const RETRANSMISSION_FACTOR = 3;
+/** Bytes of updates in one message. With its header, the message stays within 1,400 bytes, which no link fragments. */
+const MAX_UPDATES_BYTES = 1_200;
+/** Bytes of an update without its strings: two numbers of 9 bytes, a state, and their tags. */
+const FIXED_UPDATE_BYTES = 28;
 
-/** What is still to be passed on. */
+/** Updates that still have to be sent. */
 export class MembershipNews {
-  /** Members that news are about, and how often they are still to be passed on. */
-  private readonly remaining = new Map<string, number>();
+  /** Addresses of members with updates, and how often each still has to be sent. */
+  private readonly remainingSends = new Map<string, number>();
 
-  /** Something about a member has changed, in a group of so many. */
+  /** Queues an update about a member. */
   add(address: string, groupSize: number): void {
-    this.remaining.set(address, Math.ceil(SPREAD_FACTOR * Math.log2(groupSize + 2)));
+    this.remainingSends.set(address, Math.ceil(RETRANSMISSION_FACTOR * Math.log2(groupSize + 2)));
   }
 
-  /** Nothing more is told of a member. */
+  /** Removes the update about a member. */
   drop(address: string): void {
-    this.remaining.delete(address);
+    this.remainingSends.delete(address);
   }
 
   /**
-   * News for one message.
-   * @param first - Told in any case.
-   * @param receiver - Knows of itself.
+   * Returns the updates for one message and counts them as sent.
+   * @param first - Included regardless of the size limit.
+   * @param receiver - Address of the receiver, whose own update is left out.
    */
   take(
     first: readonly MemberView[],
@@ -35,22 +35,22 @@
   ): MemberView[] {
     const views = [...first];
     let bytes = views.reduce((sum, view) => sum + bytesOf(view), 0);
-    const freshest = [...this.remaining].sort(([, a], [, b]) => b - a);
-    for (const [address, left] of freshest) {
+    const newest = [...this.remainingSends].sort(([, a], [, b]) => b - a);
+    for (const [address, sendsLeft] of newest) {
       const view = viewOf(address);
       const size = view === undefined ? 0 : bytesOf(view);
-      if (bytes + size > MESSAGE_BYTES) break;
+      if (bytes + size > MAX_UPDATES_BYTES) break;
       if (view !== undefined && address !== receiver) {
         views.push(view);
         bytes += size;
       }
-      if (left > 1) this.remaining.set(address, left - 1);
-      else this.remaining.delete(address);
+      if (sendsLeft > 1) this.remainingSends.set(address, sendsLeft - 1);
+      else this.remainingSends.delete(address);
     }
     return views;
   }
 }
 
 function bytesOf(view: MemberView): number {
-  return view.address.length + view.zone.length + view.site.length + PIECE_BYTES;
+  return view.address.length + view.zone.length + view.site.length + FIXED_UPDATE_BYTES;
 }
--- a/src/core/membership.ts
+++ b/src/core/membership.ts
@@ -1,9 +1,9 @@
 /**
- * Membership by probing, after the SWIM protocol: a direct probe, then probes
- * through others, then suspicion, and death only after a suspicion that was not
- * refuted. News ride on the probes; a member that starts, or meets many others at
- * once, exchanges all that it knows with one of them after another. Deterministic:
- * the order of probes comes from rendezvous hashing, so it needs no randomness.
+ * Group membership after the SWIM protocol: a direct probe, then indirect probes,
+ * then suspicion, and death only if the suspicion is not refuted. Updates are
+ * piggybacked on probes. A member that starts, or finds many others at once,
+ * exchanges its full state with them one after another. Deterministic: the order
+ * of probes comes from rendezvous hashing, without random numbers.
  */
 import { firstCandidate, rankCandidates } from '../common/rendezvous.js';
 import { ExchangeSchedule } from './exchange-schedule.js';
@@ -16,21 +16,21 @@
 } from './membership-messages.js';
 import { MembershipNews } from './membership-news.js';
 
-/** Times of the protocol, in milliseconds. */
+/** Timing parameters of the protocol, in milliseconds. */
 export interface MembershipTimes {
-  /** Between two probes of one daemon. Default 300. */
+  /** Time between two probes sent by a daemon. Default 300. */
   readonly probePeriodMs: number;
-  /** Until a direct probe counts as lost. Default 120. */
+  /** Timeout of a direct probe. Default 120. */
   readonly directTimeoutMs: number;
-  /** Until the probes through others count as lost too. Default 280. */
+  /** Timeout of the indirect probes that follow. Default 280. */
   readonly indirectTimeoutMs: number;
-  /** From suspicion to death. Default 900. */
+  /** Time after which an unrefuted suspect counts as dead. Default 900. */
   readonly suspicionMs: number;
-  /** That a dead member is remembered. Default 60,000. */
+  /** Time for which a dead member is remembered. Default 60,000. */
   readonly rememberDeadMs: number;
 }
 
-/** The defaults. */
+/** Default timing parameters. */
 export const DEFAULT_MEMBERSHIP_TIMES: MembershipTimes = {
   probePeriodMs: 300,
   directTimeoutMs: 120,
@@ -39,11 +39,11 @@
   rememberDeadMs: 60_000,
 };
 
-/** Daemons asked to probe in this one's place. */
+/** Number of other daemons that send an indirect probe. */
 const INDIRECT_PROBES = 3;
-/** Daemons told at once of a death or a leave. */
-const DIRECT_NEWS = 6;
-/** Seeds that are not members yet are probed again after so long. */
+/** Number of daemons notified immediately of a death or a planned leave. */
+const IMMEDIATE_NOTIFICATIONS = 6;
+/** Time between two probes of seeds that are not members yet, in milliseconds. */
 const SEED_PERIOD_MS = 1_000;
 
 interface MemberEntry {
@@ -55,20 +55,20 @@
   readonly target: string;
   readonly sentAt: number;
   indirect: boolean;
-  /** Set when the probe is made for another daemon. */
+  /** The requester of an indirect probe; undefined for a probe of this daemon's own. */
   readonly onBehalfOf?: { readonly address: string; readonly sequence: number };
 }
 
-/** The view of the group at one daemon. */
+/** One daemon's view of the group. */
 export class Membership {
   private readonly members = new Map<string, MemberEntry>();
   private readonly probes = new Map<number, Probe>();
-  private readonly news = new MembershipNews();
+  private readonly pendingUpdates = new MembershipNews();
   private readonly exchanges: ExchangeSchedule;
   private exchangeCount = 0;
   private seeds: readonly string[] = [];
-  private order: string[] = [];
-  private round = 0;
+  private probeOrder: string[] = [];
+  private probeRound = 0;
   private sequence = 0;
   private lastProbeAt = 0;
   private lastSeedAt = 0;
@@ -82,18 +82,18 @@
     this.exchanges = new ExchangeSchedule(self.address);
   }
 
-  /** This daemon as it presents itself. */
+  /** The view of itself that this daemon sends to others. */
   get own(): MemberView {
     return this.self;
   }
 
-  /** Members that may be given duties, this daemon among them: not dead and not leaving. */
+  /** Members that may be given duties, including this daemon: neither dead nor leaving. */
   live(): MemberView[] {
     const others = [...this.members.values()].map((entry) => entry.view);
     return [this.self, ...others].filter(isLive);
   }
 
-  /** Members that still answer, also while they drain; this daemon among them. */
+  /** Members that are not known to be dead, including draining ones and this daemon. */
   reachable(): MemberView[] {
     return this.all().filter(({ address }) => this.isReachable(address));
   }
@@ -105,24 +105,24 @@
     return entry !== undefined && isLive(entry.view);
   }
 
-  /** Whether a daemon still answers: also while it drains. */
+  /** Whether a daemon is a known member that is not dead; true while it drains. */
   isReachable(address: string): boolean {
     if (address === this.self.address) return true;
     const state = this.members.get(address)?.view.state;
     return state !== undefined && state !== 'dead';
   }
 
-  /** Whether a daemon has been heard of and not been forgotten yet, dead or not. */
+  /** Whether a daemon is in the member table, dead or not. */
   isKnown(address: string): boolean {
     return address === this.self.address || this.members.has(address);
   }
 
-  /** All daemons ever heard of and not yet forgotten. */
+  /** All daemons in the member table, including dead ones and this daemon. */
   all(): MemberView[] {
     return [this.self, ...[...this.members.values()].map((entry) => entry.view)];
   }
 
-  /** Handles one event and returns what is to be done. */
+  /** Handles one event and returns the effects for the caller to carry out. */
   handle(event: MembershipEvent, now: number): MembershipEffect[] {
     this.effects = [];
     this.changed = false;
@@ -148,18 +148,19 @@
   private setSeeds(addresses: readonly string[], now: number): void {
     const known = new Set(this.seeds);
     this.seeds = addresses;
-    const isNew = (address: string): boolean => !known.has(address) && this.isStranger(address);
+    const isNew = (address: string): boolean =>
+      !known.has(address) && this.isUnknownOrDead(address);
     if (addresses.some(isNew)) this.exchanges.noteLearned(now);
   }
 
-  /** Asks one other for all that it knows: a stranger first, for those are the ones to meet. */
+  /** Exchanges the full state with one other daemon, alternating between unknown seeds and known members. */
   private exchangeState(now: number): void {
     if (!this.exchanges.isDue(now)) return;
-    const strangers = this.seeds.filter((seed) => this.isStranger(seed));
+    const unknownSeeds = this.seeds.filter((seed) => this.isUnknownOrDead(seed));
     const others = [...this.members.keys()].filter((address) => this.isReachable(address));
-    // A stranger may be gone for good: every other exchange goes to a member that is known.
-    const prefersStranger = this.exchangeCount % 2 === 0 && strangers.length > 0;
-    const partners = prefersStranger || others.length === 0 ? strangers : others;
+    // An unknown seed may never answer, so every other exchange goes to a known member.
+    const prefersUnknownSeed = this.exchangeCount % 2 === 0 && unknownSeeds.length > 0;
+    const partners = prefersUnknownSeed || others.length === 0 ? unknownSeeds : others;
     this.exchangeCount += 1;
     const partner = firstCandidate(`${this.self.address}~${this.exchangeCount}`, partners);
     if (partner === undefined) return;
@@ -168,25 +169,25 @@
   }
 
   private receiveState(from: string, message: StateMessage, now: number): void {
-    if (message.type === 'state_request') this.answerState(from, message.members);
-    let metMembers = false;
+    if (message.type === 'state_request') this.sendStateAnswer(from, message.members);
+    let foundMembers = false;
     for (const view of message.members) {
       const wasLive = this.isLive(view.address);
-      // Who tells of a member has met it, or will meet the rest itself: no need to pass it on.
-      this.learn(view, now, 'told');
-      metMembers ||= !wasLive && this.isLive(view.address);
+      // The sender of the state spreads its members itself, so this daemon need not forward them.
+      this.applyUpdate(view, now, 'told');
+      foundMembers ||= !wasLive && this.isLive(view.address);
     }
-    if (metMembers) this.exchanges.noteLearned(now);
+    if (foundMembers) this.exchanges.noteLearned(now);
   }
 
-  /** Tells a member what it lacks. */
-  private answerState(to: string, known: readonly MemberView[]): void {
+  /** Sends a member the views that it lacks or holds in an older version. */
+  private sendStateAnswer(to: string, known: readonly MemberView[]): void {
     const views = new Map(known.map((view) => [view.address, view]));
-    const lacked = this.all().filter((view) => {
+    const missingViews = this.all().filter((view) => {
       const other = views.get(view.address);
       return other === undefined ? view.state !== 'dead' : supersedes(view, other);
     });
-    this.sendState(to, 'state_answer', lacked);
+    this.sendState(to, 'state_answer', missingViews);
   }
 
   private sendState(to: string, type: StateMessage['type'], members: readonly MemberView[]): void {
@@ -195,37 +196,37 @@
 
   private probeSeeds(now: number): void {
     this.lastSeedAt = now;
-    const strangers = this.seeds.filter((seed) => this.isStranger(seed));
-    // All of a large group at once would be a burst; a few lead to the rest by news.
-    for (const seed of rankCandidates(`${this.self.address}/${now}`, strangers).slice(0, 3)) {
+    const unknownSeeds = this.seeds.filter((seed) => this.isUnknownOrDead(seed));
+    // Probing all seeds of a large group would cause a burst; a few lead to the rest through updates.
+    for (const seed of rankCandidates(`${this.self.address}/${now}`, unknownSeeds).slice(0, 3)) {
       this.probe(seed, now);
     }
   }
 
-  private isStranger(address: string): boolean {
+  private isUnknownOrDead(address: string): boolean {
     if (address === this.self.address) return false;
     const known = this.members.get(address);
     return known === undefined || known.view.state === 'dead';
   }
 
   private nextTarget(): string | undefined {
-    for (let tries = 0; tries < 2; tries++) {
-      while (this.order.length > 0) {
-        const target = this.order.pop();
+    for (let attempt = 0; attempt < 2; attempt++) {
+      while (this.probeOrder.length > 0) {
+        const target = this.probeOrder.pop();
         if (target !== undefined && this.isReachable(target)) return target;
       }
-      this.round += 1;
+      this.probeRound += 1;
       const reachable = [...this.members.keys()].filter((address) => this.isReachable(address));
-      this.order = rankCandidates(`${this.self.address}#${this.round}`, reachable);
+      this.probeOrder = rankCandidates(`${this.self.address}#${this.probeRound}`, reachable);
     }
     return undefined;
   }
 
   private probe(target: string, now: number, onBehalfOf?: Probe['onBehalfOf']): void {
     this.sequence += 1;
-    const behalf = onBehalfOf === undefined ? {} : { onBehalfOf };
-    this.probes.set(this.sequence, { target, sentAt: now, indirect: false, ...behalf });
-    this.send(target, { type: 'ping', sequence: this.sequence, updates: this.takeNews(target) });
+    const requesterField = onBehalfOf === undefined ? {} : { onBehalfOf };
+    this.probes.set(this.sequence, { target, sentAt: now, indirect: false, ...requesterField });
+    this.send(target, { type: 'ping', sequence: this.sequence, updates: this.takeUpdates(target) });
   }
 
   private checkProbes(now: number): void {
@@ -236,19 +237,19 @@
         if (probe.onBehalfOf === undefined) this.suspect(probe.target, now);
       } else if (age >= this.times.directTimeoutMs && !probe.indirect) {
         probe.indirect = true;
-        if (probe.onBehalfOf === undefined) this.probeThroughOthers(sequence, probe.target);
+        if (probe.onBehalfOf === undefined) this.probeIndirectly(sequence, probe.target);
       }
     }
   }
 
-  private probeThroughOthers(sequence: number, target: string): void {
-    const helpers = this.live()
+  private probeIndirectly(sequence: number, target: string): void {
+    const relays = this.live()
       .map((member) => member.address)
       .filter((address) => address !== target && address !== this.self.address);
-    const chosen = rankCandidates(`${this.self.address}/${sequence}`, helpers);
-    for (const helper of chosen.slice(0, INDIRECT_PROBES)) {
-      const updates = this.takeNews(helper);
-      this.send(helper, { type: 'ping_request', sequence, target, updates });
+    const chosen = rankCandidates(`${this.self.address}/${sequence}`, relays);
+    for (const relay of chosen.slice(0, INDIRECT_PROBES)) {
+      const updates = this.takeUpdates(relay);
+      this.send(relay, { type: 'ping_request', sequence, target, updates });
     }
   }
 
@@ -257,8 +258,8 @@
     if (entry === undefined || entry.view.state === 'suspect' || entry.view.state === 'dead')
       return;
     this.setMember({ ...entry.view, state: 'suspect' }, now);
-    this.spread(address);
-    // The suspect hears of it at once, so that it can refute.
+    this.queueUpdate(address);
+    // Informs the suspect immediately, so that it can refute the suspicion.
     this.probe(address, now);
   }
 
@@ -267,27 +268,27 @@
       const age = now - entry.since;
       if (entry.view.state === 'suspect' && age >= this.times.suspicionMs) {
         this.setMember({ ...entry.view, state: 'dead' }, now);
-        this.spread(address);
-        this.tellSome(address);
+        this.queueUpdate(address);
+        this.notifyImmediately(address);
       }
       if (entry.view.state === 'dead' && age >= this.times.rememberDeadMs) {
         this.members.delete(address);
-        this.news.drop(address);
+        this.pendingUpdates.drop(address);
       }
     }
   }
 
-  /** Tells a few others at once, besides what rides on probes. */
-  private tellSome(about: string): void {
+  /** Notifies a few other members immediately, in addition to the updates piggybacked on probes. */
+  private notifyImmediately(about: string): void {
     const others = this.live()
       .map((member) => member.address)
       .filter((address) => address !== this.self.address);
     for (const address of rankCandidates(`${this.self.address}!${about}`, others).slice(
       0,
-      DIRECT_NEWS,
+      IMMEDIATE_NOTIFICATIONS,
     )) {
       this.sequence += 1;
-      const updates = this.takeNews(address);
+      const updates = this.takeUpdates(address);
       this.send(address, { type: 'ping', sequence: this.sequence, updates });
     }
   }
@@ -298,74 +299,74 @@
   }
 
   private receiveProbe(from: string, message: ProbeMessage, now: number): void {
-    for (const update of message.updates) this.learn(update, now, 'news');
-    if (message.type === 'ping') this.answer(from, message.sequence, now);
+    for (const update of message.updates) this.applyUpdate(update, now, 'news');
+    if (message.type === 'ping') this.acknowledge(from, message.sequence, now);
     if (message.type === 'ping_request') {
       this.probe(message.target, now, { address: from, sequence: message.sequence });
     }
-    if (message.type === 'ack') this.acknowledged(message.sequence);
+    if (message.type === 'ack') this.handleAck(message.sequence);
   }
 
-  private answer(from: string, sequence: number, now: number): void {
-    const updates = this.takeNews(from);
+  private acknowledge(from: string, sequence: number, now: number): void {
+    const updates = this.takeUpdates(from);
     this.send(from, { type: 'ack', sequence, updates });
-    // A member that thinks this daemon dead, or a newcomer, is worth a probe back.
-    if (this.isStranger(from)) this.probe(from, now);
+    // Probes a sender that is new, or that this daemon holds for dead, to make it a member.
+    if (this.isUnknownOrDead(from)) this.probe(from, now);
   }
 
-  private acknowledged(sequence: number): void {
+  private handleAck(sequence: number): void {
     const probe = this.probes.get(sequence);
     if (probe === undefined) return;
     this.probes.delete(sequence);
-    const behalf = probe.onBehalfOf;
-    if (behalf === undefined) return;
-    const updates = this.takeNews(behalf.address);
-    this.send(behalf.address, { type: 'ack', sequence: behalf.sequence, updates });
+    const requester = probe.onBehalfOf;
+    if (requester === undefined) return;
+    const updates = this.takeUpdates(requester.address);
+    this.send(requester.address, { type: 'ack', sequence: requester.sequence, updates });
   }
 
-  /** Takes a view of a member that is newer than the one that is held. */
-  private learn(update: MemberView, now: number, origin: 'news' | 'told'): void {
+  /** Applies a member's view if it supersedes the current one. */
+  private applyUpdate(update: MemberView, now: number, origin: 'news' | 'told'): void {
     if (update.address === this.self.address) return this.refute(update);
     const known = this.members.get(update.address)?.view;
     if (known === undefined && update.state === 'dead') return;
     if (known !== undefined && !supersedes(update, known)) return;
     this.setMember(update, now);
-    if (origin === 'news') this.spread(update.address);
-    else this.news.drop(update.address);
+    if (origin === 'news') this.queueUpdate(update.address);
+    else this.pendingUpdates.drop(update.address);
   }
 
-  /** Another daemon says that this one is suspect or dead: a higher incarnation refutes it. */
+  /** Refutes a report that this daemon is suspect or dead, by a higher incarnation. */
   private refute(update: MemberView): void {
-    const harmless = update.state === this.self.state || update.state === 'alive';
-    if (harmless || update.incarnation < this.self.incarnation) return;
+    const needsNoRefutation = update.state === this.self.state || update.state === 'alive';
+    if (needsNoRefutation || update.incarnation < this.self.incarnation) return;
     this.self = { ...this.self, incarnation: update.incarnation + 1 };
-    this.spread(this.self.address);
+    this.queueUpdate(this.self.address);
   }
 
   private leave(): void {
     this.self = { ...this.self, incarnation: this.self.incarnation + 1, state: 'leaving' };
-    this.spread(this.self.address);
+    this.queueUpdate(this.self.address);
     this.changed = true;
-    this.tellSome(this.self.address);
+    this.notifyImmediately(this.self.address);
   }
 
   private setMember(view: MemberView, now: number): void {
     const before = this.members.get(view.address)?.view;
     this.members.set(view.address, { view, since: now });
-    // A suspicion alone changes no duty, and comes and goes when machines are busy.
+    // A suspicion alone changes no duty. Suspicions are frequent and short when machines are busy.
     if (before === undefined || isLive(before) !== isLive(view)) this.changed = true;
   }
 
-  private spread(address: string): void {
-    this.news.add(address, this.members.size);
+  private queueUpdate(address: string): void {
+    this.pendingUpdates.add(address, this.members.size);
   }
 
-  /** News for one message: this daemon, what the receiver is thought to be, and the freshest. */
-  private takeNews(receiver: string): MemberView[] {
+  /** Updates for one message: this daemon's view, the receiver's if it is not alive, and the newest others. */
+  private takeUpdates(receiver: string): MemberView[] {
     const first = [this.self];
     const about = this.members.get(receiver)?.view;
     if (about !== undefined && about.state !== 'alive') first.push(about);
-    return this.news.take(first, receiver, (address) => this.members.get(address)?.view);
+    return this.pendingUpdates.take(first, receiver, (address) => this.members.get(address)?.view);
   }
 
   private send(to: string, message: ProbeMessage): void {
@@ -373,14 +374,14 @@
   }
 }
 
-/** Whether a member may be given duties. A suspect still counts until it is found dead. */
+/** Whether a member may be given duties. A suspect may, until it counts as dead. */
 function isLive(view: MemberView): boolean {
   return view.state === 'alive' || view.state === 'suspect';
 }
 
 const STATE_RANK = { alive: 0, suspect: 1, leaving: 2, dead: 3 } as const;
 
-/** Newer incarnations win; within one, the worse news wins. */
+/** Whether an update replaces the known view: the higher incarnation wins; within one, the higher rank of the state. */
 function supersedes(update: MemberView, known: MemberView): boolean {
   if (update.incarnation !== known.incarnation) return update.incarnation > known.incarnation;
   return STATE_RANK[update.state] > STATE_RANK[known.state];
--- a/src/core/newest-proof.ts
+++ b/src/core/newest-proof.ts
@@ -1,15 +1,15 @@
-/** When something was last proved. Pure; times are milliseconds of the lease clock. */
+/** Time of the newest proof of a lease. Performs no I/O; times are milliseconds of the lease clock. */
 
-/** The newest of several proofs, each counted from the moment at which its question was asked. */
+/** The newest of several proofs. A proof is dated by the time at which its request was sent. */
 export class NewestProof {
   private provenAt = -Infinity;
 
-  /** Takes a proof; an older one than is held changes nothing. */
-  prove(askedAt: number): void {
-    this.provenAt = Math.max(this.provenAt, askedAt);
+  /** Adds a proof. A proof older than the current one is ignored. */
+  prove(requestedAt: number): void {
+    this.provenAt = Math.max(this.provenAt, requestedAt);
   }
 
-  /** Milliseconds since the newest proof's question; infinite without one. */
+  /** Milliseconds since the request of the newest proof was sent; infinite without a proof. */
   ageMs(now: number): number {
     return now - this.provenAt;
   }
--- a/src/core/ownership-lease.ts
+++ b/src/core/ownership-lease.ts
@@ -1,55 +1,59 @@
 /**
- * How long an owner may give orders where backends do not check epochs. Then nothing but the owner
- * itself can end its orders, so it gives them only while it holds a proof, younger than HOLD_MS, that
- * nobody had claimed the service after it; and whoever claims it gives no order for HAND_OVER_MS. A
- * proof counts from the moment at which its question was asked: no clocks are compared, and an
- * answer in flight lengthens nothing. `spec/ownership.pml` is its model. Pure; times are milliseconds: a proof's of the
- * lease clock, which counts the time for which a machine was suspended, and the wait's of the steady one, which may count less.
+ * Limits how long an owner may send orders to backends that do not check epochs. Such backends would
+ * accept orders of a former owner, so an owner sends orders only while it holds a proof, younger than
+ * LEASE_MS, that no other daemon had claimed the service after it. A new owner sends no order for
+ * TAKEOVER_DELAY_MS after its claim. A proof is dated by the time at which its request was sent, so no
+ * clocks of two machines are compared and the latency of a response never extends the lease. The model
+ * is `spec/ownership.pml`. Performs no I/O. Times are milliseconds: ages of proofs by the lease clock, which counts
+ * the time for which a machine was suspended; the delay by the steady clock, which may not count it.
  */
 import { NewestProof } from './newest-proof.js';
 
-/** A proof allows orders for so long after its question: two questions may get no answer. */
+/** Time for which a proof allows orders after its request was sent, in milliseconds; long enough for two requests to go unanswered. */
 export const HOLD_MS = 1_500;
-/** An order without an answer is given up, and its connection reset, within so long of its sending. */
-const ORDER_ON_ITS_WAY_MS = 800;
-/** A new owner waits so long after its claim: a former one may have sent an order at the end of its lease. */
-export const HAND_OVER_MS = HOLD_MS + ORDER_ON_ITS_WAY_MS;
+/** An order without an answer is abandoned, and its connection reset, within this time after it was sent. */
+const ORDER_IN_FLIGHT_MS = 800;
+/** Delay before a new owner's first order, in milliseconds: a former owner may have sent an order at the end of its lease. */
+export const HAND_OVER_MS = HOLD_MS + ORDER_IN_FLIGHT_MS;
 
-/** A claim that was won. */
+/** A successful claim of a service. */
 export interface WonClaim {
-  /** By the lease clock. */
+  /** Time at which the claim was sent, by the lease clock. */
   readonly askedAt: number;
-  /** By the steady clock. */
+  /** Time at which the response arrived, by the steady clock. */
   readonly answeredAt: number;
-  /** All former owners are known to have given their last orders. */
+  /** Whether all former owners are known to have sent their last orders. */
   readonly isHandedOver: boolean;
 }
 
 /** The lease of one owner. */
 export class OwnershipLease {
   private proof = new NewestProof();
-  private ordersFrom = Infinity;
+  private ordersAllowedAt = Infinity;
 
-  /** Begins a new ownership. */
+  /** Starts a lease after a successful claim. */
   begin(claim: WonClaim): void {
     this.proof = new NewestProof();
     this.proof.prove(claim.askedAt);
-    this.ordersFrom = claim.answeredAt + (claim.isHandedOver ? ORDER_ON_ITS_WAY_MS : HAND_OVER_MS);
+    this.ordersAllowedAt =
+      claim.answeredAt + (claim.isHandedOver ? ORDER_IN_FLIGHT_MS : HAND_OVER_MS);
   }
 
-  /** Nobody had claimed the service after this owner at `askedAt`. */
+  /** Adds a proof that no other daemon had claimed the service after this owner at `askedAt`. */
   prove(askedAt: number): void {
     this.proof.prove(askedAt);
   }
 
-  /** Milliseconds since the last proof's question. */
+  /** Milliseconds since the request of the newest proof was sent; infinite without a proof. */
   ageMs(now: number): number {
     return this.proof.ageMs(now);
   }
 
-  /** Milliseconds until an order may be sent: 0 for now, infinite without a recent proof. */
+  /** Milliseconds until an order may be sent; 0 if it may be sent now, infinite without a recent proof. */
   delayMs(leaseNow: number, steadyNow: number): number {
-    return this.ageMs(leaseNow) > HOLD_MS ? Infinity : Math.max(0, this.ordersFrom - steadyNow);
+    return this.ageMs(leaseNow) > HOLD_MS
+      ? Infinity
+      : Math.max(0, this.ordersAllowedAt - steadyNow);
   }
 
   /** Whether an order may be sent now. */
--- a/src/core/recent-changes.ts
+++ b/src/core/recent-changes.ts
@@ -1,42 +1,41 @@
 /**
- * Changes of the directory that are told again for a while: a daemon may have missed the first telling,
- * over a connection that was given up or because it was taken for dead. Pure; times are milliseconds of a
- * steady clock.
+ * Directory changes that are sent repeatedly for a while. A daemon may have missed the first message because its
+ * connection was closed or because it was considered dead. Performs no I/O; times are milliseconds of a steady clock.
  */
 import type { PresenceChanges } from './backend-presence.js';
 
 /**
- * A change is told for so long: past the 1.8 s after which a connection that is not acknowledged is replaced,
- * with one more telling over the new one.
+ * Time for which a change is sent, in milliseconds. A connection without acknowledgements is replaced after 1.8 s;
+ * the rest of the time suffices for one more message over the new connection.
  */
-const TOLD_FOR_MS = 3_000;
-/** Changes that are kept, the newest ones: news stay small also when all backends change at once. */
-const MOST_KEPT = 500;
+const RETENTION_MS = 3_000;
+/** Number of changes sent, the newest ones, so that messages stay small even if all backends change at once. */
+const MAX_CHANGES = 500;
 
-interface NotedChanges extends PresenceChanges {
+interface TimedChanges extends PresenceChanges {
   readonly at: number;
 }
 
-/** The changes of the last seconds. */
+/** The directory changes of the last seconds. */
 export class RecentChanges {
-  private noted: NotedChanges[] = [];
+  private retained: TimedChanges[] = [];
 
   note({ ended, started }: PresenceChanges, now: number): void {
-    this.forgetOld(now);
-    if (ended.length + started.length > 0) this.noted.push({ at: now, ended, started });
+    this.deleteExpired(now);
+    if (ended.length + started.length > 0) this.retained.push({ at: now, ended, started });
   }
 
-  /** All that is still told, the oldest first. */
+  /** Returns all changes that are still sent, oldest first. */
   all(now: number): PresenceChanges {
-    this.forgetOld(now);
+    this.deleteExpired(now);
     return {
-      ended: this.noted.flatMap(({ ended }) => ended).slice(-MOST_KEPT),
-      started: this.noted.flatMap(({ started }) => started).slice(-MOST_KEPT),
+      ended: this.retained.flatMap(({ ended }) => ended).slice(-MAX_CHANGES),
+      started: this.retained.flatMap(({ started }) => started).slice(-MAX_CHANGES),
     };
   }
 
-  /** With each change too: a daemon that tells nobody asks for nothing, and would keep all. */
-  private forgetOld(now: number): void {
-    this.noted = this.noted.filter(({ at }) => now - at < TOLD_FOR_MS);
+  /** Also called on each new change, because a daemon without peers never calls `all` and would keep every change. */
+  private deleteExpired(now: number): void {
+    this.retained = this.retained.filter(({ at }) => now - at < RETENTION_MS);
   }
 }
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -1,34 +1,34 @@
 /** Records that scaleslip itself keeps in the platform's object API. */
 
-/** An engine that belongs to a pool. */
+/** An engine registered in a pool. */
 export interface RegisteredEngine {
   readonly address: string;
-  /** The start of the engine process that may be sealed. */
+  /** Identifies the engine process that the owner may seal. */
   readonly incarnation: string;
 }
 
-/** Who owns a pool. Changed by compare-and-swap only. */
+/** Ownership of a pool. Written by compare-and-swap only. */
 export interface PoolRecord {
   readonly pool: string;
   readonly zone: string;
   readonly site: string;
-  /** Peer address of the owner; empty after a hand-over. */
+  /** Peer address of the owner; empty after the owner has released the pool. */
   readonly owner: string;
-  /** Rises with every claim. */
+  /** Increases with every claim. */
   readonly epoch: number;
-  /** Tells the writer's own write from another's when a reply was lost. */
+  /** Lets a writer whose reply was lost recognise its own write. */
   readonly writeId: string;
-  /** Least revision of the configuration that an owner must have reached before it acts. */
+  /** Lowest configuration revision that an owner must have reached before it acts. */
   readonly configurationFloor: number;
   readonly engines: readonly RegisteredEngine[];
 }
 
-/** A pool's part of a tenant's replicas. */
+/** A pool's share of a tenant's replicas. */
 export interface QuotaShare {
   readonly pool: string;
   /** Replicas that the pool may hold; lowered only by the pool's own owner. */
   readonly granted: number;
-  /** Replicas that the pool is to hold in the end. */
+  /** Replicas that the pool should hold eventually. */
   readonly target: number;
 }
 
--- a/src/core/service-configuration.ts
+++ b/src/core/service-configuration.ts
@@ -1,73 +1,73 @@
 /**
- * Routes, services and limits of the opaque-request gateway: what operators
- * declare, and the backends that serve it. Types only.
+ * Configuration types of the opaque-request gateway (routes, services and limits,
+ * as operators declare them) and types of the backends that serve it.
  */
 
-/** What may be done with a request that did not end well. */
+/** Whether and how a failed request may be retried. */
 export type Repeatability =
   /** May run more than once. */
   | 'repeatable'
-  /** Runs at most once. */
+  /** Must run at most once. */
   | 'once'
-  /** A stream of events that runs at most once. */
+  /** An event stream that must run at most once. */
   | 'stream_once'
-  /** A stream of events that may go on at another backend after its last event. */
+  /** An event stream that another backend may continue after the last event sent. */
   | 'resumable_stream';
 
-/** A service that takes part of a route's requests. */
+/** A service that receives a share of a route's requests. */
 export interface RouteTarget {
   readonly service: string;
   /** Share of the requests, relative to the other targets. */
   readonly weight: number;
 }
 
-/** Which requests go to which services, and how they are treated. */
+/** Selects requests by host and path, and sets their services and treatment. */
 export interface Route {
   readonly name: string;
   /** Value of the request's Host header. */
   readonly host: string;
-  /** Beginning of the path; begins and ends with a slash. */
+  /** Prefix of the path; begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly repeatability: Repeatability;
-  /** Longest time from arrival to the end of the answer, in milliseconds. */
+  /** Maximum time from the request's arrival to the end of the response, in milliseconds. */
   readonly timeoutMs: number;
-  /** Time to the first part of the answer that callers want, in milliseconds. */
+  /** Target time to the first part of the response, in milliseconds. */
   readonly goalMs: number;
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly targets: readonly RouteTarget[];
-  /** Backends that one request may be sent to. */
+  /** Maximum number of backends to which one request is sent. */
   readonly maxAttempts: number;
-  /** Longest pause between two events that callers want, in milliseconds. */
+  /** Target for the longest pause between two events, in milliseconds. */
   readonly pauseGoalMs: number;
-  /** Callers leave when nothing has come for so long, in milliseconds; infinite if they wait for their deadline. */
+  /** Time without data after which callers disconnect, in milliseconds; infinite if they wait until their deadline. */
   readonly patienceMs: number;
-  /** Callers need no key, though others do. */
+  /** Whether callers of this route need no key, even if tenants are configured. */
   readonly isPublic: boolean;
 }
 
-/** What one request takes from a tenant's limit. */
+/** Unit in which a tenant's limit counts requests. */
 export type LimitUnit = 'requests' | 'tokens';
 
-/** How much a tenant may ask of all daemons together. */
+/** Rate limit of a tenant over all daemons together. */
 export interface TenantLimit {
   readonly unit: LimitUnit;
   /** Units a second. */
   readonly perSecond: number;
-  /** Units besides, at once. */
+  /** Units that may be used at once in excess of the rate. */
   readonly burst: number;
-  /** Units that a request takes which names no size. */
+  /** Units charged for a request that does not state its size. */
   readonly plainCharge: number;
 }
 
 /** A group of callers that share keys, a limit and a priority. */
 export interface CallerTenant {
   readonly name: string;
-  /** SHA-256 of its keys in hexadecimal. */
+  /** SHA-256 digests of the tenant's keys, in hexadecimal. */
   readonly keyDigests: readonly string[];
-  /** Goes before the route's priority; undefined if the tenant has none. */
+  /** Overrides the route's priority; undefined if the tenant has none. */
   readonly priority: number | undefined;
-  /** Undefined if there is none. */
+  /** Undefined if the tenant has no limit. */
   readonly limit: TenantLimit | undefined;
 }
 
@@ -77,23 +77,23 @@
   readonly megabytes: number;
   readonly adapters: number;
   readonly adapterMegabytes: number;
-  /** Seconds of a load from the weight store. */
+  /** Duration of a load from the weight store, in seconds. */
   readonly storeLoadSeconds: number;
-  /** Seconds of a load from the backend's disk. */
+  /** Duration of a load from the backend's disk, in seconds. */
   readonly diskLoadSeconds: number;
-  /** Seconds of a load from the backend's host memory. */
+  /** Duration of a load from the backend's host memory, in seconds. */
   readonly memoryLoadSeconds: number;
 }
 
-/** What a backend that runs models can hold. */
+/** Capacity of a backend that runs models. */
 export interface ModelHostSpec {
   readonly slots: number;
-  /** Tokens that fit into a backend's cache. */
+  /** Capacity of a backend's cache, in tokens. */
   readonly cacheTokens: number;
-  /** Memory for models and adapters together. */
+  /** Memory for models and adapters together, in megabytes. */
   readonly megabytes: number;
   readonly adapterSlots: number;
-  /** Loads that may begin from the weight store, over all backends. */
+  /** Rate limit for starting loads from the weight store, over all backends. */
   readonly loadsPerSecond: number;
   readonly models: readonly ModelSpec[];
 }
@@ -101,13 +101,13 @@
 /** A group of backends that serve the same requests. */
 export interface Service {
   readonly name: string;
-  /** Connections that a backend accepts from all daemons together. */
+  /** Maximum connections that a backend accepts from all daemons together. */
   readonly maxConnections: number;
   /** Present if the backends load and unload models. */
   readonly modelHost: ModelHostSpec | undefined;
 }
 
-/** Bounds on what callers may send, and on how long they may take. */
+/** Limits on the size and duration of callers' requests. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -117,30 +117,30 @@
 
 /** One version of the operator's configuration. */
 export interface ServiceConfiguration {
-  /** Rises with each change, not always by one. */
+  /** Increases with each change, not always by one. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
   readonly limits: CallerLimits;
-  /** Callers need a key of one of these; undefined if they need none. */
+  /** Tenants whose keys callers need; undefined if callers need no key. */
   readonly tenants: readonly CallerTenant[] | undefined;
-  /** Why parts of the configuration are not in force: a line for the operator each, without keys. */
+  /** Reasons why parts of the configuration are not in force: one line each for the operator, without keys. */
   readonly problems: readonly string[];
 }
 
-/** A model that a backend holds. */
+/** A model that a backend has loaded. */
 export interface HeldModel {
   readonly name: string;
   readonly adapters: readonly string[];
 }
 
-/** A backend as the platform's directory lists it. */
+/** A backend, as listed in the platform's directory. */
 export interface BackendRecord {
-  /** Names the backend; its process may start again under it. */
+  /** Identifies the backend. A restarted process may have the same id. */
   readonly id: string;
   /**
-   * Differs between two starts of the process under the same id: what is known of one says nothing of the
-   * other. Undefined if nobody has told, which is taken for the start that is known.
+   * Differs between two starts of the process under the same id; state known about one start does not apply to
+   * another. Undefined if unknown, which counts as the start that is already known.
    */
   readonly start?: string;
   readonly service: string;
@@ -148,12 +148,12 @@
   readonly address: string;
   readonly zone: string;
   readonly slots: number;
-  /** It is about to end: no new request may go there. */
+  /** Whether the backend is shutting down and must get no new requests. */
   readonly leaving: boolean;
   readonly models: readonly HeldModel[];
-  /** Revision of the platform's store at which it was last changed. */
+  /** Revision of the platform's store at which the record last changed. */
   readonly revision: number;
-  /** Orders that the backend had taken when it was listed so. */
+  /** Number of orders that the backend had accepted when this record was written. */
   readonly sequence: number;
   /** Models with a copy in the backend's host memory. */
   readonly inMemory: readonly string[];
@@ -161,7 +161,7 @@
   readonly onDisk: readonly string[];
 }
 
-/** A model, or an adapter of it, that a request needs. */
+/** The model that a request needs, optionally with an adapter. */
 export interface ModelReference {
   readonly model: string;
   readonly adapter: string | undefined;
@@ -172,7 +172,7 @@
   return route.repeatability === 'repeatable' || route.repeatability === 'resumable_stream';
 }
 
-/** Whether the answers on the route are streams of events. */
+/** Whether responses on the route are event streams. */
 export function isStream(route: Route): boolean {
   return route.repeatability === 'stream_once' || route.repeatability === 'resumable_stream';
 }
--- a/src/core/tenant-route.ts
+++ b/src/core/tenant-route.ts
@@ -1,4 +1,4 @@
-/** What one router knows and holds of one tenant. Pure. */
+/** One router's state of one tenant: queue, rate limit, locations and replicas. Performs no I/O. */
 import type { PoolRoute, RoutedRequest } from './router-messages.js';
 import { isRefusal, type TenantLocation } from './pool-messages.js';
 import { RequestQueue } from './request-queue.js';
@@ -6,9 +6,9 @@
 import { TokenBucket } from './token-bucket.js';
 import type { TenantSpec } from './documents.js';
 
-/** Milliseconds after which a reported load figure counts for nothing. */
-const LOAD_FIGURE_LIFETIME_MS = 2_000;
-/** Milliseconds that a replica which refused as busy is passed over. */
+/** Milliseconds over which the weight of a reported load decays to zero. */
+const REPORTED_LOAD_LIFETIME_MS = 2_000;
+/** Milliseconds for which a replica gets no requests after it refused one as busy. */
 const BUSY_PAUSE_MS = 20;
 
 interface ReplicaState {
@@ -21,9 +21,9 @@
 /** One tenant at one router. */
 export class TenantRoute {
   readonly queue = new RequestQueue<RoutedRequest>();
-  /** Requests sent and not ended. */
+  /** Requests that were sent and have not ended yet. */
   inFlight = 0;
-  /** Unix milliseconds of the last wake and of the last request. */
+  /** Time of the last wake; `lastUsedAt` is the time of the last request. Both in Unix milliseconds. */
   lastWakeAt = 0;
   lastUsedAt: number;
   private readonly bucket: TokenBucket;
@@ -35,20 +35,20 @@
     this.bucket = new TokenBucket(spec.limits.requestsPerSecond, burstOf(spec, 1), now);
   }
 
-  /** Routers that share the tenant's limits, this one among them. */
+  /** Number of routers that share the tenant's limits, including this one. */
   routers(): number {
     const counts = [...this.locations.values()].map((location) => location.routers);
     return Math.max(1, ...counts);
   }
 
-  /** Takes one request from this router's part of the tenant's rate; 0 if granted, else milliseconds to wait. */
+  /** Takes one request from this router's share of the tenant's rate. Returns 0 if allowed, else the milliseconds to wait. */
   takeRate(spec: TenantSpec, now: number): number {
     const routers = this.routers();
     this.bucket.setRate(spec.limits.requestsPerSecond / routers, burstOf(spec, routers), now);
     return this.bucket.take(now) ? 0 : Math.max(1, this.bucket.waitMs(now));
   }
 
-  /** Takes in a location, unless a newer one of the same pool is known. */
+  /** Stores a location. Returns false if the stored one of the same pool is at least as new. */
   setLocation(location: TenantLocation): boolean {
     const known = this.locations.get(location.pool);
     if (known !== undefined && !isNewer(location, known)) return false;
@@ -56,23 +56,23 @@
     return true;
   }
 
-  /** Forgets a pool's location. */
+  /** Deletes a pool's location. */
   dropLocation(pool: string): void {
     this.locations.delete(pool);
   }
 
-  /** Keeps only the pools that still have a part of the tenant. */
+  /** Deletes the locations of pools that no longer have a share of the tenant. */
   keepPools(routes: readonly PoolRoute[]): void {
     const names = new Set(routes.map((route) => route.pool));
     for (const pool of this.locations.keys()) if (!names.has(pool)) this.locations.delete(pool);
   }
 
-  /** The last word on a pool. */
+  /** The newest location received from a pool. */
   locationOf(pool: string): TenantLocation | undefined {
     return this.locations.get(pool);
   }
 
-  /** Takes an engine out of all locations; true if it was in one. */
+  /** Removes an engine from all locations. Returns whether any location contained it. */
   removeEngine(engine: string): boolean {
     let found = false;
     for (const [pool, location] of this.locations) {
@@ -85,14 +85,14 @@
     return found;
   }
 
-  /** Loaded replicas that may be chosen now. */
-  usableReplicas(now: number, avoid: ReadonlySet<string>): ReplicaView[] {
+  /** Loaded replicas that can take a request now. */
+  usableReplicas(now: number, excluded: ReadonlySet<string>): ReplicaView[] {
     const views: ReplicaView[] = [];
     for (const location of this.locations.values()) {
       if (location.state !== 'loaded') continue;
       for (const replica of location.replicas) {
         const state = this.replicas.get(replica.engine);
-        if (avoid.has(replica.engine) || (state?.pausedUntil ?? 0) > now) continue;
+        if (excluded.has(replica.engine) || (state?.pausedUntil ?? 0) > now) continue;
         const inFlight = state?.inFlight ?? 0;
         const reportedLoad = decayedLoad(state, now);
         views.push({ pool: location.pool, ...replica, inFlight, reportedLoad });
@@ -112,7 +112,7 @@
     this.replicaState(engine).inFlight += 1;
   }
 
-  /** Counts a request that has ended at a replica. */
+  /** Counts a request that ended at a replica. */
   countEnded(engine: string): void {
     this.inFlight = Math.max(0, this.inFlight - 1);
     const state = this.replicaState(engine);
@@ -120,14 +120,14 @@
     if (state.inFlight === 0 && state.pausedUntil === 0) this.replicas.delete(engine);
   }
 
-  /** Takes in a load figure that rode on an answer. */
+  /** Stores a load that a replica reported with an answer. */
   setReportedLoad(engine: string, load: number, now: number): void {
     const state = this.replicaState(engine);
     state.reportedLoad = load;
     state.reportedAt = now;
   }
 
-  /** Passes a replica over for a moment. */
+  /** Excludes a replica from selection for `BUSY_PAUSE_MS`. */
   pauseReplica(engine: string, now: number): void {
     this.replicaState(engine).pausedUntil = now + BUSY_PAUSE_MS;
   }
@@ -135,19 +135,19 @@
   private replicaState(engine: string): ReplicaState {
     const known = this.replicas.get(engine);
     if (known !== undefined) return known;
-    const fresh = { inFlight: 0, reportedLoad: 0, reportedAt: 0, pausedUntil: 0 };
-    this.replicas.set(engine, fresh);
-    return fresh;
+    const initial = { inFlight: 0, reportedLoad: 0, reportedAt: 0, pausedUntil: 0 };
+    this.replicas.set(engine, initial);
+    return initial;
   }
 
-  /** The pool whose owner is told that requests wait: one that has not refused, if there is one. */
+  /** The pool whose owner is notified of waiting requests: preferably one that has not refused the tenant. */
   wakeTarget(pools: readonly PoolRoute[]): PoolRoute | undefined {
     const owned = pools.filter((pool) => pool.owner !== '');
-    const helpful = owned.find((pool) => {
+    const accepting = owned.find((pool) => {
       const location = this.locationOf(pool.pool);
       return location === undefined || !isRefusal(location);
     });
-    return helpful ?? owned[0];
+    return accepting ?? owned[0];
   }
 }
 
@@ -157,7 +157,7 @@
 
 function decayedLoad(state: ReplicaState | undefined, now: number): number {
   if (state === undefined) return 0;
-  const age = (now - state.reportedAt) / LOAD_FIGURE_LIFETIME_MS;
+  const age = (now - state.reportedAt) / REPORTED_LOAD_LIFETIME_MS;
   return Math.max(0, state.reportedLoad * (1 - age));
 }
 
--- a/src/core/write-id.ts
+++ b/src/core/write-id.ts
@@ -1,16 +1,16 @@
 /**
- * A unique id inside each written document, so that a writer whose reply was
- * lost can tell its own write from another's by reading back.
+ * A unique id in each written document. A writer whose reply was lost reads the
+ * document back and recognises its own write by this id.
  */
 
 const WRITE_ID_FIELD = 'writeId';
 
-/** A document with a write id. */
+/** Adds a write id to a document. */
 export function withWriteId(document: object, writeId: string): object {
   return { ...document, [WRITE_ID_FIELD]: writeId };
 }
 
-/** A stored document as operators wrote it. */
+/** Removes the write id from a stored document, which gives the document as the operator wrote it. */
 export function withoutWriteId(value: unknown): unknown {
   if (typeof value !== 'object' || value === null) return value;
   return Object.fromEntries(Object.entries(value).filter(([key]) => key !== WRITE_ID_FIELD));
