--- a/src/core/ownership-lease.ts
+++ b/src/core/ownership-lease.ts
@@ -1,7 +1,7 @@
 /**
  * Limits how long an owner may send orders to backends that do not check epochs. Such backends would
  * accept orders of a former owner, so an owner sends orders only while it holds a proof, younger than
- * LEASE_MS, that no other daemon had claimed the service after it. A new owner sends no order for
+ * ORDER_LEASE_MS, that no other daemon had claimed the service after it. A new owner sends no order for
  * TAKEOVER_DELAY_MS after its claim. A proof is dated by the time at which its request was sent, so no
  * clocks of two machines are compared and the latency of a response never extends the lease. The model
  * is `spec/ownership.pml`. Performs no I/O. Times are milliseconds: ages of proofs by the lease clock, which counts
--- a/test/core/configuration-lease.test.ts
+++ b/test/core/configuration-lease.test.ts
@@ -2,11 +2,11 @@
 import { ConfigurationLease } from '../../src/core/configuration-lease.js';
 
 describe('ConfigurationLease', () => {
-  it('is infinitely old until a proof has come', () => {
+  it('has infinite age before the first proof', () => {
     expect(new ConfigurationLease().ageMs(1_000)).toBe(Infinity);
   });
 
-  it('only becomes newer: a late answer takes nothing back', () => {
+  it('ignores a late proof that is older than the current one', () => {
     const lease = new ConfigurationLease();
     lease.configured(3);
     lease.prove({ version: 3, provenAt: 100 });
@@ -14,7 +14,7 @@
     expect(lease.ageMs(150)).toBe(50);
   });
 
-  it('does not count a proof of a configuration that is not in force yet', () => {
+  it('does not count a proof for a configuration that is not in force yet', () => {
     const lease = new ConfigurationLease();
     lease.configured(3);
     lease.prove({ version: 3, provenAt: 100 });
@@ -24,7 +24,7 @@
     expect(lease.ageMs(1_000)).toBe(100);
   });
 
-  it('counts a proof of an older configuration: a newer one holds all that it held', () => {
+  it('counts a proof for an older configuration than the one in force', () => {
     const lease = new ConfigurationLease();
     lease.configured(5);
     lease.prove({ version: 3, provenAt: 100 });
--- a/test/core/crash-records.test.ts
+++ b/test/core/crash-records.test.ts
@@ -11,7 +11,7 @@
 }
 
 describe('CrashRecords', () => {
-  it('condemns what three starts of backends have crashed under, each counted once', () => {
+  it('condemns a request after crashes of three backend starts, each counted once', () => {
     const records = withCrashes([
       [A, '1'],
       [A, '2'],
@@ -24,7 +24,7 @@
     expect(records.verdict(B)).toBe('sound');
   });
 
-  it('does not condemn with it what ran beside, also three times, once it has met one crash more', () => {
+  it('clears a request that ran beside another in three crashes once the other has one crash more', () => {
     const records = withCrashes(
       ['1', '2', '3'].flatMap((start) => [[A, start] as const, [B, start] as const]),
     );
@@ -35,7 +35,7 @@
     expect(records.crashesOf(B)).toBe(0);
   });
 
-  it('does not condemn what ran beside it twice', () => {
+  it('does not condemn a request that ran beside the condemned one in two crashes', () => {
     const records = withCrashes([
       [A, '1'],
       [B, '2'],
@@ -47,12 +47,12 @@
     expect(records.verdict(B)).toBe('sound');
   });
 
-  it('holds nothing against what has been answered since', () => {
+  it('attributes no earlier crashes to a request that was answered later', () => {
     const records = withCrashes([
       [A, '1'],
       [A, '2'],
     ]);
-    const told = records.noteAnswer(A, 1);
+    const answered = records.noteAnswer(A, 1);
     expect(records.verdict(A)).toBe('sound');
     records.noteCrash(A, '3', 2);
     expect(records.verdict(A)).toBe('sound');
@@ -61,12 +61,12 @@
       [A, '2'],
       [A, '4'],
     ]);
-    other.hear([told!], 3);
+    other.hear([answered!], 3);
     expect(other.crashesOf(A)).toBe(1);
     expect(records.noteAnswer(C, 3)).toBeUndefined();
   });
 
-  it('forgets what is not heard of for ten minutes, and no earlier what comes again', () => {
+  it('deletes a record ten minutes after the last crash or repeat, not earlier', () => {
     const records = withCrashes([
       [A, '1'],
       [B, '1'],
@@ -80,7 +80,7 @@
     expect(records.hear([late], 600_000)).toEqual([]);
   });
 
-  it('stays bounded, and keeps what has met most crashes', () => {
+  it('limits the number of records and keeps those with the most crashes', () => {
     const records = withCrashes([
       [A, '1'],
       [A, '2'],
@@ -93,7 +93,7 @@
     expect(records.verdict(A)).toBe('condemned');
   });
 
-  it('is the same in whatever order, and however often, it is told', () => {
+  it('reaches the same state regardless of the order and repetition of merged records', () => {
     const record = fc.record({
       digest: fc.constantFrom(A, B, C),
       starts: fc.array(fc.constantFrom('1', '2', '3', '4'), { maxLength: 3 }),
@@ -101,11 +101,11 @@
       ageMs: fc.nat(1_000),
     });
     fc.assert(
-      fc.property(fc.array(record, { maxLength: 8 }), fc.func(fc.nat()), (told, order) => {
+      fc.property(fc.array(record, { maxLength: 8 }), fc.func(fc.nat()), (received, order) => {
         const one = new CrashRecords();
-        for (const entry of told) one.hear([entry], 0);
+        for (const entry of received) one.hear([entry], 0);
         const other = new CrashRecords();
-        const shuffled = [...told, ...told].sort((x, y) => order(x) - order(y));
+        const shuffled = [...received, ...received].sort((x, y) => order(x) - order(y));
         other.hear(shuffled, 0);
         expect(other.stateDigest()).toBe(one.stateDigest());
         for (const digest of [A, B, C]) expect(other.verdict(digest)).toBe(one.verdict(digest));
@@ -113,19 +113,19 @@
     );
   });
 
-  it('bears thousands of requests that have met crashes, looked at ten times a second', () => {
+  it('evaluates thousands of records ten times within 200 ms', () => {
     const records = new CrashRecords();
     for (let index = 0; index < 2_048; index++) {
       const digest = index.toString(16).padStart(32, '0');
       for (const start of [0, 1, 2]) records.noteCrash(digest, `${(index + start) % 700}`, 0);
     }
-    const begun = performance.now();
-    for (let look = 0; look < 10; look++) records.condemned();
-    expect(performance.now() - begun).toBeLessThan(200);
+    const startedAt = performance.now();
+    for (let evaluation = 0; evaluation < 10; evaluation++) records.condemned();
+    expect(performance.now() - startedAt).toBeLessThan(200);
     expect(records.condemned()).toHaveLength(2_048);
   });
 
-  it('keeps nothing of records that hold nothing, however many come', () => {
+  it('ignores records without crashes, so that they use no memory', () => {
     const records = new CrashRecords();
     for (let index = 0; index < 3_000; index++) {
       records.hear([{ digest: `${index}`, starts: [], excused: [], ageMs: 0 }], 0);
--- a/test/core/declared-leavings.test.ts
+++ b/test/core/declared-leavings.test.ts
@@ -2,7 +2,7 @@
 import { DeclaredLeavings } from '../../src/core/declared-leavings.js';
 
 describe('DeclaredLeavings', () => {
-  it('tells starts of one id apart, and keeps each', () => {
+  it('distinguishes the starts of one id and keeps all of them', () => {
     const leavings = new DeclaredLeavings();
     expect(leavings.note({ id: 'a', start: '1' })).toBe(true);
     expect(leavings.note({ id: 'a', start: '1' })).toBe(false);
@@ -12,7 +12,7 @@
     expect(leavings.has({ id: 'b' })).toBe(false);
   });
 
-  it('takes a process whose start is not known for the one that leaves', () => {
+  it('matches an unknown start with every start of the id', () => {
     const leavings = new DeclaredLeavings();
     leavings.note({ id: 'a', start: '1' });
     leavings.note({ id: 'b' });
@@ -20,7 +20,7 @@
     expect(leavings.has({ id: 'b', start: '1' })).toBe(true);
   });
 
-  it('stays bounded', () => {
+  it('limits the number of ids by dropping the oldest', () => {
     const leavings = new DeclaredLeavings();
     for (let index = 0; index < 3_000; index++) leavings.note({ id: `b${index}` });
     expect(leavings.has({ id: 'b2999' })).toBe(true);
--- a/test/core/feed.test.ts
+++ b/test/core/feed.test.ts
@@ -4,7 +4,7 @@
 const bytes = (text: string): Uint8Array => Buffer.from(text);
 
 describe('Feed', () => {
-  it('applies a step from exactly its own revision', () => {
+  it('applies a delta whose base is the current revision', () => {
     const feed = new Feed();
     const changed: string[] = [];
     const entry = { key: 'tenant/till', revision: 1, value: bytes('1') };
@@ -13,7 +13,7 @@
     expect(feed.revision).toBe(1);
   });
 
-  it('ignores a step that it already has, and asks for what is missing', () => {
+  it('rejects an old delta as old and a delta with another base as a gap', () => {
     const feed = new Feed();
     feed.applyDelta(0, 5, [], () => {});
     expect(feed.applyDelta(3, 5, [], () => {})).toBe('old');
@@ -22,7 +22,7 @@
     expect(feed.revision).toBe(5);
   });
 
-  it('never steps to a lower revision by a late snapshot', () => {
+  it('does not return to a lower revision on a late snapshot', () => {
     const feed = new Feed();
     const newer = { key: 'tenant/till', revision: 9, value: bytes('new') };
     feed.applyDelta(0, 9, [newer], () => {});
@@ -31,7 +31,7 @@
     expect(feed.get('tenant/till')).toEqual(newer.value);
   });
 
-  it('tells of objects that a snapshot no longer holds', () => {
+  it('reports objects as changed that a snapshot no longer contains', () => {
     const feed = new Feed();
     feed.applyDelta(0, 1, [{ key: 'tenant/till', revision: 1, value: bytes('1') }], () => {});
     const changed: string[] = [];
--- a/test/core/member-entries.test.ts
+++ b/test/core/member-entries.test.ts
@@ -4,8 +4,8 @@
 
 const entry = (revision: number) => ({ address: 'a:1', revision });
 
-describe('entries of daemons', () => {
-  it('tell of an end when one has not been renewed for longer than its share lasts', () => {
+describe('MemberEntries', () => {
+  it('reports a daemon as ended after its entry was not renewed for longer than its share is valid', () => {
     const entries = new MemberEntries();
     entries.observe([entry(1)], 0);
     entries.observe([entry(2)], 1_000);
@@ -13,7 +13,7 @@
     expect(entries.hasEnded('a:1', RENEWAL_LAPSES_MS + 61_000)).toBe(true);
   });
 
-  it('tell of an end when one has been missing for longer than a restored store lacks it', () => {
+  it('reports a daemon as ended after its entry was missing for longer than from a restored store', () => {
     const entries = new MemberEntries();
     expect(entries.hasEnded('a:1', 0)).toBe(false);
     entries.observe([entry(1)], 0);
--- a/test/core/membership-at-size.test.ts
+++ b/test/core/membership-at-size.test.ts
@@ -10,17 +10,17 @@
 import { EnvelopeSchema } from '../../src/proto/gen/internal_pb.js';
 
 const SIZE = 330;
-/** One message of so many is measured. */
+/** The encoded size is measured for one of this many messages. */
 const SIZE_SAMPLE = 23;
-/** Between two looks of a member at its timers. */
+/** Time between two ticks of a member. */
 const TICK_MS = 100;
-/** One way between two members. */
+/** One-way latency between two members. */
 const LINK_MS = 2;
-/** Members start within so long of each other. */
+/** Members start at random times within this interval. */
 const START_SPREAD_MS = 300;
-/** A member reads the list again so long after its start. */
+/** Time after its start at which a member reads the list again. */
 const SECOND_READ_MS = 1_500;
-/** A stream that meets a loss is late by a retransmission. */
+/** Delay of a lost stream message, which is retransmitted. */
 const RETRANSMISSION_MS = 200;
 
 interface Sent {
@@ -34,12 +34,12 @@
   bytes: number;
 }
 
-/** Hundreds of members that start at once and read a list in which the later ones are missing. */
+/** Hundreds of members that start at once. Each reads a list that lacks the members that start later. */
 class StartingGroup {
   readonly totals: Totals = { messages: 0, bytes: 0 };
   private readonly members = new Map<string, Membership>();
   private readonly startAt = new Map<string, number>();
-  /** Messages under way, by the millisecond of their arrival. */
+  /** Messages in flight, by the millisecond of their arrival. */
   private readonly queue = new Map<number, Sent[]>();
   private seed = 7;
   now = 0;
@@ -62,17 +62,17 @@
     }
   }
 
-  /** Milliseconds until each running member sees so many live ones. */
+  /** Milliseconds until each running member sees `live` live members; infinite after 30 seconds. */
   timeUntilAllSee(live: number): number {
-    const begun = this.now;
+    const startedAt = this.now;
     while (!this.running().every((address) => this.live(address) === live)) {
-      if (this.now - begun > 30_000) return Infinity;
+      if (this.now - startedAt > 30_000) return Infinity;
       this.run(TICK_MS);
     }
-    return this.now - begun;
+    return this.now - startedAt;
   }
 
-  /** All processes end and start again, with the names of their former lives in the list. */
+  /** Restarts all processes; the list still contains the addresses of the former ones. */
   restartAll(): void {
     this.queue.clear();
     for (const address of this.members.keys()) {
@@ -81,17 +81,17 @@
     }
   }
 
-  /** How often a running member takes another running one for dead. */
-  wrongDeaths(): number {
+  /** Number of pairs in which a running member considers another running one dead. */
+  falseDeaths(): number {
     const running = new Set(this.running());
-    let wrong = 0;
+    let falseCount = 0;
     for (const address of running) {
       const dead = this.member(address)
         .all()
         .filter((view) => view.state === 'dead' && running.has(view.address));
-      wrong += dead.length;
+      falseCount += dead.length;
     }
-    return wrong;
+    return falseCount;
   }
 
   private start(address: string, incarnation: number): Membership {
@@ -120,7 +120,7 @@
     this.send(address, member.handle({ type: 'tick' }, this.now));
   }
 
-  /** Members enter the list when they first start, and a kill takes nobody out. */
+  /** Members are listed from their first start on; a killed process stays listed. */
   private listed(): string[] {
     return [...this.members.keys()].filter((address) => {
       return this.member(address).own.incarnation > 1 || this.startOf(address) <= this.now;
@@ -152,7 +152,7 @@
 
   private count(from: string, effect: Exclude<MembershipEffect, { type: 'changed' }>): void {
     this.totals.messages += 1;
-    // Sizes of a few stand for all: encoding takes most of the test's time otherwise.
+    // Measures only a sample of the messages, because encoding all would take most of the test's time.
     if (this.totals.messages % SIZE_SAMPLE !== 0) return;
     const isStream = effect.type === 'send_state';
     const body = isStream ? encodeState(effect.message) : encodeProbe(effect.message);
@@ -174,7 +174,7 @@
     return this.startAt.get(address) ?? Infinity;
   }
 
-  /** The same numbers in each run. */
+  /** Deterministic pseudo-random numbers, the same in each run. */
   private random(): number {
     this.seed = (Math.imul(this.seed, 1_664_525) + 1_013_904_223) >>> 0;
     return this.seed / 2 ** 32;
@@ -182,15 +182,15 @@
 }
 
 describe('330 members', () => {
-  it('are whole at all of them within two seconds of the last start', () => {
+  it('all see each other within two seconds of the last start', () => {
     const group = new StartingGroup(0);
     group.run(START_SPREAD_MS);
     expect(group.timeUntilAllSee(SIZE)).toBeLessThanOrEqual(2_000);
-    // A start costs each member at most 0.7 s of a link of 1 Mbit/s.
+    // Traffic per member during a start: 90,000 bytes occupy a link of 1 Mbit/s for about 0.7 s.
     expect(group.totals.bytes / SIZE).toBeLessThan(90_000);
   });
 
-  it('are whole again within two seconds after all have lost power', () => {
+  it('all see each other again within two seconds after a power loss of all', () => {
     const group = new StartingGroup(0);
     group.run(3_000);
     group.restartAll();
@@ -198,11 +198,11 @@
     expect(group.timeUntilAllSee(SIZE)).toBeLessThanOrEqual(2_000);
   });
 
-  it('are whole within two seconds, and take nobody for dead, while a message in twenty is lost', () => {
+  it('all see each other within two seconds and consider no running member dead at 5% message loss', () => {
     const group = new StartingGroup(0.05);
     group.run(START_SPREAD_MS);
     expect(group.timeUntilAllSee(SIZE)).toBeLessThanOrEqual(2_000);
     group.run(3_000);
-    expect(group.wrongDeaths()).toBe(0);
+    expect(group.falseDeaths()).toBe(0);
   }, 60_000);
 });
--- a/test/core/membership.test.ts
+++ b/test/core/membership.test.ts
@@ -15,7 +15,7 @@
   constructor(size: number) {
     const addresses = Array.from({ length: size }, (_, index) => `m${index}`);
     for (const address of addresses) {
-      const place = {
+      const view = {
         address,
         zone: 'z',
         site: 's',
@@ -23,7 +23,7 @@
         state: 'alive' as const,
         capacity: 0,
       };
-      const member = new Membership(place);
+      const member = new Membership(view);
       member.handle({ type: 'seeds', addresses }, this.now);
       this.members.set(address, member);
     }
@@ -67,13 +67,13 @@
 }
 
 describe('Membership', () => {
-  it('finds all members from seeds', () => {
+  it('finds all members from the seeds', () => {
     const group = new Group(12);
     group.run(5_000);
     for (const address of group.members.keys()) expect(group.live(address)).toBe(12);
   });
 
-  it('finds a dead member within three seconds, and a returned one after that', () => {
+  it('detects a dead member within three seconds, and its return within four', () => {
     const group = new Group(8);
     group.run(4_000);
     group.down.add('m3');
@@ -84,7 +84,7 @@
     expect(group.live('m0')).toBe(8);
   });
 
-  it('keeps a member that only one other cannot reach', () => {
+  it('keeps a member that only one other member cannot reach', () => {
     const group = new Group(6);
     group.run(4_000);
     group.cut.add('m0>m1');
@@ -94,7 +94,7 @@
     expect(group.live('m2')).toBe(6);
   });
 
-  it('takes a leaving member out of the duties at once', () => {
+  it('removes a leaving member from the live members at once and keeps it reachable', () => {
     const group = new Group(5);
     group.run(4_000);
     group.leave('m2');
--- a/test/core/ownership-lease.test.ts
+++ b/test/core/ownership-lease.test.ts
@@ -15,27 +15,33 @@
     lease.begin({ askedAt: ASKED_AT, answeredAt: ANSWERED_AT, isHandedOver });
   }
 
-  it('allows nothing before a claim is won', () => {
+  it('allows no order before a claim succeeds', () => {
     lease.prove(ASKED_AT);
     expect(lease.holds(ASKED_AT, ASKED_AT)).toBe(false);
   });
 
-  it('allows no order until the former owner can have none on its way', () => {
+  it('allows no order while one of the former owner may still be in flight', () => {
     begin(false);
-    const first = ANSWERED_AT + HAND_OVER_MS;
-    lease.prove(first - 10);
-    expect([first - 1, first].map((now) => lease.holds(now, now))).toEqual([false, true]);
+    const firstOrderAt = ANSWERED_AT + HAND_OVER_MS;
+    lease.prove(firstOrderAt - 10);
+    expect([firstOrderAt - 1, firstOrderAt].map((now) => lease.holds(now, now))).toEqual([
+      false,
+      true,
+    ]);
     expect(HAND_OVER_MS).toBeGreaterThan(HOLD_MS);
   });
 
-  it('waits only for orders on their way after a hand-over', () => {
+  it('waits only for orders in flight after a hand-over', () => {
     begin(true);
     lease.prove(ANSWERED_AT + 700);
-    const first = ANSWERED_AT + HAND_OVER_MS - HOLD_MS;
-    expect([first - 1, first].map((now) => lease.holds(now, now))).toEqual([false, true]);
+    const firstOrderAt = ANSWERED_AT + HAND_OVER_MS - HOLD_MS;
+    expect([firstOrderAt - 1, firstOrderAt].map((now) => lease.holds(now, now))).toEqual([
+      false,
+      true,
+    ]);
   });
 
-  it('counts a proof from its question, and never steps back to an older one', () => {
+  it('dates a proof by its request and ignores an older proof', () => {
     begin(true);
     lease.prove(5_000);
     lease.prove(4_000);
@@ -43,19 +49,19 @@
     expect(lease.holds(5_000 + HOLD_MS + 1, 9_000)).toBe(false);
   });
 
-  it('waits again after each claim', () => {
+  it('delays the first order again after each claim', () => {
     begin(true);
     begin(false);
     lease.prove(ANSWERED_AT + 100);
     expect(lease.holds(ANSWERED_AT + 200, ANSWERED_AT + 200)).toBe(false);
   });
 
-  it('ends by the clock that counts a suspension, and waits by the one that does not', () => {
+  it('expires by the lease clock, which counts suspension, and delays by the steady clock', () => {
     begin(false);
-    const waited = ANSWERED_AT + HAND_OVER_MS;
-    lease.prove(waited);
-    expect(lease.holds(waited + HOLD_MS + 1, waited)).toBe(false);
-    lease.prove(waited + 5_000);
-    expect(lease.holds(waited + 5_000, waited - 1)).toBe(false);
+    const delayEndsAt = ANSWERED_AT + HAND_OVER_MS;
+    lease.prove(delayEndsAt);
+    expect(lease.holds(delayEndsAt + HOLD_MS + 1, delayEndsAt)).toBe(false);
+    lease.prove(delayEndsAt + 5_000);
+    expect(lease.holds(delayEndsAt + 5_000, delayEndsAt - 1)).toBe(false);
   });
 });
--- a/test/core/quota.test.ts
+++ b/test/core/quota.test.ts
@@ -19,13 +19,13 @@
     expect(granted(record)).toBe(3);
   });
 
-  it('changes nothing when the record already says what is wished', () => {
-    const wish = { tenant: 'till', maxReplicas: 3, sites: [] };
-    const record = reconcileQuota(wish, POOLS, undefined);
-    expect(reconcileQuota(wish, POOLS, record)).toBeUndefined();
+  it('returns undefined when the record already matches the settings', () => {
+    const spec = { tenant: 'till', maxReplicas: 3, sites: [] };
+    const record = reconcileQuota(spec, POOLS, undefined);
+    expect(reconcileQuota(spec, POOLS, record)).toBeUndefined();
   });
 
-  it('gives a site with weight 0 nothing', () => {
+  it('gives no replicas to a site with weight 0', () => {
     const sites = [
       { site: 'old', weight: 1 },
       { site: 'new', weight: 0 },
@@ -34,23 +34,23 @@
     expect(record?.shares.map((share) => share.pool)).not.toContain('new-a');
   });
 
-  it('moves a replica between sites only after the giving pool has confirmed', () => {
+  it('moves a replica between sites only after the losing pool has confirmed', () => {
     const before: QuotaRecord = {
       tenant: 'till',
       shares: [{ pool: 'old-a', granted: 1, target: 1 }],
     };
     const sites = [{ site: 'new', weight: 1 }];
-    const wish = { tenant: 'till', maxReplicas: 1, sites };
-    const first = reconcileQuota(wish, POOLS, before);
-    const taking = first?.shares.find((share) => share.pool === 'new-a');
-    expect(taking).toEqual({ pool: 'new-a', granted: 0, target: 1 });
+    const spec = { tenant: 'till', maxReplicas: 1, sites };
+    const first = reconcileQuota(spec, POOLS, before);
+    const gaining = first?.shares.find((share) => share.pool === 'new-a');
+    expect(gaining).toEqual({ pool: 'new-a', granted: 0, target: 1 });
     expect(allowedReplicas(first?.shares.find((share) => share.pool === 'old-a'))).toBe(0);
     const confirmed = acknowledgeShrink(first as QuotaRecord, 'old-a');
-    const second = reconcileQuota(wish, POOLS, confirmed);
+    const second = reconcileQuota(spec, POOLS, confirmed);
     expect(second?.shares).toEqual([{ pool: 'new-a', granted: 1, target: 1 }]);
   });
 
-  it('never grants more than the cap, whatever the order of wishes and confirmations', () => {
+  it('never grants more than the cap in any order of settings and confirmations', () => {
     const step = fc.oneof(
       fc.record({ cap: fc.integer({ min: 0, max: 5 }), old: fc.nat(2), fresh: fc.nat(2) }),
       fc.record({ confirm: fc.constantFrom('old-a', 'old-b', 'new-a') }),
@@ -68,9 +68,9 @@
             { site: 'new', weight: next.fresh },
           ];
           const before = granted(record);
-          const wish = { tenant: 'till', maxReplicas: next.cap, sites };
-          record = reconcileQuota(wish, POOLS, record) ?? record;
-          // A lower cap takes effect as the pools confirm; until then nothing is added.
+          const spec = { tenant: 'till', maxReplicas: next.cap, sites };
+          record = reconcileQuota(spec, POOLS, record) ?? record;
+          // After the cap is lowered, grants above it remain until the pools confirm, but none is added.
           expect(granted(record)).toBeLessThanOrEqual(Math.max(next.cap, before));
         }
       }),
--- a/test/core/recent-changes.test.ts
+++ b/test/core/recent-changes.test.ts
@@ -4,7 +4,7 @@
 const end = (id: string) => ({ id, revision: 1 });
 
 describe('RecentChanges', () => {
-  it('tells a change until its time is over', () => {
+  it('returns a change until its retention time has passed', () => {
     const recent = new RecentChanges();
     recent.note({ ended: [end('a')], started: [] }, 0);
     recent.note({ ended: [end('b')], started: [] }, 2_000);
@@ -13,12 +13,12 @@
     expect(recent.all(9_000)).toEqual({ ended: [], started: [] });
   });
 
-  it('keeps the newest changes when very many come at once', () => {
+  it('keeps the newest changes when more than the limit come at once', () => {
     const recent = new RecentChanges();
     const ended = Array.from({ length: 2_000 }, (_, index) => end(String(index)));
     recent.note({ ended, started: [] }, 0);
-    const told = recent.all(1).ended;
-    expect(told.length).toBeLessThanOrEqual(500);
-    expect(told.at(-1)).toEqual(end('1999'));
+    const kept = recent.all(1).ended;
+    expect(kept.length).toBeLessThanOrEqual(500);
+    expect(kept.at(-1)).toEqual(end('1999'));
   });
 });
