--- a/src/core/crash-records.ts
+++ b/src/core/crash-records.ts
@@ -101,10 +101,10 @@
   crashesOf(digest: string): number {
     const known = this.known.get(digest);
     if (known === undefined) return 0;
-    const own = attributedStarts(known);
-    if (own.length < SUSPECT_MIN_CRASHES) return own.length;
+    const attributed = attributedStarts(known);
+    if (attributed.length < SUSPECT_MIN_CRASHES) return attributed.length;
     const most = this.mostCrashesByStart();
-    return own.filter((start) => (most.get(start) ?? 0) <= own.length).length;
+    return attributed.filter((start) => (most.get(start) ?? 0) <= attributed.length).length;
   }
 
   /** Digests of the requests that are refused. */
--- a/src/core/duties.ts
+++ b/src/core/duties.ts
@@ -41,8 +41,8 @@
   members: readonly DutyMember[],
   listed: readonly DutyMember[],
 ): boolean {
-  const isThere = (member: DutyMember): boolean => member.site === pool.site;
-  return seesHalf(members.filter(isThere), listed.filter(isThere));
+  const isInSite = (member: DutyMember): boolean => member.site === pool.site;
+  return seesHalf(members.filter(isInSite), listed.filter(isInSite));
 }
 
 /** Whether the live members are at least half of those that the platform lists. */
@@ -81,14 +81,17 @@
   readersPerZone: number,
   upstreams: number,
 ): string[] {
-  const own = readersOf(self.zone, members, readersPerZone);
-  const isReader = own.includes(self.address);
-  const near = own.filter((address) => address !== self.address);
-  if (!isReader && near.length > 0) return near.slice(0, upstreams);
-  // A reader also follows readers in other zones, which may reach the platform when it cannot.
+  const readersInZone = readersOf(self.zone, members, readersPerZone);
+  const isReader = readersInZone.includes(self.address);
+  const otherReadersInZone = readersInZone.filter((address) => address !== self.address);
+  if (!isReader && otherReadersInZone.length > 0) return otherReadersInZone.slice(0, upstreams);
+  // A reader also receives the configuration from readers in other zones, which may reach the platform when it cannot.
   const zones = [...new Set(members.map((member) => member.zone))].filter((z) => z !== self.zone);
-  const far = zones.flatMap((zone) => readersOf(zone, members, 1));
-  return [...near, ...rankCandidates(self.address, far)].slice(0, upstreams);
+  const readersElsewhere = zones.flatMap((zone) => readersOf(zone, members, 1));
+  return [...otherReadersInZone, ...rankCandidates(self.address, readersElsewhere)].slice(
+    0,
+    upstreams,
+  );
 }
 
 /** The quota partition of a tenant. */
@@ -123,8 +126,8 @@
     zones.add(zoneOf.get(address));
     chosen.push(address);
   }
-  const rest = ranked.filter((address) => !chosen.includes(address));
-  return [...chosen, ...rest].slice(0, count);
+  const remaining = ranked.filter((address) => !chosen.includes(address));
+  return [...chosen, ...remaining].slice(0, count);
 }
 
 function addressesOf(members: readonly DutyMember[]): string[] {
--- a/src/core/member-entries.ts
+++ b/src/core/member-entries.ts
@@ -19,7 +19,7 @@
 interface ObservedEntry {
   revision: StorePosition;
   /** Time at which this revision was first read. */
-  since: number;
+  unchangedSince: number;
 }
 
 /** The entries that one daemon has read, and when they last changed. */
@@ -37,7 +37,8 @@
     for (const { address, revision } of list) {
       this.missingSince.delete(address);
       const known = this.entries.get(address);
-      if (known?.revision !== revision) this.entries.set(address, { revision, since: now });
+      if (known?.revision !== revision)
+        this.entries.set(address, { revision, unchangedSince: now });
     }
     this.hasObserved = true;
   }
@@ -46,7 +47,7 @@
   hasEnded(address: string, now: number): boolean {
     if (!this.hasObserved) return false;
     const entry = this.entries.get(address);
-    if (entry !== undefined) return now - entry.since >= UNCHANGED_TIMEOUT_MS;
+    if (entry !== undefined) return now - entry.unchangedSince >= UNCHANGED_TIMEOUT_MS;
     return now - this.markMissing(address, now) >= MISSING_TIMEOUT_MS;
   }
 
--- a/src/core/membership.ts
+++ b/src/core/membership.ts
@@ -310,7 +310,7 @@
   private acknowledge(from: string, sequence: number, now: number): void {
     const updates = this.takeUpdates(from);
     this.send(from, { type: 'ack', sequence, updates });
-    // Probes a sender that is new, or that this daemon holds for dead, to make it a member.
+    // Probes a sender that is new, or that this daemon considers dead, to make it a member.
     if (this.isUnknownOrDead(from)) this.probe(from, now);
   }
 
