--- a/src/core/admission/limit-shares.ts
+++ b/src/core/admission/limit-shares.ts
@@ -67,7 +67,7 @@
     return this.known;
   }
 
-  /** Whether this process has read the record from the store since its start. */
+  /** Whether this process has read the store since its start, with or without a record in it. */
   get isRead(): boolean {
     return this.hasRead;
   }
