--- a/src/core/answer-budget.ts
+++ b/src/core/answer-budget.ts
@@ -1,166 +1,184 @@
 /**
- * How much of the backends' answers, and of requests' bodies, a daemon holds in memory, and which callers
- * are ended when that is too much: those that would need longest to read what is held for them. An answer is
- * read on from its backend whether its caller reads or not, so that a slow caller costs memory here and
- * nothing at the backend. Pure; times are milliseconds of a steady clock.
+ * Limits how much memory a daemon uses to buffer backend answers and request bodies. When a limit is
+ * exceeded, it selects the callers to disconnect: those that need the longest to read their buffered data.
+ * The daemon keeps reading an answer from the backend while the caller is slow, so a slow caller costs
+ * memory in the daemon and nothing at the backend. Pure; times are milliseconds of a monotonic clock.
  */
 
-/** A caller that has fallen behind for less is waited for; a backend bears a pause of that length in its turn. */
-const GRACE_MS = 1_000;
-/** A caller that has read no byte of a finished or open answer for so long does not read any more. */
-const READS_NOTHING_MS = 30_000;
-/** Up to so much is unread on a healthy connection: its caller is not behind. */
-const CAUGHT_UP_BYTES = 16 * 1024;
+/** Minimum time behind before a caller is disconnected. A backend tolerates a read pause of this length. */
+const MIN_BEHIND_MS = 1_000;
+/** A caller that has read no byte of its answer, complete or not, for this time is treated as stalled. */
+const STALLED_READ_MS = 30_000;
+/** Unread bytes that a healthy connection may have; a caller with no more than this is not behind. */
+const MAX_HEALTHY_UNREAD_BYTES = 16 * 1024;
 
-/** Bytes that may be held. */
+/** Limits, in bytes, on buffered data. */
 export interface AnswerRoom {
-  /** For one stream whose caller reads slowly. */
+  /** Limit for one streamed answer. */
   readonly requestBytes: number;
-  /** For all answers and bodies together. */
+  /** Limit for all answers and request bodies of the daemon together. */
   readonly daemonBytes: number;
 }
 
-/** How far a caller has read. */
+/** How much of its answer a caller has read. */
 export interface CallerProgress {
-  /** Bytes of the answer that were written for it so far. */
+  /** Bytes of the answer written to the caller's connection so far. */
   readonly writtenBytes: number;
-  /** Those of them that this daemon still holds. */
+  /** Written bytes that are still buffered in this daemon. */
   readonly unreadBytes: number;
-  /** The answer is a stream, passed on as it comes; else it was whole before its first byte was sent. */
+  /** True if the answer is forwarded as it arrives; false if it was complete before its first byte was sent. */
   readonly isStream: boolean;
 }
 
-/** Why a caller is ended. */
+/** Why a caller is disconnected. */
 export type SlownessReason = 'request_room' | 'daemon_room' | 'reads_nothing';
 
-/** A caller that is to be ended now. */
+/** A caller to disconnect now. */
 export interface SlowCaller {
   readonly id: number;
   readonly reason: SlownessReason;
   readonly unreadBytes: number;
-  /** Since when more was unread than a healthy connection holds. */
+  /** Milliseconds for which the caller has had more unread bytes than a healthy connection has. */
   readonly behindMs: number;
-  /** Bytes that it has read in that time. */
+  /** Bytes that the caller has read in that time. */
   readonly readBytes: number;
 }
 
-interface Account extends CallerProgress {
-  /** Undefined while it has caught up. */
+interface CallerAccount extends CallerProgress {
+  /** When the caller fell behind; undefined while it is not behind. */
   readonly behindSince: number | undefined;
-  /** Bytes that it had read then. */
-  readonly readAtSince: number;
-  /** When it had last read anything. */
+  /** Bytes that the caller had read at `behindSince`. */
+  readonly readBytesAtBehindStart: number;
+  /** When the caller last read any byte. */
   readonly lastReadAt: number;
 }
 
-/** The bytes that one daemon holds. */
+/** Tracks the bytes that one daemon buffers. */
 export class AnswerBudget {
-  private readonly accounts = new Map<number, Account>();
-  private unread = 0;
-  /** Bodies of requests, and answers that are gathered until they are whole. */
-  private gathered = 0;
+  private readonly accounts = new Map<number, CallerAccount>();
+  private totalUnreadBytes = 0;
+  /** Bytes of request bodies, and of answers that are buffered until they are complete. */
+  private bufferedBytes = 0;
 
-  constructor(private readonly room: AnswerRoom) {}
+  constructor(private readonly limits: AnswerRoom) {}
 
-  /** All bytes that are held. */
+  /** All bytes that the daemon buffers. */
   get heldBytes(): number {
-    return this.unread + this.gathered;
+    return this.totalUnreadBytes + this.bufferedBytes;
   }
 
-  /** Callers that have not read all that was written for them. */
+  /** Number of callers with unread bytes. */
   get unreadCallers(): number {
     let callers = 0;
     for (const { unreadBytes } of this.accounts.values()) if (unreadBytes > 0) callers += 1;
     return callers;
   }
 
-  /** Holds further bytes of a body or of an answer that is gathered; fewer if negative. */
+  /** Adds bytes of a request body or a buffered answer; a negative number releases bytes. */
   hold(bytes: number): void {
-    this.gathered += bytes;
+    this.bufferedBytes += bytes;
   }
 
-  /** Takes a caller's progress. Returns false while its backend should not be read on. */
+  /** Records a caller's progress. Returns false if reading from its backend should pause. */
   note(id: number, progress: CallerProgress, now: number): boolean {
     const known = this.accounts.get(id);
-    this.unread += progress.unreadBytes - (known?.unreadBytes ?? 0);
-    this.accounts.set(id, accountOf(known, progress, now));
-    if (progress.unreadBytes <= CAUGHT_UP_BYTES) return true;
-    return progress.unreadBytes <= this.room.requestBytes && !this.isFull;
+    this.totalUnreadBytes += progress.unreadBytes - (known?.unreadBytes ?? 0);
+    this.accounts.set(id, updatedAccount(known, progress, now));
+    if (progress.unreadBytes <= MAX_HEALTHY_UNREAD_BYTES) return true;
+    return progress.unreadBytes <= this.limits.requestBytes && !this.isFull;
   }
 
-  /** An answer has ended, or its caller has left. */
+  /** Removes a caller whose answer has ended or who has disconnected. */
   release(id: number): void {
     const known = this.accounts.get(id);
     if (known === undefined) return;
-    this.unread -= known.unreadBytes;
+    this.totalUnreadBytes -= known.unreadBytes;
     this.accounts.delete(id);
   }
 
-  /** Callers that are to be ended now, the slowest first; they count no more. */
+  /** Removes the callers to disconnect now from the budget and returns them, slowest first. */
   takeTooSlow(now: number): SlowCaller[] {
-    const behind = [...this.accounts].sort((a, b) => restMs(b[1], now) - restMs(a[1], now));
-    const ended: SlowCaller[] = [];
-    for (const [id, account] of behind) {
-      const reason = this.reasonToEnd(account, now);
+    const slowestFirst = [...this.accounts].sort(
+      (a, b) => remainingReadMs(b[1], now) - remainingReadMs(a[1], now),
+    );
+    const removed: SlowCaller[] = [];
+    for (const [id, account] of slowestFirst) {
+      const reason = this.slownessReason(account, now);
       if (reason === undefined) continue;
-      ended.push(slowCaller(id, account, reason, now));
+      removed.push(slowCaller(id, account, reason, now));
       this.release(id);
     }
-    return ended;
+    return removed;
   }
 
   private get isFull(): boolean {
-    return this.heldBytes > this.room.daemonBytes;
+    return this.heldBytes > this.limits.daemonBytes;
   }
 
-  private reasonToEnd(account: Account, now: number): SlownessReason | undefined {
+  private slownessReason(account: CallerAccount, now: number): SlownessReason | undefined {
     const { behindSince, unreadBytes, isStream, lastReadAt } = account;
-    if (unreadBytes > 0 && now - lastReadAt >= READS_NOTHING_MS) return 'reads_nothing';
-    if (behindSince === undefined || now - behindSince < GRACE_MS) return undefined;
-    if (isStream && unreadBytes > this.room.requestBytes) return 'request_room';
+    if (unreadBytes > 0 && now - lastReadAt >= STALLED_READ_MS) return 'reads_nothing';
+    if (behindSince === undefined || now - behindSince < MIN_BEHIND_MS) return undefined;
+    if (isStream && unreadBytes > this.limits.requestBytes) return 'request_room';
     return this.isFull ? 'daemon_room' : undefined;
   }
 }
 
-function accountOf(known: Account | undefined, progress: CallerProgress, now: number): Account {
+function updatedAccount(
+  known: CallerAccount | undefined,
+  progress: CallerProgress,
+  now: number,
+): CallerAccount {
   const read = readBytes(progress);
   const hasRead = known === undefined || read > readBytes(known) || known.unreadBytes === 0;
   const lastReadAt = hasRead ? now : known.lastReadAt;
-  const isBehind = progress.unreadBytes > CAUGHT_UP_BYTES;
-  if (!isBehind) return { ...progress, behindSince: undefined, readAtSince: read, lastReadAt };
+  const isBehind = progress.unreadBytes > MAX_HEALTHY_UNREAD_BYTES;
+  if (!isBehind)
+    return { ...progress, behindSince: undefined, readBytesAtBehindStart: read, lastReadAt };
   if (known?.behindSince === undefined) {
-    return { ...progress, behindSince: now, readAtSince: read, lastReadAt };
+    return { ...progress, behindSince: now, readBytesAtBehindStart: read, lastReadAt };
   }
-  const { behindSince, readAtSince } = known;
-  return { ...progress, behindSince, readAtSince, lastReadAt };
+  const { behindSince, readBytesAtBehindStart } = known;
+  return { ...progress, behindSince, readBytesAtBehindStart, lastReadAt };
 }
 
 function readBytes({ writtenBytes, unreadBytes }: CallerProgress): number {
   return writtenBytes - unreadBytes;
 }
 
-/** Milliseconds that a caller needs for what it has not read, at the pace since it fell behind. */
-function restMs(account: Account, now: number): number {
-  const { behindSince, unreadBytes, readAtSince } = account;
+/** Milliseconds that a caller needs to read its unread bytes at its rate since it fell behind. */
+function remainingReadMs(account: CallerAccount, now: number): number {
+  const { behindSince, unreadBytes, readBytesAtBehindStart } = account;
   if (behindSince === undefined) return 0;
-  const pace = (readBytes(account) - readAtSince) / Math.max(1, now - behindSince);
-  return pace > 0 ? unreadBytes / pace : Number.MAX_VALUE;
+  const bytesPerMs = (readBytes(account) - readBytesAtBehindStart) / Math.max(1, now - behindSince);
+  return bytesPerMs > 0 ? unreadBytes / bytesPerMs : Number.MAX_VALUE;
 }
 
-function slowCaller(id: number, account: Account, reason: SlownessReason, now: number): SlowCaller {
-  const { unreadBytes, behindSince, readAtSince } = account;
+function slowCaller(
+  id: number,
+  account: CallerAccount,
+  reason: SlownessReason,
+  now: number,
+): SlowCaller {
+  const { unreadBytes, behindSince, readBytesAtBehindStart } = account;
   const behindMs = behindSince === undefined ? 0 : now - behindSince;
-  return { id, reason, unreadBytes, behindMs, readBytes: readBytes(account) - readAtSince };
+  return {
+    id,
+    reason,
+    unreadBytes,
+    behindMs,
+    readBytes: readBytes(account) - readBytesAtBehindStart,
+  };
 }
 
-/** Share of a process's memory for answers and bodies that are held: the rest is code, heap and connections. */
-const DAEMON_SHARE = 1 / 8;
-/** Share of that for one stream: one slow caller must not use up the room of all. */
-const REQUEST_SHARE = 1 / 8;
+/** Share of process memory for buffered answers and bodies; the rest is for code, heap and connections. */
+const DAEMON_MEMORY_SHARE = 1 / 8;
+/** Share of that memory for one stream, so that one slow caller cannot use up the whole limit. */
+const REQUEST_MEMORY_SHARE = 1 / 8;
 const MEGABYTE = 1024 * 1024;
 
-/** The room of a process that may use so many megabytes of memory, of 1,024 x 1,024 bytes. */
+/** Computes the limits for a process that may use `memoryMegabytes` of memory, in units of 1,024 x 1,024 bytes. */
 export function answerRoomOf(memoryMegabytes: number): AnswerRoom {
-  const daemonBytes = memoryMegabytes * MEGABYTE * DAEMON_SHARE;
-  return { daemonBytes, requestBytes: daemonBytes * REQUEST_SHARE };
+  const daemonBytes = memoryMegabytes * MEGABYTE * DAEMON_MEMORY_SHARE;
+  return { daemonBytes, requestBytes: daemonBytes * REQUEST_MEMORY_SHARE };
 }
--- a/src/core/attempt-policy.ts
+++ b/src/core/attempt-policy.ts
@@ -1,6 +1,6 @@
 /**
- * What follows an attempt that did not end in an answer for the caller. The one
- * place that decides whether a request may be sent again. Pure.
+ * Retry policy for attempts that produced no answer for the caller. Only this
+ * module decides whether a request may be sent again. Pure.
  */
 import { mayRepeat, type Route } from './service-configuration.js';
 import type { Ran } from '../common/errors.js';
@@ -9,63 +9,69 @@
 export interface FailedAttempt {
   /** Whether the request ran at the backend. */
   readonly ran: Ran;
-  /** Whether any byte of it may have reached the backend, so that it counts as a repeated send. */
+  /** Whether any byte of the request may have reached the backend; if so, the next send counts as a retry. */
   readonly reached: boolean;
 }
 
-/** What a request has used up so far. */
+/** Attempts of one request so far. */
 export interface AttemptHistory {
-  /** Backends at which it ran or may have run. */
+  /** Number of backends at which the request ran or may have run. */
   readonly runs: number;
-  /** Times that it was sent. */
+  /** Number of times the request was sent. */
   readonly sends: number;
 }
 
-/** What to do now. */
+/** What to do after a failed attempt. */
 export type NextStep =
-  /** Send it again, to another backend where there is one. */
+  /** Send the request again, to another backend if there is one. */
   | 'retry'
   /** Give up; the request has not run. */
   | 'refuse'
   /** Give up; the request has run or may have run. */
   | 'fail';
 
-/** Sends of one request, refused ones included; keeps a storm of refusals short. */
-const MOST_SENDS = 4;
-/** A backend that has not begun to answer after so many goals is left for another, but not earlier than after: */
-const SILENT_GOALS = 2.2;
-const SHORTEST_SILENCE_MS = 250;
-/** A stream that rests for so many of its pause goals goes on elsewhere, but not earlier than after: */
-const STALLED_PAUSES = 3.5;
-const SHORTEST_STALL_MS = 600;
+/** Maximum sends of one request, including refused ones; bounds the retries when many backends refuse. */
+const MAX_SENDS = 4;
+/** First-byte timeout of an attempt, as a multiple of the route's latency goal. */
+const FIRST_BYTE_TIMEOUT_GOALS = 2.2;
+/** Lower bound of the first-byte timeout. */
+const MIN_FIRST_BYTE_TIMEOUT_MS = 250;
+/** Timeout between bytes of a stream, as a multiple of the route's pause goal. */
+const STALL_TIMEOUT_PAUSE_GOALS = 3.5;
+/** Lower bound of the timeout between bytes of a stream. */
+const MIN_STALL_TIMEOUT_MS = 600;
 
-/** Decides after a failed attempt, which `history` includes. */
+/** Decides the next step after a failed attempt; `history` includes that attempt. */
 export function afterFailure(
   route: Route,
   attempt: FailedAttempt,
   history: AttemptHistory,
 ): NextStep {
   const mayHaveRun = history.runs > 0;
-  const givenUp: NextStep = mayHaveRun && !mayRepeat(route) ? 'fail' : 'refuse';
-  if (history.sends >= MOST_SENDS) return mayHaveRun ? 'fail' : givenUp;
+  const terminalStep: NextStep = mayHaveRun && !mayRepeat(route) ? 'fail' : 'refuse';
+  if (history.sends >= MAX_SENDS) return mayHaveRun ? 'fail' : terminalStep;
   if (attempt.ran === 'no') return mayHaveRun && !mayRepeat(route) ? 'fail' : 'retry';
   if (!mayRepeat(route)) return 'fail';
   return history.runs < route.maxAttempts ? 'retry' : 'fail';
 }
 
 /**
- * Milliseconds without a first byte after which a request's backend is left for another; infinite if that is not allowed.
+ * First-byte timeout in milliseconds, after which the request is sent to another backend; infinite if it may not be
+ * sent again.
  *
- * @param runs - Backends at which the request ran before, or may have run.
+ * @param runs - Number of backends at which the request ran before or may have run.
  */
 export function silentAfterMs(route: Route, runs: number): number {
   if (!mayRepeat(route) || runs + 1 >= route.maxAttempts) return Infinity;
-  return Math.max(SHORTEST_SILENCE_MS, route.goalMs * SILENT_GOALS);
+  return Math.max(MIN_FIRST_BYTE_TIMEOUT_MS, route.goalMs * FIRST_BYTE_TIMEOUT_GOALS);
 }
 
-/** The same without a further byte of a stream, which goes on at another backend. */
+/**
+ * Timeout between two bytes of a stream in milliseconds, after which the stream resumes at another backend; infinite
+ * if it may not resume.
+ */
 export function stalledAfterMs(route: Route, runs: number): number {
   if (route.repeatability !== 'resumable_stream') return Infinity;
   if (runs + 1 >= route.maxAttempts) return Infinity;
-  return Math.max(SHORTEST_STALL_MS, route.pauseGoalMs * STALLED_PAUSES);
+  return Math.max(MIN_STALL_TIMEOUT_MS, route.pauseGoalMs * STALL_TIMEOUT_PAUSE_GOALS);
 }
--- a/src/core/backend-rate-limits.ts
+++ b/src/core/backend-rate-limits.ts
@@ -1,33 +1,34 @@
 /**
- * Rate limits that backends name in their answers, as one daemon believes them. Answers cross, and no clocks are compared:
- * a limit is lifted or raised only by an answer to a request that was sent under the present belief, and beliefs from several
- * daemons are ordered by a generation (`spec/rate-limit-news.pml`). Pure.
+ * One daemon's view of the rate limits that backends announce in their answers. Answers can arrive out of order, and
+ * clocks of different machines are not compared. Therefore only an answer to a request that was sent under the current
+ * limit may raise or remove it. A generation number orders the limits that different daemons record
+ * (`spec/rate-limit-news.pml`). Pure.
  */
 import murmurhash from 'murmurhash';
 import { readDecimal } from '../common/decimal.js';
 import { startKey } from './backend-starts.js';
 import type { BackendProcess } from './declared-leavings.js';
 
-/** Backends' processes that are remembered. */
-const MOST_REMEMBERED = 2_000;
+/** Maximum number of backend processes with a recorded limit. */
+const MAX_REMEMBERED = 2_000;
 
-/** What an answer says of its backend's limit. */
+/** The rate limit announced in one answer. */
 export type RateLimitNotice =
   | { readonly type: 'limited'; readonly perSecond: number }
   | { readonly type: 'unlimited' }
-  /** It says nothing that can be understood: what was believed before stays. */
+  /** The header cannot be parsed; the recorded limit does not change. */
   | { readonly type: 'unreadable' };
 
-/** What is believed of the limit of one process of a backend. */
+/** The recorded rate limit of one backend process. */
 export interface BelievedRateLimit {
   readonly backend: BackendProcess;
-  /** Higher in each later belief. */
+  /** Increases with each later value. */
   readonly generation: number;
-  /** Requests a second from all daemons; undefined if it names no limit any more. */
+  /** Requests per second from all daemons together; undefined if the backend no longer announces a limit. */
   readonly perSecond: number | undefined;
 }
 
-/** Reads a header with a limit; of several the lowest counts. */
+/** Parses a rate limit header; if it holds several limits, the lowest applies. */
 export function readRateLimit(header: string | undefined): RateLimitNotice {
   if (header === undefined) return { type: 'unlimited' };
   const values = header.split(',').map(readDecimal);
@@ -36,29 +37,32 @@
   return { type: 'limited', perSecond: Math.min(...limits) };
 }
 
-/** The beliefs of one daemon. */
+/** The rate limits that one daemon has recorded. */
 export class BackendRateLimits {
-  /** By {@link startKey}, those that changed longest ago first. */
+  /** Limits by {@link startKey}, least recently changed first. */
   private readonly known = new Map<string, BelievedRateLimit>();
-  private fingerprint: number | undefined = 0;
+  private cachedDigest: number | undefined = 0;
 
-  /** What is believed of a process; of one whose start is known also what was named before it was. */
+  /**
+   * Returns the recorded limit of a process. If the process has a known start but no limit of its own, the limit
+   * recorded before the start was known applies.
+   */
   of(backend: BackendProcess): BelievedRateLimit | undefined {
-    // Asked for each backend with each request; mostly none has named a limit.
+    // This runs for each backend with each request, and usually no backend has announced a limit.
     if (this.known.size === 0) return undefined;
     return this.known.get(startKey(backend)) ?? this.known.get(backend.id);
   }
 
-  /** The limit by the name under which it is kept; undefined if there is none. */
+  /** Returns the limit under a {@link startKey}; undefined if there is none. */
   perSecondOf(key: string): number | undefined {
     return this.known.get(key)?.perSecond;
   }
 
   /**
-   * Takes what an answer says.
+   * Records the limit that an answer announces.
    *
-   * @param sentUnder - What was believed when the request was sent.
-   * @returns The new belief; undefined if nothing changes.
+   * @param sentUnder - The recorded limit at the time the request was sent.
+   * @returns The new recorded limit; undefined if nothing changes.
    */
   noteAnswer(
     backend: BackendProcess,
@@ -66,58 +70,61 @@
     sentUnder: BelievedRateLimit | undefined,
   ): BelievedRateLimit | undefined {
     if (notice.type === 'unreadable') return undefined;
-    const present = this.of(backend);
+    const current = this.of(backend);
     const perSecond = notice.type === 'limited' ? notice.perSecond : undefined;
-    if (rateOf(perSecond) === rateOf(present?.perSecond)) return undefined;
-    const isStricter = rateOf(perSecond) < rateOf(present?.perSecond);
-    if (!isStricter && sentUnder !== present) return undefined;
-    const process = present?.backend ?? { ...backend };
-    const belief = { backend: process, generation: (present?.generation ?? 0) + 1, perSecond };
-    this.keep(belief);
-    return belief;
+    if (comparableRate(perSecond) === comparableRate(current?.perSecond)) return undefined;
+    const isStricter = comparableRate(perSecond) < comparableRate(current?.perSecond);
+    if (!isStricter && sentUnder !== current) return undefined;
+    const process = current?.backend ?? { ...backend };
+    const limit = { backend: process, generation: (current?.generation ?? 0) + 1, perSecond };
+    this.store(limit);
+    return limit;
   }
 
-  /** Takes what another daemon believes; returns what was new. */
+  /** Merges limits recorded by another daemon; returns those that were newer. */
   hear(beliefs: readonly BelievedRateLimit[]): BelievedRateLimit[] {
-    const news = beliefs.filter((heard) => isNewer(heard, this.known.get(startKey(heard.backend))));
-    for (const belief of news) this.keep(belief);
+    const news = beliefs.filter((received) =>
+      isNewer(received, this.known.get(startKey(received.backend))),
+    );
+    for (const limit of news) this.store(limit);
     return news;
   }
 
-  /** All that others may lack. */
+  /** All recorded limits, for other daemons to merge. */
   all(): BelievedRateLimit[] {
     return [...this.known.values()];
   }
 
-  /** The same at daemons that believe the same; 0 if nothing was ever named. */
+  /** A digest that is equal at daemons with the same recorded limits; 0 if no backend ever announced a limit. */
   stateDigest(): number {
-    this.fingerprint ??= [...this.known].reduce((sum, [key, { generation, perSecond }]) => {
+    this.cachedDigest ??= [...this.known].reduce((sum, [key, { generation, perSecond }]) => {
       return (sum ^ murmurhash.v3(`${key} ${generation} ${perSecond}`)) >>> 0;
     }, 0);
-    return this.fingerprint;
+    return this.cachedDigest;
   }
 
-  private keep(belief: BelievedRateLimit): void {
-    const key = startKey(belief.backend);
+  private store(limit: BelievedRateLimit): void {
+    const key = startKey(limit.backend);
     this.known.delete(key);
-    this.known.set(key, belief);
-    this.fingerprint = undefined;
-    if (this.known.size <= MOST_REMEMBERED) return;
-    const isForgettable = ([, { perSecond }]: [string, BelievedRateLimit]): boolean =>
+    this.known.set(key, limit);
+    this.cachedDigest = undefined;
+    if (this.known.size <= MAX_REMEMBERED) return;
+    const hasNoLimit = ([, { perSecond }]: [string, BelievedRateLimit]): boolean =>
       perSecond === undefined;
-    const [oldest] = [...this.known].find(isForgettable) ?? [...this.known][0] ?? [];
+    const [oldest] = [...this.known].find(hasNoLimit) ?? [...this.known][0] ?? [];
     if (oldest !== undefined) this.known.delete(oldest);
   }
 }
 
-function isNewer(heard: BelievedRateLimit, present: BelievedRateLimit | undefined): boolean {
-  if (present === undefined || heard.generation > present.generation) return true;
+function isNewer(received: BelievedRateLimit, current: BelievedRateLimit | undefined): boolean {
+  if (current === undefined || received.generation > current.generation) return true;
   return (
-    heard.generation === present.generation && rateOf(heard.perSecond) < rateOf(present.perSecond)
+    received.generation === current.generation &&
+    comparableRate(received.perSecond) < comparableRate(current.perSecond)
   );
 }
 
-/** A rate that can be compared: no limit is higher than any. */
-function rateOf(perSecond: number | undefined): number {
+/** A comparable rate: no limit counts as infinite. */
+function comparableRate(perSecond: number | undefined): number {
   return perSecond ?? Infinity;
 }
--- a/src/core/backend-selection-stale-load.ts
+++ b/src/core/backend-selection-stale-load.ts
@@ -1,38 +1,39 @@
 /**
- * Spreads requests over backends whose load is known with a delay. The cost of a
- * backend adds up load, distance, failures, missing cache and new connections.
- * If every daemon took the cheapest one, all requests of the time between two
- * reports would meet there. So the requests that nobody has reported yet are
- * estimated and shared out by water filling: each backend takes as many as raise its
- * cost to a common level. A request goes to one of them with the probability of that
- * share ("basic load interpretation", Dahlin, 1999).
+ * Spreads requests over backends whose load reports arrive with a delay. The cost of
+ * a backend is the sum of its load, distance, failures, cache misses and new
+ * connections. If every daemon chose the cheapest backend, all requests between two
+ * load reports would go to it. Therefore the policy estimates the requests that are
+ * not reported yet and distributes them by water filling: each backend receives as
+ * many as raise its cost to a common level. A request is sent to a backend with the
+ * probability of that backend's share ("basic load interpretation", Dahlin, 1999).
  */
 import { firstCandidate, rendezvousWeight } from '../common/rendezvous.js';
 import type { BackendCandidate, BackendSelection } from './backend-selection.js';
 
-/** Costs, in shares of a backend's slots. */
-const OTHER_ZONE = 0.08;
-const CACHE_MISS = 0.12;
-const NEW_CONNECTION = 0.1;
-const ALWAYS_FAILING = 2;
-/** A stream that would pause for too long goes where it would not, though that is fuller by so much. */
-const ALWAYS_LATE = 1;
-/** Speeds count within these bounds: slots are a limit as well. */
-const LEAST_SPEED = 0.4;
-const MOST_SPEED = 1.6;
-/** A backend with more of its slots in use than this share may soon queue. */
-const CROWDED_FROM = 0.7;
-/** Cost of each share of the slots above that. */
-const CROWDED = 4;
-/** Largest difference that a daemon's leaning makes. */
-const LEANING = 0.05;
-const LARGEST_WEIGHT = 2 ** 32;
+/** Costs, as fractions of a backend's slots. */
+const OTHER_ZONE_COST = 0.08;
+const CACHE_MISS_COST = 0.12;
+const NEW_CONNECTION_COST = 0.1;
+const FAILURE_COST = 2;
+/** Cost of a backend where every such stream would pause for too long; fuller backends are preferred up to this cost. */
+const LATE_PAUSE_COST = 1;
+/** Bounds for the speed in the cost; a faster backend is still limited by its slots. */
+const MIN_SPEED = 0.4;
+const MAX_SPEED = 1.6;
+/** Share of slots in use above which a backend may soon queue requests. */
+const CROWDING_THRESHOLD = 0.7;
+/** Cost factor for the share of slots in use above that threshold. */
+const CROWDING_COST = 4;
+/** Maximum cost difference from a daemon's fixed preference among backends. */
+const MAX_PREFERENCE_COST = 0.05;
+const WEIGHT_RANGE = 2 ** 32;
 /**
- * Requests in flight that are not known yet, as a share of those that are: a load is
- * told 0.3 to 0.5 s late (two periods of 250 ms and the way), and a stream runs for
- * 2 to 3 s. In the simulation of the test, shares from 0.1 to 0.5 differ by little.
+ * Estimated unreported requests in flight, as a share of the reported ones. A load
+ * report is 0.3 to 0.5 s old (two periods of 250 ms and the transmission), and a stream
+ * runs for 2 to 3 s. In the simulation of the test, shares from 0.1 to 0.5 give similar
+ * results.
  */
-const UNSEEN_SHARE = 0.2;
+const UNREPORTED_SHARE = 0.2;
 
 interface CostedBackend {
   readonly candidate: BackendCandidate;
@@ -40,50 +41,50 @@
   readonly cost: number;
 }
 
-/** Random choice among the cheapest, as wide as the news is late. */
+/** Random choice among the cheapest backends; more of them take part the more requests are unreported. */
 export class StaleLoadSelection implements BackendSelection {
   private draws = 0;
 
-  /** @param daemon - Name that this daemon's leanings and draws come from. */
+  /** @param daemon - Daemon name; seeds its fixed preferences and its random draws. */
   constructor(private readonly daemon: string) {}
 
   choose(
     candidates: readonly BackendCandidate[],
     affinity: string | undefined,
   ): BackendCandidate | undefined {
-    const home = affinity === undefined ? undefined : homeOf(candidates, affinity);
+    const cachingId = affinity === undefined ? undefined : cachingBackend(candidates, affinity);
     const costed = candidates.map((candidate) => {
-      const miss = home === undefined || home === candidate.id ? 0 : CACHE_MISS;
-      const cost = costOf(candidate) + miss + this.leaning(candidate);
+      const missCost = cachingId === undefined || cachingId === candidate.id ? 0 : CACHE_MISS_COST;
+      const cost = costOf(candidate) + missCost + this.preferenceCost(candidate);
       return { candidate, slots: effectiveSlots(candidate), cost };
     });
     costed.sort((a, b) => a.cost - b.cost);
     const known = candidates.reduce((sum, candidate) => sum + candidate.inFlight, 0);
-    return this.draw(costed, levelAfter(costed, known * UNSEEN_SHARE));
+    return this.draw(costed, waterLevel(costed, known * UNREPORTED_SHARE));
   }
 
-  /** Takes one backend, each with the probability of the requests that raise it to the level. */
+  /** Draws one backend, with a probability proportional to the requests that raise its cost to the level. */
   private draw(costed: readonly CostedBackend[], level: number): BackendCandidate | undefined {
     const shares = costed.map(({ cost, slots }) => Math.max(0, level - cost) * slots);
-    const whole = shares.reduce((sum, part) => sum + part, 0);
+    const total = shares.reduce((sum, part) => sum + part, 0);
     this.draws += 1;
-    let left = (rendezvousWeight(this.daemon, String(this.draws)) / LARGEST_WEIGHT) * whole;
+    let remaining = (rendezvousWeight(this.daemon, String(this.draws)) / WEIGHT_RANGE) * total;
     for (const [index, part] of shares.entries()) {
-      left -= part;
-      if (left < 0) return costed[index]?.candidate;
+      remaining -= part;
+      if (remaining < 0) return costed[index]?.candidate;
     }
-    // Nothing is unseen: the cheapest.
+    // No unreported requests are estimated, so the cheapest backend is chosen.
     return costed[0]?.candidate;
   }
 
-  private leaning(candidate: BackendCandidate): number {
-    const weight = rendezvousWeight(this.daemon, candidate.id) / LARGEST_WEIGHT;
-    return LEANING * weight;
+  private preferenceCost(candidate: BackendCandidate): number {
+    const weight = rendezvousWeight(this.daemon, candidate.id) / WEIGHT_RANGE;
+    return MAX_PREFERENCE_COST * weight;
   }
 }
 
-/** The cost that the cheapest backends reach together when they take so many more requests. */
-function levelAfter(sorted: readonly CostedBackend[], requests: number): number {
+/** The common cost that the cheapest backends reach when they take `requests` more requests. */
+function waterLevel(sorted: readonly CostedBackend[], requests: number): number {
   let slots = 0;
   let costs = 0;
   let level = 0;
@@ -97,24 +98,34 @@
   return level;
 }
 
-/** The backend that keeps the beginning of these prompts: the same one at every daemon. */
-function homeOf(candidates: readonly BackendCandidate[], affinity: string): string | undefined {
+/** The backend whose cache holds the common prefix of these prompts; every daemon computes the same one. */
+function cachingBackend(
+  candidates: readonly BackendCandidate[],
+  affinity: string,
+): string | undefined {
   const ids = candidates.map((candidate) => candidate.id);
   return firstCandidate(affinity, ids);
 }
 
 function costOf(candidate: BackendCandidate): number {
   const load = candidate.inFlight / effectiveSlots(candidate);
-  const taken = candidate.inFlight / Math.max(1, candidate.slots);
-  const distance = candidate.sameZone ? 0 : OTHER_ZONE;
-  const connection = candidate.hasConnection ? 0 : NEW_CONNECTION;
-  const crowded = CROWDED * Math.max(0, taken - CROWDED_FROM);
-  const late = ALWAYS_LATE * (candidate.pauseRisk ?? 0);
-  return load + crowded + distance + connection + late + ALWAYS_FAILING * candidate.failureShare;
+  const usedShare = candidate.inFlight / Math.max(1, candidate.slots);
+  const distance = candidate.sameZone ? 0 : OTHER_ZONE_COST;
+  const connection = candidate.hasConnection ? 0 : NEW_CONNECTION_COST;
+  const crowdingCost = CROWDING_COST * Math.max(0, usedShare - CROWDING_THRESHOLD);
+  const latePauseCost = LATE_PAUSE_COST * (candidate.pauseRisk ?? 0);
+  return (
+    load +
+    crowdingCost +
+    distance +
+    connection +
+    latePauseCost +
+    FAILURE_COST * candidate.failureShare
+  );
 }
 
-/** Slots of a backend of the usual speed that do the same work. */
+/** Number of slots at a backend of the usual speed that do the same work. */
 function effectiveSlots({ slots, speed }: BackendCandidate): number {
-  const bounded = Math.min(MOST_SPEED, Math.max(LEAST_SPEED, speed ?? 1));
+  const bounded = Math.min(MAX_SPEED, Math.max(MIN_SPEED, speed ?? 1));
   return Math.max(1, slots * bounded);
 }
--- a/src/core/backend-starts.ts
+++ b/src/core/backend-starts.ts
@@ -1,23 +1,23 @@
 /**
- * Notices backends that have ended and started again under the same id, by the list or by a peer's word.
- * Whatever is known of the earlier start says nothing of the later one. Pure.
+ * Detects backends that restarted under the same id, from the backend list or from a peer's message. Information
+ * about the earlier process does not apply to the later one. Pure.
  */
 import type { BackendRecord } from './service-configuration.js';
 
-/** Starts that are remembered, also of backends whose entries are gone for a while. */
-const REMEMBERED_STARTS = 2_000;
+/** Maximum number of remembered starts, including backends that are missing from the list for a while. */
+const MAX_REMEMBERED_STARTS = 2_000;
 
-/** What names one start of a backend. */
+/** The identifier of one start of a backend. */
 interface Start {
   readonly start?: string;
 }
 
 /** A backend whose process has started again. */
 export interface BackendRestart {
-  /** As it is known since. */
+  /** The record of the new process. */
   readonly backend: BackendRecord;
   readonly earlierStart: string;
-  /** "ip:port" that the earlier process had. */
+  /** Address of the earlier process, as "ip:port". */
   readonly earlierAddress: string;
 }
 
@@ -27,23 +27,23 @@
   readonly revision: number;
 }
 
-/** Whether two words on one backend are of different starts. A word without a start is taken for the same one. */
+/** Whether two records of one backend belong to different starts. A record without a start counts as the same start. */
 export function isAnotherStart(one: Start | undefined, other: Start | undefined): boolean {
   if (one?.start === undefined || other?.start === undefined) return false;
   return one.start !== other.start;
 }
 
-/** Names one start of a backend's process. */
+/** Returns the key of one start of a backend's process. */
 export function startKey({ id, start }: Start & { readonly id: string }): string {
   return start === undefined ? id : `${id} ${start}`;
 }
 
 /** The newest known start of each backend. */
 export class BackendStarts {
-  /** By id, those heard of longest ago first. */
+  /** Starts by backend id, least recently updated first. */
   private readonly known = new Map<string, KnownStart>();
 
-  /** Takes a word on a backend; returns the restart that it tells of. A word older than the last one tells nothing. */
+  /** Records a backend record; returns the restart that it shows, if any. Ignores a record older than the known one. */
   note(backend: BackendRecord): BackendRestart | undefined {
     const { id, start, address, revision } = backend;
     if (start === undefined) return undefined;
@@ -51,13 +51,13 @@
     if (known !== undefined && known.revision > revision) return undefined;
     this.known.delete(id);
     this.known.set(id, { start, address, revision });
-    this.forgetOldest();
+    this.removeOldest();
     if (known === undefined || known.start === start) return undefined;
     return { backend, earlierStart: known.start, earlierAddress: known.address };
   }
 
-  private forgetOldest(): void {
-    if (this.known.size <= REMEMBERED_STARTS) return;
+  private removeOldest(): void {
+    if (this.known.size <= MAX_REMEMBERED_STARTS) return;
     const [oldest] = this.known.keys();
     if (oldest !== undefined) this.known.delete(oldest);
   }
--- a/src/core/caller-deadlines.ts
+++ b/src/core/caller-deadlines.ts
@@ -1,32 +1,32 @@
 /**
- * Tells callers that come back after a refusal from those that come for the
- * first time: all callers of a route usually start with the same time to their
- * deadline, and one that comes back has less left. Pure.
+ * Distinguishes callers that retry after a refusal from callers that try for the
+ * first time: all callers of a route usually start with the same time until their
+ * deadline, and a retry has less time left. Pure.
  */
 
-/** Newest deadlines of a route that are remembered. */
-const REMEMBERED = 64;
-/** A first try may have spent so long on its connection, in milliseconds. */
-const CONNECTION_MS = 60;
-/** Share of the remembered deadlines that must agree for a usual one to exist. */
-const USUAL_SHARE = 0.4;
+/** Number of recent deadlines remembered per route. */
+const MAX_REMEMBERED_DEADLINES = 64;
+/** Maximum time in milliseconds that a first try may spend on establishing its connection. */
+const MAX_CONNECTION_MS = 60;
+/** Share of the remembered deadlines that must agree before they count as the usual deadline. */
+const MIN_AGREEING_SHARE = 0.4;
 
-/** The deadlines that the callers of one route have sent. */
+/** Recent deadlines of the callers of one route. */
 export class CallerDeadlines {
   private readonly newest: number[] = [];
-  private next = 0;
+  private nextIndex = 0;
 
-  /** Notes the time that a caller has left on arrival, in milliseconds. */
+  /** Records the time in milliseconds until a caller's deadline, at the arrival of its request. */
   note(deadlineMs: number): void {
-    this.newest[this.next] = deadlineMs;
-    this.next = (this.next + 1) % REMEMBERED;
+    this.newest[this.nextIndex] = deadlineMs;
+    this.nextIndex = (this.nextIndex + 1) % MAX_REMEMBERED_DEADLINES;
   }
 
-  /** Whether a caller with so much time left has most likely been refused before. */
+  /** Whether a caller with `deadlineMs` left has most likely been refused before. */
   hasComeBack(deadlineMs: number): boolean {
     const usual = Math.max(...this.newest);
-    const agreeing = this.newest.filter((deadline) => usual - deadline < CONNECTION_MS);
-    if (agreeing.length < this.newest.length * USUAL_SHARE) return false;
-    return usual - deadlineMs >= CONNECTION_MS;
+    const agreeing = this.newest.filter((deadline) => usual - deadline < MAX_CONNECTION_MS);
+    if (agreeing.length < this.newest.length * MIN_AGREEING_SHARE) return false;
+    return usual - deadlineMs >= MAX_CONNECTION_MS;
   }
 }
--- a/src/core/engine-ledger.ts
+++ b/src/core/engine-ledger.ts
@@ -1,7 +1,7 @@
 /**
- * What a pool's owner counts for one engine. Replicas and memory count from the
- * moment a load is decided until the engine confirms the unload: rather too
- * much than too little. Pure.
+ * A pool owner's accounting for one engine. Replicas and memory count from the
+ * moment a load is decided until the engine confirms the unload, so the counts
+ * may be too high but not too low. Pure.
  */
 import type {
   CheckpointTier,
@@ -15,22 +15,22 @@
 export interface CountedReplica {
   readonly spec: ReplicaSpec;
   state: 'ordered' | 'loading' | 'loaded' | 'unloading' | 'failed';
-  /** Sequence of the last order about this replica. */
+  /** Sequence number of the last order for this replica. */
   sequence: number;
   readonly orderedAt: number;
   readonly tier: CheckpointTier;
   inFlight: number;
-  /** Unix milliseconds of the last use that is known of. */
+  /** Time of the last known use, in Unix milliseconds. */
   lastUsedAt: number;
 }
 
-/** An order on its way. */
+/** An order that has been sent and not yet answered. */
 export interface PendingOrder {
   readonly sequence: number;
   readonly order: EngineOrder;
 }
 
-/** What a report shows that was not known before. */
+/** Changes that a report reveals. */
 export interface ReportNews {
   /** Replicas that have become loaded. */
   readonly loaded: CountedReplica[];
@@ -40,12 +40,13 @@
 
 /** The owner's view of one engine. */
 export class EngineLedger {
-  /** Whether this engine has answered a seal in the owner's epoch and incarnation. */
+  /** Whether this engine, in its current incarnation, has accepted a seal of the owner's epoch. */
   sealed = false;
-  /** The engine's own word, or the platform's list. */
+  /** Whether the engine itself reports that it is leaving. */
   private saysLeaving = false;
+  /** Whether the platform's list shows the engine as leaving. */
   listedLeaving = false;
-  /** False while the engine's reports are cut off. */
+  /** False while the owner receives no reports from the engine. */
   reachable = true;
   capacityBytes = 0;
   readonly replicas = new Map<string, CountedReplica>();
@@ -58,13 +59,13 @@
     public incarnation: string,
   ) {}
 
-  /** The next order's sequence. */
+  /** Returns the sequence number for the next order. */
   nextSequence(): number {
     this.lastSequence += 1;
     return this.lastSequence;
   }
 
-  /** Starts over for a new incarnation: the old process and all that it held are gone. */
+  /** Resets the state for a new incarnation; the old process and all its replicas no longer exist. */
   restart(incarnation: string): void {
     this.incarnation = incarnation;
     this.sealed = false;
@@ -74,30 +75,30 @@
     this.lastReport = 0;
   }
 
-  /** Memory that is counted as used: each base model once, and all adapters. */
+  /** Memory in bytes that counts as used: each base model once, plus all adapters. */
   usedBytes(): number {
     return memoryOf([...this.replicas.values()].map((replica) => replica.spec));
   }
 
-  /** Memory that is used once `spec` is loaded too. */
+  /** Memory in bytes that would count as used with `spec` loaded as well. */
   usedBytesWith(spec: ReplicaSpec): number {
     return memoryOf([...[...this.replicas.values()].map((replica) => replica.spec), spec]);
   }
 
-  /** Whether `spec` fits once the unloads that are under way have ended. */
+  /** Whether `spec` fits once the unloads in progress have finished; false if no unload is in progress. */
   fitsAfterUnloads(spec: ReplicaSpec): boolean {
     const staying = [...this.replicas.values()].filter((replica) => replica.state !== 'unloading');
     if (staying.length === this.replicas.size) return false;
     return memoryOf([...staying.map((replica) => replica.spec), spec]) <= this.capacityBytes;
   }
 
-  /** Changes when a replica comes, goes or changes state; load figures do not count. */
+  /** A text that changes when a replica is added, removed or changes state, but not when load figures change. */
   stateSignature(): string {
     const states = [...this.replicas].map(([tenant, replica]) => `${tenant}=${replica.state}`);
     return `${this.incarnation}|${this.takesLoads()}|${states.join(',')}`;
   }
 
-  /** Where the checkpoint of a model is nearest. */
+  /** The nearest storage tier that has the model's checkpoint. */
   tierOf(model: string): CheckpointTier {
     for (const replica of this.replicas.values()) {
       if (replica.spec.model === model && replica.state === 'loaded') return 'resident';
@@ -105,22 +106,22 @@
     return this.cached.get(model) ?? 'remote';
   }
 
-  /** Whether the engine is about to go. */
+  /** Whether the engine is about to shut down. */
   get leaving(): boolean {
     return this.saysLeaving || this.listedLeaving;
   }
 
-  /** The engine has refused an order because it is about to go. */
+  /** Records that the engine refused an order because it is about to shut down. */
   markLeaving(): void {
     this.saysLeaving = true;
   }
 
-  /** Whether new loads may be ordered. */
+  /** Whether the owner may order new loads on this engine. */
   takesLoads(): boolean {
     return this.sealed && this.reachable && !this.leaving;
   }
 
-  /** Counts a load from the moment that it is decided. */
+  /** Counts a load as soon as it is decided. */
   countLoad(spec: ReplicaSpec, sequence: number, now: number): void {
     this.replicas.set(spec.tenant, {
       spec,
@@ -133,7 +134,7 @@
     });
   }
 
-  /** Marks a replica that is being unloaded; it counts until the engine confirms. */
+  /** Marks a replica as unloading; it counts until the engine confirms the unload. */
   countUnload(tenant: string, sequence: number): void {
     const replica = this.replicas.get(tenant);
     if (replica === undefined) return;
@@ -142,9 +143,9 @@
   }
 
   /**
-   * Takes in a report of the registered incarnation. Safe against late reports:
-   * an older number is ignored, and a replica that the report does not show is
-   * only dropped if the engine had already taken the last order about it.
+   * Applies a report of the registered incarnation. Late reports are safe: a report
+   * with an older number is ignored, and a replica missing from the report is removed
+   * only if the engine had already processed the last order for it.
    */
   adopt(report: EngineReport, now: number): ReportNews {
     const news: ReportNews = { loaded: [], woken: [] };
@@ -171,19 +172,20 @@
     news: ReportNews,
   ): void {
     const tenant = holding.replica.tenant;
-    const known = this.replicas.get(tenant) ?? this.addFound(holding, reportSequence, now);
+    const known =
+      this.replicas.get(tenant) ?? this.addReportedReplica(holding, reportSequence, now);
     if (known.inFlight === 0 && holding.inFlight > 0) {
       news.woken.push({ tenant, idleMs: now - known.lastUsedAt });
     }
     known.inFlight = holding.inFlight;
     known.lastUsedAt = Math.max(known.lastUsedAt, now - holding.idleMs);
-    // An order that the engine has not taken yet is newer than what the report shows.
+    // The last order for this replica is newer than the state in the report.
     if (reportSequence < known.sequence) return;
     if (holding.state === 'loaded' && known.state !== 'loaded') news.loaded.push(known);
     known.state = holding.state;
   }
 
-  private addFound(holding: Holding, sequence: number, now: number): CountedReplica {
+  private addReportedReplica(holding: Holding, sequence: number, now: number): CountedReplica {
     const found: CountedReplica = {
       spec: holding.replica,
       state: holding.state,
@@ -198,7 +200,7 @@
   }
 }
 
-/** Memory of a set of replicas on one engine: base models are shared between tenants. */
+/** Memory in bytes of a set of replicas on one engine; tenants share base models. */
 export function memoryOf(specs: readonly ReplicaSpec[]): number {
   const models = new Map<string, number>();
   let bytes = 0;
--- a/src/core/event-stream.ts
+++ b/src/core/event-stream.ts
@@ -1,9 +1,9 @@
 /**
- * Cuts a byte stream of `text/event-stream` into whole events. Bytes are kept
- * exactly as they came; only the identifier of each event is read. Pure.
+ * Splits a `text/event-stream` byte stream into complete events. The bytes stay
+ * unchanged; the parser reads only the `id` field of each event. Pure.
  */
 
-/** One whole event, with the blank line that ends it. */
+/** One complete event, including the blank line that ends it. */
 export interface StreamEvent {
   readonly bytes: Buffer;
   /** The event's `id` field, if it has one. */
@@ -14,39 +14,48 @@
 const CARRIAGE_RETURN = 0x0d;
 const ID_FIELD = /^id:[ ]?(.*)$/m;
 
-/** Collects bytes and returns whole events. */
+/** Buffers bytes and returns complete events. */
 export class EventStreamParser {
-  private rest: Buffer = Buffer.alloc(0);
+  private buffered: Buffer = Buffer.alloc(0);
 
-  /** Adds bytes; returns the events that they complete. */
+  /** Appends bytes and returns the events that are now complete. */
   push(chunk: Buffer): StreamEvent[] {
-    this.rest = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
+    this.buffered = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
     const events: StreamEvent[] = [];
     let start = 0;
-    for (let end = endOfEvent(this.rest, start); end > 0; end = endOfEvent(this.rest, start)) {
-      events.push(eventOf(this.rest.subarray(start, end)));
+    for (
+      let end = endOfEvent(this.buffered, start);
+      end > 0;
+      end = endOfEvent(this.buffered, start)
+    ) {
+      events.push(toEvent(this.buffered.subarray(start, end)));
       start = end;
     }
-    this.rest = this.rest.subarray(start);
+    this.buffered = this.buffered.subarray(start);
     return events;
   }
 
-  /** Bytes of an event that is not whole. */
+  /** Number of buffered bytes that belong to an incomplete event. */
   get incomplete(): number {
-    return this.rest.length;
+    return this.buffered.length;
   }
 }
 
-/** Position behind the first blank line at or after `start`; -1 if there is none. */
+/** Byte position after the first blank line at or after `start`; -1 if there is none. */
 function endOfEvent(bytes: Buffer, start: number): number {
-  for (let at = bytes.indexOf(LINE_FEED, start); at >= 0; at = bytes.indexOf(LINE_FEED, at + 1)) {
-    if (bytes[at + 1] === LINE_FEED) return at + 2;
-    if (bytes[at + 1] === CARRIAGE_RETURN && bytes[at + 2] === LINE_FEED) return at + 3;
+  for (
+    let position = bytes.indexOf(LINE_FEED, start);
+    position >= 0;
+    position = bytes.indexOf(LINE_FEED, position + 1)
+  ) {
+    if (bytes[position + 1] === LINE_FEED) return position + 2;
+    if (bytes[position + 1] === CARRIAGE_RETURN && bytes[position + 2] === LINE_FEED)
+      return position + 3;
   }
   return -1;
 }
 
-function eventOf(bytes: Buffer): StreamEvent {
+function toEvent(bytes: Buffer): StreamEvent {
   const match = ID_FIELD.exec(bytes.toString('latin1'));
   return { bytes, id: match?.[1]?.trim() };
 }
--- a/src/core/exchange-schedule.ts
+++ b/src/core/exchange-schedule.ts
@@ -1,52 +1,51 @@
 /**
- * When a member exchanges all that it knows with another one: often while that
- * teaches it something, rarely when it does not. Pure; times are milliseconds of a
- * steady clock.
+ * Schedules a member's full state exchanges with other members: often while
+ * exchanges bring new information, rarely while they do not. Pure; times are
+ * milliseconds of a monotonic clock.
  */
 import { rendezvousWeight } from '../common/rendezvous.js';
 
-/** Between two exchanges of a member that still learns: a round of the group's growth. */
-const SHORTEST_PERIOD_MS = 300;
-/** Between two exchanges that teach nothing; they mend what probes and news have missed. */
-const LONGEST_PERIOD_MS = 30_000;
-/** A period differs by up to this share between members, so that they don't act in step. */
+/** Interval between exchanges while they bring new members: one round of the group's growth. */
+const MIN_PERIOD_MS = 300;
+/** Maximum interval between exchanges; they repair what probes and incremental updates missed. */
+const MAX_PERIOD_MS = 30_000;
+/** Range of the random variation of a period, as a share of it, so that members do not exchange in lockstep. */
 const JITTER_SHARE = 0.3;
-const LARGEST_WEIGHT = 2 ** 32;
+const WEIGHT_RANGE = 2 ** 32;
 
-/** Paces the exchanges of one member. */
+/** Exchange schedule of one member. */
 export class ExchangeSchedule {
-  private periodMs = SHORTEST_PERIOD_MS;
+  private periodMs = MIN_PERIOD_MS;
   private dueAt = -Infinity;
-  private count = 0;
-  private learned = true;
+  private jitterCount = 0;
+  private hasLearned = true;
 
-  /** @param self - Name that the jitter comes from. */
+  /** @param self - Name of this member; seeds the jitter. */
   constructor(private readonly self: string) {}
 
-  /** New members were met in an exchange, or there are some to meet. */
+  /** Shortens the period after an exchange brought new members, or when members are known to be missing. */
   noteLearned(now: number): void {
-    this.learned = true;
-    if (this.periodMs === SHORTEST_PERIOD_MS) return;
-    this.periodMs = SHORTEST_PERIOD_MS;
-    this.dueAt = Math.min(this.dueAt, now + this.jittered(SHORTEST_PERIOD_MS));
+    this.hasLearned = true;
+    if (this.periodMs === MIN_PERIOD_MS) return;
+    this.periodMs = MIN_PERIOD_MS;
+    this.dueAt = Math.min(this.dueAt, now + this.jittered(MIN_PERIOD_MS));
   }
 
+  /** Whether an exchange is due. */
   isDue(now: number): boolean {
     return now >= this.dueAt;
   }
 
-  /** An exchange begins: sets the time of the next one. */
+  /** Records the start of an exchange and sets the time of the next one. */
   begin(now: number): void {
-    this.periodMs = this.learned
-      ? SHORTEST_PERIOD_MS
-      : Math.min(LONGEST_PERIOD_MS, this.periodMs * 2);
-    this.learned = false;
+    this.periodMs = this.hasLearned ? MIN_PERIOD_MS : Math.min(MAX_PERIOD_MS, this.periodMs * 2);
+    this.hasLearned = false;
     this.dueAt = now + this.jittered(this.periodMs);
   }
 
   private jittered(periodMs: number): number {
-    this.count += 1;
-    const share = rendezvousWeight(this.self, String(this.count)) / LARGEST_WEIGHT;
+    this.jitterCount += 1;
+    const share = rendezvousWeight(this.self, String(this.jitterCount)) / WEIGHT_RANGE;
     return periodMs * (1 + JITTER_SHARE * (share - 0.5));
   }
 }
--- a/src/core/hold-policy-goal-windows.ts
+++ b/src/core/hold-policy-goal-windows.ts
@@ -1,6 +1,7 @@
 /**
- * Holds by windows: shares of the goal in which a refusal is early, and shares of the
- * time that is left. A caller that has come back is held while it can be served. Pure.
+ * Decides by fixed time windows: a share of the latency goal within which a refusal counts
+ * as early, and a share of the time left until the deadline. A caller that retries after a
+ * refusal is held while it can still be served. Pure.
  */
 import {
   comeBackAfterMs,
@@ -10,19 +11,20 @@
   type HoldPolicy,
 } from './hold-policy.js';
 
-/** Share of the goal in which a refusal still serves the caller. */
+/** Share of the goal within which a refusal still helps the caller. */
 const EARLY_REFUSAL_SHARE = 0.22;
-/** A forecast may be wrong by this share of itself, and by this time besides. */
+/** Relative error assumed for a forecast. */
 const FORECAST_ERROR_SHARE = 0.25;
+/** Absolute error assumed for a forecast, in addition to the relative error. */
 const FORECAST_ERROR_MS = 500;
 
-/** Without a forecast a caller that has come back is held for so much of the time that it has left. */
-const BLIND_SHARE = 0.4;
+/** Share of the total time until the deadline for which a retrying caller is held without a forecast. */
+const NO_FORECAST_HOLD_SHARE = 0.4;
 
 /** Whether a held request can probably be served before its deadline. */
-function mayStillBeServed(request: HeldRequest): boolean {
+function canMeetDeadline(request: HeldRequest): boolean {
   const { waitedMs, remainingMs, readyInMs } = request;
-  if (readyInMs === undefined) return waitedMs < (waitedMs + remainingMs) * BLIND_SHARE;
+  if (readyInMs === undefined) return waitedMs < (waitedMs + remainingMs) * NO_FORECAST_HOLD_SHARE;
   return readyInMs * (1 + FORECAST_ERROR_SHARE) + FORECAST_ERROR_MS < remainingMs;
 }
 
@@ -30,25 +32,25 @@
   const { goalMs, waitedMs, remainingMs, readyInMs } = request;
   const retryAfterMs = comeBackAfterMs(readyInMs);
   if (request.hasComeBack) {
-    return mayStillBeServed(request) ? { type: 'hold' } : { type: 'refuse', retryAfterMs };
+    return canMeetDeadline(request) ? { type: 'hold' } : { type: 'refuse', retryAfterMs };
   }
   if (readyInMs === undefined) {
-    const patience = goalMs * EARLY_REFUSAL_SHARE;
-    return waitedMs < patience ? { type: 'hold' } : { type: 'refuse', retryAfterMs };
+    const maxWaitMs = goalMs * EARLY_REFUSAL_SHARE;
+    return waitedMs < maxWaitMs ? { type: 'hold' } : { type: 'refuse', retryAfterMs };
   }
   if (readyInMs + FIRST_PART_MS >= remainingMs) return { type: 'refuse', retryAfterMs };
-  const inTime = waitedMs + readyInMs + FIRST_PART_MS <= goalMs;
-  const tooLateToRefuse = waitedMs > goalMs * EARLY_REFUSAL_SHARE;
-  return inTime || tooLateToRefuse ? { type: 'hold' } : { type: 'refuse', retryAfterMs };
+  const meetsGoal = waitedMs + readyInMs + FIRST_PART_MS <= goalMs;
+  const isLateToRefuse = waitedMs > goalMs * EARLY_REFUSAL_SHARE;
+  return meetsGoal || isLateToRefuse ? { type: 'hold' } : { type: 'refuse', retryAfterMs };
 }
 
-/** The policy; it learns nothing. */
+/** The policy; it keeps no state. */
 export class GoalWindowHold implements HoldPolicy {
   decide(request: HeldRequest): HoldDecision {
     return holdOrRefuse(request);
   }
 
   noteWait(): void {
-    // Its windows are fixed.
+    // The windows are fixed, so observed waits are ignored.
   }
 }
--- a/src/core/hold-policy.ts
+++ b/src/core/hold-policy.ts
@@ -1,51 +1,51 @@
 /**
- * Whether a request for a model that no backend holds waits, or is refused at
- * once with the time at which to come back. An interface; each file beside it
- * named `hold-policy-` is a policy.
+ * Interface of the policies that decide whether a request for a model that no
+ * backend has loaded waits, or is refused at once with a retry time. Each file
+ * in this directory named `hold-policy-*` implements one policy.
  */
 
 /** A request that cannot be sent now. */
 export interface HeldRequest {
-  /** Time to the first part of the answer that the caller wants. */
+  /** The caller's goal for the time to the first part of the answer. */
   readonly goalMs: number;
-  /** Time since it arrived. */
+  /** Time since the request arrived. */
   readonly waitedMs: number;
-  /** Time until its deadline, or until its caller leaves because nothing has come. */
+  /** Time until the deadline, or until the caller disconnects because it has received nothing. */
   readonly remainingMs: number;
-  /** Expected time until a backend can take it; undefined if nobody has said. */
+  /** Expected time until a backend can take the request; undefined without a forecast. */
   readonly readyInMs: number | undefined;
-  /** The caller was refused before: it will not come a third time. */
+  /** Whether the caller was refused before; it will not try a third time. */
   readonly hasComeBack: boolean;
 }
 
-/** What becomes of it. */
+/** Whether the request is held or refused. */
 export type HoldDecision =
   { readonly type: 'hold' } | { readonly type: 'refuse'; readonly retryAfterMs: number };
 
-/** How a wait that was told in advance went. */
+/** The forecast and the actual duration of a wait. */
 export interface ObservedWait {
-  /** Expected time until a backend could take the request, as it was first told. */
+  /** The first forecast of the time until a backend could take the request. */
   readonly toldMs: number;
-  /** Time until one did, or until the request ended without one. */
+  /** Time until a backend took the request, or until the request ended unsent. */
   readonly spentMs: number;
   readonly wasSent: boolean;
 }
 
-/** Decides for requests that no backend can take now. */
+/** Decides whether to hold requests that no backend can take now. */
 export interface HoldPolicy {
   decide(request: HeldRequest): HoldDecision;
-  /** A held request has been sent, or has ended unsent. */
+  /** Records the wait of a held request that was sent or ended unsent. */
   noteWait(wait: ObservedWait): void;
 }
 
-/** Time that a request needs at the backend before its first part. */
+/** Time that a backend needs to produce the first part of an answer. */
 export const FIRST_PART_MS = 150;
-/** Time to come back after, when nobody has said when a backend is ready. */
-const UNKNOWN_READY_MS = 1_500;
-/** Added to the time to come back after, so that the load has ended. */
+/** Time until a backend is ready that is assumed without a forecast. */
+const DEFAULT_READY_MS = 1_500;
+/** Added to the retry time so that the load has finished by then. */
 const RETRY_MARGIN_MS = 150;
 
-/** What a refused caller is told. */
+/** The time in milliseconds after which a refused caller should retry. */
 export function comeBackAfterMs(readyInMs: number | undefined): number {
-  return (readyInMs ?? UNKNOWN_READY_MS) + RETRY_MARGIN_MS;
+  return (readyInMs ?? DEFAULT_READY_MS) + RETRY_MARGIN_MS;
 }
--- a/src/core/keep-alive-adaptive.ts
+++ b/src/core/keep-alive-adaptive.ts
@@ -1,20 +1,21 @@
 /**
- * Keep-alive from a tenant's own idle times. For each candidate stay it weighs
- * the idle time that the stay would have cost against the cold starts that it
- * would have saved, over the idle times seen, and takes the cheapest.
+ * Keep-alive policy that learns from a tenant's idle times. For each candidate
+ * keep-alive duration it adds up the idle time and the cold starts that the
+ * duration would have cost over the observed idle times, and chooses the cheapest.
  */
 import type { PriorityClass, TenantSpec } from './documents.js';
 import type { KeepAlivePolicy } from './keep-alive.js';
 
-/** Idle times remembered a tenant, and over all tenants of a class. */
-const REMEMBERED = 64;
-const REMEMBERED_OF_CLASS = 256;
-/** Fewer idle times than this say too little of a tenant; its class stands in. */
-const FEWEST = 6;
+/** Number of idle times remembered per tenant. */
+const MAX_TENANT_IDLE_TIMES = 64;
+/** Number of idle times remembered per priority class, over all its tenants. */
+const MAX_CLASS_IDLE_TIMES = 256;
+/** With fewer idle times for a tenant, the policy uses those of its priority class. */
+const MIN_IDLE_TIMES = 6;
 
-/** How the two measures are weighed. */
+/** Weights of idle time against cold starts. */
 export interface KeepAliveWeights {
-  /** Idle milliseconds that one avoided cold start is worth, for each priority class. */
+  /** Idle milliseconds that one avoided cold start is worth, by priority class. */
   readonly coldStartWorthMs: {
     readonly live: number;
     readonly interactive: number;
@@ -22,14 +23,15 @@
   };
 }
 
-/** Idle times, and the stay that was chosen from them. */
+/** Idle times, and the keep-alive duration computed from them. */
 interface IdleTimes {
+  /** Milliseconds, oldest first. */
   readonly times: number[];
-  /** Undefined after a new idle time. */
-  stayMs: number | undefined;
+  /** Undefined until computed again after a new idle time. */
+  cheapestMs: number | undefined;
 }
 
-/** Learns idle times for each tenant, and for each class. */
+/** Learns keep-alive durations from the idle times of each tenant and each priority class. */
 export class AdaptiveKeepAlive implements KeepAlivePolicy {
   private readonly tenants = new Map<string, IdleTimes>();
   private readonly classes = new Map<PriorityClass, IdleTimes>();
@@ -38,49 +40,58 @@
   constructor(private readonly weights: KeepAliveWeights) {}
 
   observeIdle(tenant: string, idleMs: number): void {
-    learn(this.tenants, tenant, idleMs, REMEMBERED);
+    addIdleTime(this.tenants, tenant, idleMs, MAX_TENANT_IDLE_TIMES);
     const priority = this.classOf.get(tenant);
-    if (priority !== undefined) learn(this.classes, priority, idleMs, REMEMBERED_OF_CLASS);
+    if (priority !== undefined) addIdleTime(this.classes, priority, idleMs, MAX_CLASS_IDLE_TIMES);
   }
 
   keepMs(tenant: TenantSpec): number {
     this.classOf.set(tenant.name, tenant.priority);
     if (tenant.keepAlive.policy === 'forever') return Infinity;
-    const longest = tenant.keepAlive.idleMs;
-    if (tenant.keepAlive.policy === 'fixed') return longest;
-    const worth = this.weights.coldStartWorthMs[tenant.priority];
+    const maxKeepMs = tenant.keepAlive.idleMs;
+    if (tenant.keepAlive.policy === 'fixed') return maxKeepMs;
+    const coldStartWorthMs = this.weights.coldStartWorthMs[tenant.priority];
     const own = this.tenants.get(tenant.name);
-    const known = own !== undefined && own.times.length >= FEWEST;
-    const source = known ? own : this.classes.get(tenant.priority);
-    // Nothing is known: the stay that costs at most twice what foresight would.
-    if (source === undefined || source.times.length < FEWEST) return Math.min(worth, longest);
-    source.stayMs ??= cheapestStay(source.times, worth);
-    return Math.min(source.stayMs, longest);
+    const hasEnoughTimes = own !== undefined && own.times.length >= MIN_IDLE_TIMES;
+    const source = hasEnoughTimes ? own : this.classes.get(tenant.priority);
+    // Without observations, keeping the replica for the worth of a cold start costs at most twice the optimum.
+    if (source === undefined || source.times.length < MIN_IDLE_TIMES)
+      return Math.min(coldStartWorthMs, maxKeepMs);
+    source.cheapestMs ??= cheapestStay(source.times, coldStartWorthMs);
+    return Math.min(source.cheapestMs, maxKeepMs);
   }
 }
 
-function learn<Key>(known: Map<Key, IdleTimes>, key: Key, idleMs: number, most: number): void {
-  const idle = known.get(key) ?? { times: [], stayMs: undefined };
-  known.set(key, idle);
+function addIdleTime<Key>(
+  hasEnoughTimes: Map<Key, IdleTimes>,
+  key: Key,
+  idleMs: number,
+  maxTimes: number,
+): void {
+  const idle = idleTimes.get(key) ?? { times: [], cheapestMs: undefined };
+  idleTimes.set(key, idle);
   idle.times.push(idleMs);
-  if (idle.times.length > most) idle.times.shift();
-  idle.stayMs = undefined;
+  if (idle.times.length > maxTimes) idle.times.shift();
+  idle.cheapestMs = undefined;
 }
 
-/** The stay with the least idle time and cold starts together; candidates are the times seen. */
+/**
+ * Returns the keep-alive duration in milliseconds with the lowest total cost of idle time and cold starts; the candidates
+ * are the observed idle times.
+ */
 export function cheapestStay(times: readonly number[], coldStartWorthMs: number): number {
   const sorted = [...times].sort((a, b) => a - b);
-  let best = 0;
+  let bestMs = 0;
   let bestCost = sorted.length * coldStartWorthMs;
-  let covered = 0;
-  sorted.forEach((stay, index) => {
-    covered += stay;
+  let idleCostMs = 0;
+  sorted.forEach((candidateMs, index) => {
+    idleCostMs += candidateMs;
     const misses = sorted.length - index - 1;
-    const cost = covered + misses * (stay + coldStartWorthMs);
+    const cost = idleCostMs + misses * (candidateMs + coldStartWorthMs);
     if (cost >= bestCost) return;
-    best = stay;
+    bestMs = candidateMs;
     bestCost = cost;
   });
-  // A little longer than the idle time that it is to cover.
-  return best * 1.05;
+  // Add a margin, so that an idle time of the same length is covered.
+  return bestMs * 1.05;
 }
--- a/src/core/keep-alive-fixed.ts
+++ b/src/core/keep-alive-fixed.ts
@@ -1,11 +1,11 @@
-/** Keep-alive with the time that the tenant's settings name. The baseline. */
+/** Keep-alive policy that uses the fixed time from the tenant's settings. The baseline policy. */
 import type { TenantSpec } from './documents.js';
 import type { KeepAlivePolicy } from './keep-alive.js';
 
-/** The tenant's `idleSeconds`, or for ever. */
+/** Keeps a replica for the tenant's `idleSeconds`, or without a time limit. */
 export class FixedKeepAlive implements KeepAlivePolicy {
   observeIdle(): void {
-    // The time is fixed: nothing is learned.
+    // The time is fixed, so observed idle times are ignored.
   }
 
   keepMs(tenant: TenantSpec): number {
--- a/src/core/keep-alive.ts
+++ b/src/core/keep-alive.ts
@@ -1,10 +1,10 @@
-/** How long an idle replica stays loaded: the interface of keep-alive policies. */
+/** Interface of the keep-alive policies, which decide how long an idle replica stays loaded. */
 import type { TenantSpec } from './documents.js';
 
-/** Decides how long idle replicas stay. Times are in milliseconds. */
+/** Decides how long idle replicas stay loaded. Times are in milliseconds. */
 export interface KeepAlivePolicy {
-  /** Records that a tenant was used after having been idle for `idleMs`. */
+  /** Records that a tenant was used after it had been idle for `idleMs`. */
   observeIdle(tenant: string, idleMs: number): void;
-  /** How long a replica of the tenant may idle before it is unloaded. */
+  /** Returns how long a replica of the tenant may be idle before the owner unloads it. */
   keepMs(tenant: TenantSpec): number;
 }
--- a/src/core/pool-locator.ts
+++ b/src/core/pool-locator.ts
@@ -1,4 +1,4 @@
-/** Where the tenants of a pool run, as their routers are told. Pure. */
+/** Computes the locations of a pool's tenants that the owner sends to routers. Pure. */
 import type { Demand } from './demand.js';
 import type { TenantSpec } from './documents.js';
 import type { EngineLedger } from './engine-ledger.js';
@@ -6,18 +6,18 @@
 import type { TenantLocation } from './pool-messages.js';
 import { replicaSpecOf } from './replica-spec.js';
 
-/** What is still to come of an overdue load, as a share of the time it has taken. */
-const OVERDUE_SHARE = 0.5;
-/** Milliseconds that routers are told to wait when no engine has room. */
+/** Estimated remaining time of an overdue load, as a share of its elapsed time. */
+const OVERDUE_REMAINING_SHARE = 0.5;
+/** Retry time in milliseconds that routers receive when no engine has free memory. */
 const NO_CAPACITY_RETRY_MS = 2_000;
 
 /** A load that failed. */
 export interface LoadFailure {
-  /** Milliseconds before which it is not tried again. */
+  /** Time before which the load is not retried, in Unix milliseconds. */
   readonly until: number;
 }
 
-/** What is read of the pool. */
+/** The part of a pool's state that the locator reads. */
 export interface LocatedPool {
   readonly pool: string;
   readonly epoch: number;
@@ -25,16 +25,16 @@
   readonly loadTimes: LoadTimes;
   failure(tenant: string): LoadFailure | undefined;
   specOf(tenant: string): TenantSpec | undefined;
-  /** Replicas that the pool may have. */
+  /** Maximum number of replicas of the tenant in this pool. */
   allowed(tenant: string): number;
   countReplicas(tenant: string): number;
 }
 
-/** Tells where tenants run. */
+/** Locates tenants in a pool. */
 export class PoolLocator {
   constructor(private readonly pool: LocatedPool) {}
 
-  /** Where a tenant runs, or when it will. */
+  /** Returns where a tenant runs, or when it is expected to run. */
   locate(name: string, demand: Demand, now: number): TenantLocation {
     const { pool, epoch } = this.pool;
     const routers = Math.max(1, demand.size);
@@ -52,7 +52,7 @@
     if (failure !== undefined && failure.until > now) {
       return { ...base, state: 'load_failed', replicas, retryAfterMs: failure.until - now };
     }
-    if (!this.lacksRoom(name, demand, now)) return { ...base, state: 'cold', replicas };
+    if (!this.lacksCapacity(name, demand, now)) return { ...base, state: 'cold', replicas };
     return { ...base, state: 'no_capacity', replicas, retryAfterMs: NO_CAPACITY_RETRY_MS };
   }
 
@@ -62,17 +62,18 @@
       if (replica?.state !== 'ordered' && replica?.state !== 'loading') continue;
       const expected = this.pool.loadTimes.expected(replica.tier, replica.spec.modelBytes);
       const elapsed = now - replica.orderedAt;
-      // An overdue load, as with a stalled weight store: the longer it has taken, the longer it will.
-      return elapsed <= expected ? expected - elapsed : elapsed * OVERDUE_SHARE;
+      // A load is overdue, for example, when the weight store stalls. Its remaining time is assumed to grow with its
+      // elapsed time.
+      return elapsed <= expected ? expected - elapsed : elapsed * OVERDUE_REMAINING_SHARE;
     }
     return undefined;
   }
 
-  /** Whether waiting requests wait in vain now. */
-  private lacksRoom(name: string, demand: Demand, now: number): boolean {
+  /** Whether waiting requests cannot be served now because the pool may not or cannot load another replica. */
+  private lacksCapacity(name: string, demand: Demand, now: number): boolean {
     const tenant = this.pool.specOf(name);
     if (tenant === undefined || this.pool.allowed(name) === 0) return true;
-    if (demand.waiting(now) === 0 || this.isMakingRoom()) return false;
+    if (demand.waiting(now) === 0 || this.isFreeingCapacity()) return false;
     if (this.pool.countReplicas(name) >= this.pool.allowed(name)) return false;
     const spec = replicaSpecOf(tenant);
     return ![...this.pool.engines.values()].some(
@@ -80,7 +81,7 @@
     );
   }
 
-  private isMakingRoom(): boolean {
+  private isFreeingCapacity(): boolean {
     return [...this.pool.engines.values()].some(
       (engine) =>
         !engine.sealed ||
--- a/src/core/pool-messages.ts
+++ b/src/core/pool-messages.ts
@@ -1,4 +1,4 @@
-/** Events and effects of a pool's owner. */
+/** Events that a pool's owner handles, and effects that it returns. */
 import type {
   EngineOrder,
   EngineReport,
@@ -8,18 +8,18 @@
 import type { TenantSpec } from './documents.js';
 import type { RegisteredEngine } from './records.js';
 
-/** What a router asks of an owner. */
+/** A router's request to an owner to load a tenant or keep it loaded. */
 export interface WakeRequest {
   readonly router: string;
   readonly tenant: string;
   readonly priority: number;
-  /** Unix milliseconds; 0 when nothing waits. */
+  /** Unix milliseconds; 0 when no request waits. */
   readonly deadline: number;
   readonly waiting: number;
   readonly inFlight: number;
 }
 
-/** A loaded replica as a router hears of it. */
+/** A loaded replica in a location message to a router. */
 export interface LocatedReplica {
   readonly engine: string;
   readonly incarnation: string;
@@ -43,19 +43,19 @@
   readonly routers: number;
 }
 
-/** A tenant as far as one pool is concerned. */
+/** A tenant's settings and quota in one pool. */
 export interface PooledTenant {
-  /** Undefined once the tenant is deleted, until the pool has come down. */
+  /** Undefined once the tenant is deleted, until the pool has unloaded its replicas. */
   readonly spec: TenantSpec | undefined;
-  /** Replicas that this pool may hold now. */
+  /** Maximum number of replicas that this pool may hold now. */
   readonly allowed: number;
-  /** Set while the pool still has to come down to its target and confirm it. */
+  /** Target replica count; set until the pool has shrunk to it and confirmed that. */
   readonly shrinkTo?: number;
-  /** Version of the quota record that this came from. */
+  /** Version of the quota record that these values come from. */
   readonly quotaVersion: number;
 }
 
-/** What an owner reacts to. */
+/** An event that an owner handles. */
 export type PoolEvent =
   | {
       readonly type: 'tenant_changed';
@@ -73,12 +73,12 @@
   | { readonly type: 'engine_registered'; readonly engine: RegisteredEngine }
   | { readonly type: 'engine_unregistered'; readonly engine: string }
   | { readonly type: 'engine_listed'; readonly engine: string; readonly leaving: boolean }
-  /** The platform's list has not shown the engine for long enough. */
+  /** The engine has been missing from the platform's list for longer than the timeout. */
   | { readonly type: 'engine_gone'; readonly engine: string }
   | { readonly type: 'wake'; readonly wake: WakeRequest }
   | { readonly type: 'tick' };
 
-/** What an owner has done for it. */
+/** An effect that the owner's process performs. */
 export type PoolEffect =
   | {
       readonly type: 'send_order';
@@ -86,7 +86,7 @@
       readonly fence: OrderFence;
       readonly order: EngineOrder;
     }
-  /** Enter an engine's incarnation into the pool's record. */
+  /** Write an engine's incarnation to the pool's record. */
   | { readonly type: 'register_engine'; readonly engine: RegisteredEngine }
   | { readonly type: 'unregister_engine'; readonly engine: string }
   | { readonly type: 'push_location'; readonly router: string; readonly location: TenantLocation }
@@ -104,7 +104,7 @@
       readonly milliseconds: number;
     };
 
-/** Whether a tenant's waiting requests are to be refused. */
+/** Whether routers should refuse the requests that wait for the tenant. */
 export function isRefusal(location: TenantLocation): boolean {
   return location.state === 'no_capacity' || location.state === 'load_failed';
 }
