--- a/src/core/keep-alive-adaptive.ts
+++ b/src/core/keep-alive-adaptive.ts
@@ -63,7 +63,7 @@
 }
 
 function addIdleTime<Key>(
-  hasEnoughTimes: Map<Key, IdleTimes>,
+  idleTimes: Map<Key, IdleTimes>,
   key: Key,
   idleMs: number,
   maxTimes: number,
--- a/src/core/pool-owner.ts
+++ b/src/core/pool-owner.ts
@@ -1,11 +1,11 @@
 /**
- * The owner of a pool: decides which replicas its engines load and unload.
- * Deterministic: no I/O, no clock, no randomness of its own. One process owns
- * an instance, hands events in, and performs the effects in order.
+ * The owner of a pool: decides which replicas the pool's engines load and unload.
+ * Deterministic: it performs no I/O and uses no clock and no random numbers. One
+ * process owns an instance, passes events to it and performs the effects in order.
  *
- * Safety rests on the seal (an engine refuses orders of lower epochs) and on
- * counting: a replica counts from the moment its load is decided until the
- * engine confirms the unload, and an engine that has not answered the seal
+ * Safety depends on the seal (a sealed engine refuses orders of lower epochs) and
+ * on the replica count: a replica counts from the moment its load is decided until
+ * the engine confirms the unload, and an engine that has not answered the seal
  * counts as holding a replica of every tenant.
  */
 import type {
@@ -26,21 +26,21 @@
 import type { RegisteredEngine } from './records.js';
 import { replicaSpecOf, sameReplica } from './replica-spec.js';
 
-/** Milliseconds before a tenant whose load failed is tried again. */
+/** Milliseconds after a failed load before the owner retries it. */
 const LOAD_RETRY_MS = 2_000;
-/** Milliseconds that a replica is safe from eviction after its last use. */
+/** Milliseconds after its last use during which a replica is not evicted. */
 const EVICTION_GRACE_MS = 1_000;
 
-/** How an owner decides. */
+/** Identity, engines and policies of an owner. */
 export interface PoolOwnerOptions {
   readonly pool: string;
   readonly epoch: number;
   readonly engines: readonly RegisteredEngine[];
   readonly placement: PlacementPolicy;
   readonly keepAlive: KeepAlivePolicy;
-  /** Loads from the weight store at once; this pool's part of the store's full speed. */
+  /** Maximum concurrent loads from the weight store; this pool's share of the loads that the store serves at full speed. */
   readonly remoteLoads: number;
-  /** How waiting loads are ordered. Default `urgency`; `arrival` is a baseline. */
+  /** Order of pending loads. Default `urgency`; `arrival` is a baseline for comparison. */
   readonly loadOrder?: 'urgency' | 'arrival';
 }
 
@@ -49,20 +49,20 @@
   readonly engines = new Map<string, EngineLedger>();
   private readonly tenants = new Map<string, PooledTenant>();
   private readonly demands = new Map<string, Demand>();
-  /** Last use of tenants whose replica was unloaded here. */
+  /** Last use, in Unix milliseconds, of tenants whose replica this pool unloaded. */
   private readonly lastUses = new Map<string, number>();
   private readonly failures = new Map<string, LoadFailure>();
   private readonly acknowledged = new Map<string, number>();
   private readonly registering = new Set<string>();
-  /** Tenants whose quota here is to come down to a target. */
+  /** Tenants whose replica count in this pool must shrink to a target. */
   private readonly shrinking = new Set<string>();
-  /** Tenants whose location may have changed since it was last pushed. */
-  private readonly dirty = new Set<string>();
+  /** Tenants whose location may have changed since the last push to routers. */
+  private readonly dirtyTenants = new Set<string>();
   private readonly loadTimes = new LoadTimes();
   private effects: PoolEffect[] = [];
   private readonly publisher = new LocationPublisher();
   private readonly locator: PoolLocator;
-  private lost = false;
+  private hasLostOwnership = false;
 
   constructor(private readonly options: PoolOwnerOptions) {
     for (const engine of options.engines) this.addEngine(engine);
@@ -78,47 +78,48 @@
     });
   }
 
-  /** The first effects: a seal for each engine of the record. */
+  /** Returns the initial effects: a seal order for each registered engine. */
   start(): PoolEffect[] {
     this.effects = [];
     for (const engine of this.engines.values()) this.seal(engine);
     return this.effects;
   }
 
-  /** Handles one event and returns what is to be done. */
+  /** Handles one event and returns the effects to perform. */
   handle(event: PoolEvent, now: number): PoolEffect[] {
     this.effects = [];
-    if (this.lost) return this.effects;
+    if (this.hasLostOwnership) return this.effects;
     const engine = 'engine' in event && typeof event.engine === 'string' ? event.engine : '';
     const before = this.engines.get(engine)?.stateSignature();
-    this.markEngine(engine);
+    this.markTenantsDirty(engine);
     this.apply(event, now);
-    if (this.engines.get(engine)?.stateSignature() === before) this.dirty.clear();
-    else this.markEngine(engine);
-    if (!this.lost) this.plan(event, now);
+    if (this.engines.get(engine)?.stateSignature() === before) this.dirtyTenants.clear();
+    else this.markTenantsDirty(engine);
+    if (!this.hasLostOwnership) this.plan(event, now);
     return this.effects;
   }
 
-  private markEngine(address: string): void {
-    for (const tenant of this.engines.get(address)?.replicas.keys() ?? []) this.dirty.add(tenant);
+  private markTenantsDirty(address: string): void {
+    for (const tenant of this.engines.get(address)?.replicas.keys() ?? [])
+      this.dirtyTenants.add(tenant);
   }
 
-  /** Replicas of a tenant that are counted, from decided loads to confirmed unloads. */
+  /** Number of a tenant's replicas, counted from the decision to load until the confirmed unload. */
   countReplicas(tenant: string): number {
     let count = 0;
     for (const engine of this.engines.values()) {
-      // Nothing is known of an unsealed engine: it may hold one.
+      // The state of an unsealed engine is unknown, so it may hold a replica.
       if (!engine.sealed || engine.replicas.has(tenant)) count += 1;
     }
     return count;
   }
 
-  /** Whether all engines have answered the seal. */
+  /** Whether all engines have accepted the seal. */
   isSealed(): boolean {
     return [...this.engines.values()].every((engine) => engine.sealed);
   }
 
-  /** Tenants with a replica or a subscriber, for the status page. */
+  /** Tenants with a replica or a subscribed router, for the status page. */
   activeTenants(): string[] {
     const names = new Set(this.demands.keys());
     for (const engine of this.engines.values()) {
@@ -127,12 +128,12 @@
     return [...names];
   }
 
-  /** A tenant as this pool sees it. */
+  /** Returns a tenant's settings and quota in this pool. */
   tenant(name: string): PooledTenant | undefined {
     return this.tenants.get(name);
   }
 
-  /** Requests waiting for a tenant at all routers. */
+  /** Number of requests that wait for a tenant at all routers. */
   waiting(name: string, now: number): number {
     return this.demands.get(name)?.waiting(now) ?? 0;
   }
@@ -194,7 +195,7 @@
     const demand = this.demands.get(wake.tenant) ?? new Demand();
     this.demands.set(wake.tenant, demand);
     demand.add(wake, now);
-    // The router may have lost the last push: it gets the state anew.
+    // The router may have missed the last push, so the location is sent to it again.
     this.publisher.forget(wake.router, wake.tenant);
   }
 
@@ -217,28 +218,29 @@
     const engine = this.engines.get(address);
     if (engine === undefined || fence.incarnation !== engine.incarnation) return;
     if (answer.accepted) {
-      // Only the answer to a seal of this epoch shows that older orders are refused from now on.
+      // Only an answer in this epoch proves that the engine refuses orders of older epochs from now on.
       if (answer.report.epoch === this.options.epoch) engine.sealed = true;
       this.adoptReport(engine, answer.report, now);
       return;
     }
-    if (answer.refusal === 'stale_epoch') return this.lose(`${address} is sealed by a newer owner`);
+    if (answer.refusal === 'stale_epoch')
+      return this.loseOwnership(`a newer owner has sealed engine ${address}`);
     if (answer.refusal === 'wrong_incarnation') return this.register(address, answer.incarnation);
     if (answer.refusal === 'leaving') engine.markLeaving();
-    this.orderRefused(engine, fence.sequence);
+    this.uncountRefusedLoad(engine, fence.sequence);
     this.seal(engine);
   }
 
-  /** An order that was refused has changed nothing: its load is not counted any more. */
-  private orderRefused(engine: EngineLedger, sequence: number): void {
+  /** Stops counting the load of a refused order, because the engine did not execute the order. */
+  private uncountRefusedLoad(engine: EngineLedger, sequence: number): void {
     for (const [tenant, replica] of engine.replicas) {
       if (replica.sequence !== sequence) continue;
       if (replica.state === 'ordered') engine.replicas.delete(tenant);
     }
   }
 
-  private lose(reason: string): void {
-    this.lost = true;
+  private loseOwnership(reason: string): void {
+    this.hasLostOwnership = true;
     this.effects.push({ type: 'ownership_lost', reason });
   }
 
@@ -248,7 +250,7 @@
     this.effects.push({ type: 'register_engine', engine: { address, incarnation } });
   }
 
-  /** Only now may the incarnation be sealed: an older owner's registration fails from here on. */
+  /** Seals a registered incarnation. This is safe only now: from here on an older owner's registration fails. */
   private engineRegistered(registered: RegisteredEngine): void {
     this.registering.delete(registered.address);
     const known = this.engines.get(registered.address);
@@ -267,7 +269,8 @@
     if (report.incarnation !== engine.incarnation) {
       return this.register(engine.address, report.incarnation);
     }
-    if (report.epoch > this.options.epoch) return this.lose(`${engine.address} has a newer epoch`);
+    if (report.epoch > this.options.epoch)
+      return this.loseOwnership(`engine ${engine.address} has a newer epoch`);
     if (!engine.sealed || report.epoch !== this.options.epoch) return;
     const news = engine.adopt(report, now);
     for (const loaded of news.loaded) this.loadFinished(loaded, now);
@@ -312,19 +315,19 @@
 
   private plan(event: PoolEvent, now: number): void {
     if (event.type === 'tick') {
-      this.releaseIdle(now);
-      for (const tenant of this.demands.keys()) this.dirty.add(tenant);
+      this.unloadIdle(now);
+      for (const tenant of this.demands.keys()) this.dirtyTenants.add(tenant);
     }
-    if (event.type === 'wake') this.dirty.add(event.wake.tenant);
-    if (event.type === 'tenant_changed') this.dirty.add(event.name);
+    if (event.type === 'wake') this.dirtyTenants.add(event.wake.tenant);
+    if (event.type === 'tenant_changed') this.dirtyTenants.add(event.name);
     this.unloadSurplus();
     this.acknowledgeShrinks();
     this.startLoads(now);
     this.pushLocations(now);
   }
 
-  /** Unloads replicas that have idled for longer than their keep-alive. */
-  private releaseIdle(now: number): void {
+  /** Unloads replicas that have been idle for longer than their keep-alive duration. */
+  private unloadIdle(now: number): void {
     for (const engine of this.engines.values()) {
       if (!engine.sealed) continue;
       for (const [name, replica] of engine.replicas) {
@@ -337,22 +340,22 @@
     }
   }
 
-  /** Comes down to what the quotas and the documents allow now. */
+  /** Unloads replicas that exceed the quota, run on a leaving engine or no longer match the tenant's document. */
   private unloadSurplus(): void {
     for (const engine of this.engines.values()) {
       if (!engine.sealed) continue;
       for (const [name, replica] of engine.replicas) {
         if (replica.state === 'unloading') continue;
-        const surplus = this.countKept(name) > this.allowed(name);
-        // A leaving engine finishes what runs and gives its replicas up, so that they can be
-        // loaded elsewhere before it goes.
-        const goes = surplus || engine.leaving || this.isOutdated(replica);
-        if (goes) this.unload(engine, name);
+        const surplus = this.countNotUnloading(name) > this.allowed(name);
+        // A leaving engine finishes its running requests. Its replicas are unloaded so that other
+        // engines can load them before it shuts down.
+        const mustUnload = surplus || engine.leaving || this.isOutdated(replica);
+        if (mustUnload) this.unload(engine, name);
       }
     }
   }
 
-  /** Confirms the quotas that this pool has come down to; each version once. */
+  /** Acknowledges each quota that this pool has shrunk to, once per quota version. */
   private acknowledgeShrinks(): void {
     for (const name of this.shrinking) {
       const tenant = this.tenants.get(name);
@@ -365,7 +368,7 @@
     }
   }
 
-  /** Allows a failed acknowledgement to be tried again. */
+  /** Allows a failed acknowledgement to be retried. */
   retryAcknowledgement(tenant: string): void {
     this.acknowledged.delete(tenant);
   }
@@ -378,29 +381,29 @@
     return this.tenants.get(name)?.allowed ?? 0;
   }
 
-  /** Counted replicas that are not on their way out. */
-  private countKept(name: string): number {
-    let kept = 0;
+  /** Number of a tenant's replicas that are not unloading. */
+  private countNotUnloading(name: string): number {
+    let count = 0;
     for (const engine of this.engines.values()) {
       const replica = engine.replicas.get(name);
-      if (replica !== undefined && replica.state !== 'unloading') kept += 1;
+      if (replica !== undefined && replica.state !== 'unloading') count += 1;
     }
-    return kept;
+    return count;
   }
 
-  /** Whether the tenant's document now names another model, version or adapters. */
+  /** Whether the replica's model, version, slots or adapters differ from the tenant's current document. */
   private isOutdated(replica: CountedReplica): boolean {
     const spec = this.specOf(replica.spec.tenant);
     return spec === undefined || !sameReplica(replicaSpecOf(spec), replica.spec);
   }
 
   private startLoads(now: number): void {
-    for (const name of this.wantedTenants(now)) this.startLoad(name, now);
+    for (const name of this.tenantsNeedingReplica(now)) this.startLoad(name, now);
   }
 
-  /** Tenants that need one more replica, most urgent first. */
-  private wantedTenants(now: number): string[] {
-    const wanted = [...this.demands.entries()]
+  /** Tenants that need another replica, most urgent first unless the load order is `arrival`. */
+  private tenantsNeedingReplica(now: number): string[] {
+    const tenants = [...this.demands.entries()]
       .filter(([name, demand]) => this.needsReplica(name, demand, now))
       .map(([name, demand]) => ({
         name,
@@ -408,9 +411,9 @@
         deadline: demand.deadline(now),
       }));
     if (this.options.loadOrder !== 'arrival') {
-      wanted.sort((a, b) => a.priority - b.priority || a.deadline - b.deadline);
+      tenants.sort((a, b) => a.priority - b.priority || a.deadline - b.deadline);
     }
-    return wanted.map((entry) => entry.name);
+    return tenants.map((entry) => entry.name);
   }
 
   private needsReplica(name: string, demand: Demand, now: number): boolean {
@@ -437,7 +440,8 @@
     if (tenant === undefined) return;
     const spec = replicaSpecOf(tenant);
     const engines = [...this.engines.values()].filter(
-      (engine) => engine.takesLoads() && !engine.replicas.has(name) && this.mayFetch(engine, spec),
+      (engine) =>
+        engine.takesLoads() && !engine.replicas.has(name) && this.mayStartLoad(engine, spec),
     );
     if (engines.some((engine) => engine.fitsAfterUnloads(spec))) return;
     const urgency = priorityNumber(tenant.priority);
@@ -458,8 +462,8 @@
     placement.engine.countLoad(spec, sequence, now);
   }
 
-  /** Loads from the weight store wait while this pool's part of its speed is used up. */
-  private mayFetch(engine: EngineLedger, spec: ReplicaSpec): boolean {
+  /** Whether a load may start now; loads from the weight store wait while the pool's share of its speed is in use. */
+  private mayStartLoad(engine: EngineLedger, spec: ReplicaSpec): boolean {
     if (engine.tierOf(spec.model) !== 'remote') return true;
     return this.remoteLoadsRunning() < this.options.remoteLoads;
   }
@@ -481,18 +485,18 @@
     if ((this.demands.get(name)?.waiting(now) ?? 0) > 0) return false;
     const spec = this.specOf(name);
     const keepsForever = spec?.keepAlive.policy === 'forever';
-    const moreUrgent = spec !== undefined && priorityNumber(spec.priority) < urgency;
-    if (keepsForever || moreUrgent) return false;
+    const isMoreUrgent = spec !== undefined && priorityNumber(spec.priority) < urgency;
+    if (keepsForever || isMoreUrgent) return false;
     return now - replica.lastUsedAt >= EVICTION_GRACE_MS;
   }
 
   private pushLocations(now: number): void {
-    for (const name of this.dirty) {
+    for (const name of this.dirtyTenants) {
       const demand = this.demands.get(name);
       if (demand === undefined) continue;
       const location = this.locator.locate(name, demand, now);
       this.effects.push(...this.publisher.publish(location, demand.subscribers()));
     }
-    this.dirty.clear();
+    this.dirtyTenants.clear();
   }
 }
--- a/src/core/replica-choice-least-loaded.ts
+++ b/src/core/replica-choice-least-loaded.ts
@@ -1,18 +1,18 @@
-/** Takes the replica that is least full, by this router's own count and the engine's word. */
+/** Chooses the least loaded replica, by this router's own request count and the engine's reported load. */
 import type { ReplicaChoice, ReplicaView } from './replica-choice.js';
 
-/** Least loaded first; a replica at this router's share is full. */
+/** Least loaded first; a replica with this router's full share of requests in flight is not chosen. */
 export class LeastLoadedChoice implements ReplicaChoice {
   choose(replicas: readonly ReplicaView[]): ReplicaView | undefined {
-    let best: ReplicaView | undefined;
+    let leastLoaded: ReplicaView | undefined;
     for (const replica of replicas) {
       if (replica.inFlight >= replica.share) continue;
-      if (best === undefined || fullness(replica) < fullness(best)) best = replica;
+      if (leastLoaded === undefined || loadOf(replica) < loadOf(leastLoaded)) leastLoaded = replica;
     }
-    return best;
+    return leastLoaded;
   }
 }
 
-function fullness(replica: ReplicaView): number {
+function loadOf(replica: ReplicaView): number {
   return Math.max(replica.inFlight / replica.share, replica.reportedLoad);
 }
--- a/src/core/replica-spec.ts
+++ b/src/core/replica-spec.ts
@@ -1,8 +1,8 @@
-/** What a tenant's replica is made of. Pure. */
+/** Builds and compares the specifications of tenants' replicas. Pure. */
 import type { ReplicaSpec } from '../engines/engine-client.js';
 import type { TenantSpec } from './documents.js';
 
-/** What an engine is told to load for a tenant. */
+/** Returns the specification that an engine needs to load a tenant's replica. */
 export function replicaSpecOf(tenant: TenantSpec): ReplicaSpec {
   return {
     tenant: tenant.name,
@@ -14,7 +14,7 @@
   };
 }
 
-/** Whether two replicas are made of the same. */
+/** Whether two replicas have the same model, version, slots and adapter names. */
 export function sameReplica(a: ReplicaSpec, b: ReplicaSpec): boolean {
   const sameModel = a.model === b.model && a.version === b.version && a.slots === b.slots;
   if (!sameModel || a.adapters.length !== b.adapters.length) return false;
--- a/src/core/request-queue.ts
+++ b/src/core/request-queue.ts
@@ -1,6 +1,6 @@
 /** A bounded queue of waiting requests, ordered by priority, then deadline, then arrival. Pure. */
 
-/** What the order depends on. */
+/** The fields that determine a request's position. */
 export interface Queued {
   readonly id: string;
   /** Lower is more urgent. */
@@ -9,66 +9,66 @@
   readonly deadline: number;
 }
 
-interface Slot<Item extends Queued> {
+interface QueueEntry<Item extends Queued> {
   readonly item: Item;
   readonly arrival: number;
 }
 
-/** Waiting requests of one tenant at one router. */
+/** The waiting requests of one tenant at one router. */
 export class RequestQueue<Item extends Queued> {
-  private readonly slots: Slot<Item>[] = [];
+  private readonly entries: QueueEntry<Item>[] = [];
   private arrivals = 0;
 
-  /** Requests waiting. */
+  /** Number of waiting requests. */
   get size(): number {
-    return this.slots.length;
+    return this.entries.length;
   }
 
-  /** Adds a request in its place. */
+  /** Inserts a request at its position in the order. */
   push(item: Item): void {
-    const slot = { item, arrival: this.arrivals };
+    const entry = { item, arrival: this.arrivals };
     this.arrivals += 1;
     let low = 0;
-    let high = this.slots.length;
+    let high = this.entries.length;
     while (low < high) {
       const middle = (low + high) >>> 1;
-      const other = this.slots[middle];
-      if (other !== undefined && comesBefore(other, slot)) low = middle + 1;
+      const other = this.entries[middle];
+      if (other !== undefined && comesBefore(other, entry)) low = middle + 1;
       else high = middle;
     }
-    this.slots.splice(low, 0, slot);
+    this.entries.splice(low, 0, entry);
   }
 
-  /** The most urgent request, which stays. */
+  /** Returns the most urgent request without removing it. */
   peek(): Item | undefined {
-    return this.slots[0]?.item;
+    return this.entries[0]?.item;
   }
 
-  /** Takes the most urgent request. */
+  /** Removes and returns the most urgent request. */
   shift(): Item | undefined {
-    return this.slots.shift()?.item;
+    return this.entries.shift()?.item;
   }
 
-  /** Takes a request out; false if it does not wait here. */
+  /** Removes a request; returns false if it is not in the queue. */
   remove(id: string): boolean {
-    const index = this.slots.findIndex((slot) => slot.item.id === id);
+    const index = this.entries.findIndex((entry) => entry.item.id === id);
     if (index < 0) return false;
-    this.slots.splice(index, 1);
+    this.entries.splice(index, 1);
     return true;
   }
 
   /** All requests, most urgent first. */
   items(): Item[] {
-    return this.slots.map((slot) => slot.item);
+    return this.entries.map((entry) => entry.item);
   }
 
-  /** Earliest deadline of all; Infinity for none. */
+  /** The earliest deadline in Unix milliseconds; Infinity if the queue is empty. */
   earliestDeadline(): number {
-    return this.slots.reduce((low, slot) => Math.min(low, slot.item.deadline), Infinity);
+    return this.entries.reduce((low, entry) => Math.min(low, entry.item.deadline), Infinity);
   }
 }
 
-function comesBefore<Item extends Queued>(a: Slot<Item>, b: Slot<Item>): boolean {
+function comesBefore<Item extends Queued>(a: QueueEntry<Item>, b: QueueEntry<Item>): boolean {
   if (a.item.priority !== b.item.priority) return a.item.priority < b.item.priority;
   if (a.item.deadline !== b.item.deadline) return a.item.deadline < b.item.deadline;
   return a.arrival < b.arrival;
--- a/src/core/retry-budget.ts
+++ b/src/core/retry-budget.ts
@@ -1,28 +1,28 @@
 /**
- * The daemons' common budget for repeated sends to a service. Each daemon has a part of
- * its slack (`admission/limit-shares.ts`). A send is counted at the gate, before it is made, and is never given
- * back: the class "admission counted" of the paper in the users' reading, with
- * a counter for each daemon, so the sum cannot overshoot.
- * Pure; times are milliseconds of a steady clock.
+ * Retry budget for one service, shared by all daemons. Each daemon holds a share of the budget's slack
+ * (`admission/limit-shares.ts`). A retry is counted on admission, before it is sent, and the count is never
+ * returned. This is the class "admission counted" of the paper that the users refer to. Each daemon has its own
+ * counter, so the sum over all daemons cannot exceed the budget.
+ * Pure; times are milliseconds of a monotonic clock.
  */
 
-/** How much may be repeated. */
+/** Limits on retries to a service. */
 export interface RetryBudgetLimits {
-  /** Repeated sends for each first one. */
+  /** Allowed retries per first send. */
   readonly ratio: number;
   readonly windowMs: number;
-  /** Repeated sends in a window on top of the ratio, over all daemons. */
+  /** Retries per window allowed in addition to the ratio, over all daemons. */
   readonly slack: number;
 }
 
-/** This daemon's part of one service's budget. */
+/** This daemon's share of one service's retry budget. */
 export class RetryBudget {
   private readonly requests: number[] = [];
   private readonly retries: number[] = [];
 
   /**
-   * @param startedAt - The process may be the successor of one that spent its whole part at
-   *   its end: the slack is granted only once a window has passed.
+   * @param startedAt - Start time of the process. An earlier process of this daemon may have spent its whole
+   *   share just before it ended, so the slack becomes available only after one window.
    */
   constructor(
     private readonly limits: RetryBudgetLimits,
@@ -32,35 +32,35 @@
   /** Counts a request's first send. */
   countRequest(now: number): void {
     this.requests.push(now);
-    this.forget(now);
+    this.removeExpired(now);
   }
 
   /**
-   * Takes one repeated send; false if the part of this daemon is spent.
+   * Takes one retry from the budget; returns false if this daemon's share is spent.
    *
-   * @param parts - Parts into which the slack is divided, one for this daemon; infinite if it has none.
+   * @param parts - Number of equal shares of the slack, one of them for this daemon; infinite if it has no share.
    */
   takeRetry(now: number, parts: number): boolean {
-    this.forget(now);
+    this.removeExpired(now);
     if (this.retries.length + 1 > this.allowance(now, parts)) return false;
     this.retries.push(now);
     return true;
   }
 
-  /** Repeated sends that this daemon may make in the window that ends now. */
+  /** Retries that this daemon may send in the window that ends now. */
   allowance(now: number, parts: number): number {
-    const isSuccessor = now - this.startedAt < this.limits.windowMs;
-    const slack = isSuccessor ? 0 : this.limits.slack / Math.max(1, parts);
+    const isInFirstWindow = now - this.startedAt < this.limits.windowMs;
+    const slack = isInFirstWindow ? 0 : this.limits.slack / Math.max(1, parts);
     return Math.floor(this.limits.ratio * this.requests.length + slack);
   }
 
-  private forget(now: number): void {
-    dropBefore(this.requests, now - this.limits.windowMs);
-    dropBefore(this.retries, now - this.limits.windowMs);
+  private removeExpired(now: number): void {
+    removeBefore(this.requests, now - this.limits.windowMs);
+    removeBefore(this.retries, now - this.limits.windowMs);
   }
 }
 
-function dropBefore(times: number[], limit: number): void {
+function removeBefore(times: number[], limit: number): void {
   let count = 0;
   while (count < times.length && (times[count] ?? 0) < limit) count += 1;
   if (count > 0) times.splice(0, count);
--- a/src/core/router-messages.ts
+++ b/src/core/router-messages.ts
@@ -1,10 +1,10 @@
-/** Events and effects of a router. */
+/** Events that a router handles, and effects that it returns. */
 import type { ErrorKind } from '../common/errors.js';
 import type { ReplicaLoad, RequestRefusal } from '../engines/engine-client.js';
 import type { TenantSpec } from './documents.js';
 import type { TenantLocation, WakeRequest } from './pool-messages.js';
 
-/** A request as the router decides on it. The prompt stays with the I/O around it. */
+/** The part of a request that the router needs for its decisions. The I/O layer keeps the prompt. */
 export interface RoutedRequest {
   readonly id: string;
   readonly tenant: string;
@@ -12,28 +12,28 @@
   readonly priority: number;
   /** Unix milliseconds by which the whole answer must have ended. */
   readonly deadline: number;
-  /** Whether it may run more than once. */
+  /** Whether the request may run more than once. */
   readonly repeatable: boolean;
-  /** Claimed at a quorum before the request is sent. */
+  /** Key that must be claimed at a quorum before the request is sent; undefined if the request has none. */
   readonly idempotencyKey: string | undefined;
 }
 
-/** A pool that may hold a tenant, in the order in which it is to be woken. */
+/** A pool that may hold a replica of a tenant. */
 export interface PoolRoute {
   readonly pool: string;
   readonly site: string;
-  /** Peer address of the owner; empty while there is none. */
+  /** Peer address of the pool's owner; empty while the pool has no owner. */
   readonly owner: string;
 }
 
-/** The configuration as a router reads it. Looking up changes nothing. */
+/** A router's read-only view of the configuration. */
 export interface RoutingDirectory {
   tenant(name: string): TenantSpec | undefined;
-  /** Pools with a part of the tenant's quota, this router's own site first. */
+  /** Pools with a share of the tenant's quota, in the order in which to send wakes; the router's own site is first. */
   routes(tenant: string): readonly PoolRoute[];
 }
 
-/** What a router reacts to. */
+/** An event that a router handles. */
 export type RouterEvent =
   | { readonly type: 'arrived'; readonly request: RoutedRequest }
   | {
@@ -44,7 +44,7 @@
   | { readonly type: 'accepted'; readonly id: string; readonly load: ReplicaLoad }
   | { readonly type: 'token'; readonly id: string }
   | { readonly type: 'refused'; readonly id: string; readonly refusal: RequestRefusal }
-  /** The connection failed; `sent` is false if no byte of the request left. */
+  /** The connection failed; `sent` is false if no byte of the request was sent. */
   | { readonly type: 'broken'; readonly id: string; readonly sent: boolean }
   | { readonly type: 'cancelled'; readonly id: string; readonly ran: 'no' | 'yes' | 'unknown' }
   | { readonly type: 'done'; readonly id: string }
@@ -56,7 +56,7 @@
   | { readonly type: 'drain' }
   | { readonly type: 'tick' };
 
-/** What a router has done for it. */
+/** An effect that the router's process performs. */
 export type RouterEffect =
   | { readonly type: 'claim'; readonly request: RoutedRequest }
   | {
@@ -65,22 +65,22 @@
       readonly engine: string;
       readonly incarnation: string;
     }
-  /** Take the stream up again, from the tokens already received. */
+  /** Resume the stream after the tokens already received. */
   | {
       readonly type: 'resume';
       readonly id: string;
       readonly engine: string;
       readonly delayMs: number;
     }
-  /** Cancel, and report what the engine says as `cancelled`. */
+  /** Cancel the request at the engine, and report the engine's answer as a `cancelled` event. */
   | {
       readonly type: 'cancel';
       readonly id: string;
       readonly engine: string;
-      /** An answer of another incarnation says nothing of the request. */
+      /** Incarnation that received the request; an answer from another incarnation is no evidence about it. */
       readonly incarnation: string;
     }
-  /** Cancel without waiting: the caller has its answer, or has gone. */
+  /** Cancel without waiting for an answer, because the caller has its answer or has disconnected. */
   | { readonly type: 'abandon'; readonly id: string; readonly engine: string }
   | {
       readonly type: 'refuse';
--- a/src/core/router-request.ts
+++ b/src/core/router-request.ts
@@ -1,9 +1,9 @@
-/** What a router is given, and the state of one request at it. */
+/** A router's options, and the state of one request at a router. */
 import type { ErrorKind } from '../common/errors.js';
 import type { ReplicaChoice } from './replica-choice.js';
 import type { RoutedRequest, RoutingDirectory } from './router-messages.js';
 
-/** How a router decides. */
+/** Identity, configuration and policy of a router. */
 export interface RouterOptions {
   /** This daemon's peer address. */
   readonly self: string;
@@ -11,29 +11,29 @@
   readonly choice: ReplicaChoice;
 }
 
-/** How far a request has come. */
+/** Processing phase of a request. */
 export type RequestPhase =
   'claiming' | 'waiting' | 'sent' | 'streaming' | 'resuming' | 'cancelling';
 
-/** One request at a router. */
+/** State of one request at a router. */
 export interface RequestState {
   readonly request: RoutedRequest;
   phase: RequestPhase;
   engine: string;
-  /** Start of the engine process that the request was sent to. */
+  /** Incarnation of the engine process that the request was sent to. */
   incarnation: string;
-  /** The key is claimed: the request may be sent. */
+  /** Whether the idempotency key is claimed or not needed, so that the request may be sent. */
   claimed: boolean;
-  /** The engine has accepted the request. */
+  /** Whether the engine has accepted the request. */
   started: boolean;
-  /** An earlier try of a repeatable request may have run: "not run" is never said again. */
+  /** Whether an earlier attempt may have run; if so, the router never reports the request as not run. */
   mayHaveRun: boolean;
   tokens: number;
   resumes: number;
   refusals: number;
 }
 
-/** How a request is answered whose deadline has passed. */
+/** Returns the error kind for a request whose deadline has passed. */
 export function deadlineKind(state: RequestState): ErrorKind {
   if (state.engine === '') return 'deadline_exceeded_waiting';
   return state.started ? 'deadline_exceeded_running' : 'engine_outcome_unknown';
--- a/src/core/router.ts
+++ b/src/core/router.ts
@@ -1,11 +1,12 @@
 /**
- * A router's decisions: which requests wait, which replica takes one, what
+ * A router's decisions: which requests wait, which replica takes a request, what
  * happens when a connection fails, and when a request is refused. Deterministic:
- * no I/O, no clock, no randomness of its own.
+ * it performs no I/O and uses no clock and no random numbers.
  *
- * A request moves waiting -> claiming -> waiting -> sent -> streaming -> ended.
- * A request that may not be repeated is never sent a second time once a byte of
- * it may have left, unless the engine itself says that it did not run.
+ * A request moves through the phases claiming (only with an idempotency key) ->
+ * waiting -> sent -> streaming -> ended. Once a byte of a non-repeatable request may
+ * have been sent, the router sends the request again only if the engine confirms that
+ * it did not run.
  */
 import { answerFor, type ErrorKind } from '../common/errors.js';
 import type { ReplicaLoad, RequestRefusal } from '../engines/engine-client.js';
@@ -16,27 +17,29 @@
 import { TenantRoute } from './tenant-route.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** Milliseconds between two wakes of one tenant while requests wait. */
+/** Minimum milliseconds between two wake messages for one tenant while requests wait. */
 const WAKE_PERIOD_MS = 500;
-/** Milliseconds between two renewals while a tenant is in use. */
+/** Milliseconds between two wake messages that renew the subscription of a tenant with requests in flight. */
 const RENEW_PERIOD_MS = 5_000;
-/** Milliseconds without use after which a tenant is forgotten. */
-const FORGET_AFTER_MS = 20_000;
-/** Resumes of one broken stream, and the pause before each. */
-const RESUME_PAUSES_MS = [0, 100, 400, 1_000] as const;
-/** Times that an engine may refuse one request before the caller is refused. */
-const MOST_REFUSALS = 8;
-/** Second runs allowed in proportion to requests, and a second whatever the load. */
-const RETRY_SHARE = 0.1;
+/** Milliseconds without use after which a tenant's state is removed. */
+const IDLE_ROUTE_TIMEOUT_MS = 20_000;
+/** Delay in milliseconds before each attempt to resume a broken stream. */
+const RESUME_DELAYS_MS = [0, 100, 400, 1_000] as const;
+/** Number of engine refusals of one request after which the router refuses the caller. */
+const MAX_REFUSALS = 8;
+/** Second runs allowed per request. */
+const RETRIES_PER_REQUEST = 0.1;
+/** Second runs allowed per second, independent of the number of requests. */
 const RETRIES_PER_SECOND = 1;
+/** Maximum number of second runs that can accumulate. */
 const RETRY_BURST = 10;
 
-/** Requests and locations at one router. */
+/** The requests and tenant locations at one router. */
 export class Router {
   private readonly requests = new Map<string, RequestState>();
   private readonly routes = new Map<string, TenantRoute>();
-  private readonly leaving = new Set<string>();
-  private readonly retries: TokenBucket;
+  private readonly leavingEngines = new Set<string>();
+  private readonly retryTokens: TokenBucket;
   private draining = false;
   private effects: RouterEffect[] = [];
 
@@ -44,38 +47,38 @@
     private readonly options: RouterOptions,
     now: number,
   ) {
-    this.retries = new TokenBucket(RETRIES_PER_SECOND, RETRY_BURST, now);
+    this.retryTokens = new TokenBucket(RETRIES_PER_SECOND, RETRY_BURST, now);
   }
 
-  /** Requests that have not ended. */
+  /** Number of requests that have not ended. */
   get size(): number {
     return this.requests.size;
   }
 
-  /** Requests waiting in queues. */
+  /** Number of requests that wait in queues. */
   waitingCount(): number {
     let waiting = 0;
     for (const route of this.routes.values()) waiting += route.queue.size;
     return waiting;
   }
 
-  /** What is known of a tenant, for the status page. */
+  /** Returns a tenant's state at this router, for the status page. */
   route(tenant: string): TenantRoute | undefined {
     return this.routes.get(tenant);
   }
 
-  /** Handles one event and returns what is to be done. */
+  /** Handles one event and returns the effects to perform. */
   handle(event: RouterEvent, now: number): RouterEffect[] {
     this.effects = [];
     switch (event.type) {
       case 'arrived':
-        this.arrive(event.request, now);
+        this.requestArrived(event.request, now);
         break;
       case 'claim_settled':
         this.claimSettled(event.id, event.outcome, now);
         break;
       case 'accepted':
-        this.accepted(event.id, event.load, now);
+        this.requestAccepted(event.id, event.load, now);
         break;
       case 'token':
         this.tokenReceived(event.id);
@@ -84,10 +87,10 @@
         this.refusedByEngine(event.id, event.refusal, now);
         break;
       case 'broken':
-        this.broken(event.id, event.sent, now);
+        this.connectionBroken(event.id, event.sent, now);
         break;
       case 'cancelled':
-        this.cancelled(event.id, event.ran, now);
+        this.requestCancelled(event.id, event.ran, now);
         break;
       case 'done':
         this.finish(event.id, now);
@@ -117,9 +120,9 @@
     return this.effects;
   }
 
-  private arrive(request: RoutedRequest, now: number): void {
+  private requestArrived(request: RoutedRequest, now: number): void {
     const spec = this.options.directory.tenant(request.tenant);
-    const refusal = this.admission(request, spec, now);
+    const refusal = this.admissionRefusal(request, spec, now);
     if (refusal !== undefined) {
       this.effects.push({ type: 'refuse', id: request.id, ...refusal });
       return;
@@ -138,37 +141,44 @@
       refusals: 0,
     };
     this.requests.set(request.id, state);
-    this.retries.add(RETRY_SHARE, now);
+    this.retryTokens.add(RETRIES_PER_REQUEST, now);
     if (needsClaim) this.effects.push({ type: 'claim', request });
     else this.enqueue(state, now);
   }
 
-  private admission(
+  private admissionRefusal(
     request: RoutedRequest,
     spec: TenantSpec | undefined,
     now: number,
   ): { kind: ErrorKind; reason: string; retryAfterMs?: number } | undefined {
     if (this.draining) return { kind: 'draining', reason: 'this daemon is stopping' };
-    if (spec === undefined) return { kind: 'unknown_tenant', reason: 'no such tenant' };
+    if (spec === undefined) return { kind: 'unknown_tenant', reason: 'the tenant does not exist' };
     if (request.deadline <= now) {
-      return { kind: 'deadline_exceeded_waiting', reason: 'the deadline has passed already' };
+      return { kind: 'deadline_exceeded_waiting', reason: 'the deadline has already passed' };
     }
     const route = this.routeOf(spec, now);
     if (route.queue.size >= spec.limits.queue) {
-      return { kind: 'queue_full', reason: `${route.queue.size} requests wait already` };
+      return { kind: 'queue_full', reason: `${route.queue.size} requests are already waiting` };
     }
     const allowed = Math.ceil(spec.limits.inFlight / route.routers());
     if (route.inFlight + route.queue.size >= allowed) {
-      return { kind: 'concurrency_limited', reason: `${allowed} requests run or wait already` };
+      return {
+        kind: 'concurrency_limited',
+        reason: `${allowed} requests are already running or waiting`,
+      };
     }
     const retryAfterMs = route.takeRate(spec, now);
     if (retryAfterMs === 0) return undefined;
-    return { kind: 'rate_limited', reason: 'over the requests a second', retryAfterMs };
+    return {
+      kind: 'rate_limited',
+      reason: 'the limit of requests per second is exceeded',
+      retryAfterMs,
+    };
   }
 
   private routeOf(spec: TenantSpec, now: number): TenantRoute {
-    const known = this.routes.get(spec.name);
-    if (known !== undefined) return known;
+    const existing = this.routes.get(spec.name);
+    if (existing !== undefined) return existing;
     const route = new TenantRoute(spec, now);
     this.routes.set(spec.name, route);
     return route;
@@ -202,16 +212,16 @@
     route.lastUsedAt = now;
     this.dispatch(state.request.tenant, now);
     if (state.phase !== 'waiting') return;
-    this.refuseIfHopeless(state, now);
+    this.refuseIfUnserviceable(state, now);
     if (this.requests.has(state.request.id)) this.wake(state.request.tenant, now, false);
   }
 
-  /** Sends waiting requests, most urgent first, while replicas have room. */
+  /** Sends waiting requests, most urgent first, while replicas have free capacity. */
   private dispatch(tenant: string, now: number): void {
     const route = this.routes.get(tenant);
     if (route === undefined) return;
     while (route.queue.size > 0) {
-      const replica = this.options.choice.choose(route.usableReplicas(now, this.leaving));
+      const replica = this.options.choice.choose(route.usableReplicas(now, this.leavingEngines));
       if (replica === undefined) return;
       const request = route.queue.shift();
       const state = request === undefined ? undefined : this.requests.get(request.id);
@@ -226,33 +236,33 @@
     }
   }
 
-  /** Refuses at once what cannot make it, with when to come back. */
-  private refuseIfHopeless(state: RequestState, now: number): void {
+  /** Refuses a waiting request that cannot be served before its deadline; the refusal carries a retry time if known. */
+  private refuseIfUnserviceable(state: RequestState, now: number): void {
     const tenant = state.request.tenant;
     const route = this.routes.get(tenant);
     const pools = this.options.directory.routes(tenant);
     if (route === undefined || route.isLoaded()) return;
     if (pools.length === 0) {
-      // A tenant that has just been declared gets its quota in a moment; one with a cap of 0 never.
+      // A newly declared tenant receives its quota shortly; a tenant with a maximum of 0 replicas never does.
       const cap = this.options.directory.tenant(tenant)?.maxReplicas ?? 0;
-      if (cap === 0) this.refuse(state, 'no_capacity', 'the tenant may have no replica', now);
+      if (cap === 0) this.refuse(state, 'no_capacity', 'the tenant allows no replicas', now);
       return;
     }
-    const known = pools.map((pool) => route.locationOf(pool.pool));
-    if (known.every((location) => location !== undefined && isRefusal(location))) {
-      const waits = known.map((location) => location?.retryAfterMs ?? 0);
-      const failed = known.some((location) => location?.state === 'load_failed');
+    const locations = pools.map((pool) => route.locationOf(pool.pool));
+    if (locations.every((location) => location !== undefined && isRefusal(location))) {
+      const retryTimes = locations.map((location) => location?.retryAfterMs ?? 0);
+      const failed = locations.some((location) => location?.state === 'load_failed');
       const kind = failed ? 'load_failed' : 'no_capacity';
-      this.refuse(state, kind, 'no replica can be loaded now', now, Math.min(...waits));
+      this.refuse(state, kind, 'no pool can load a replica now', now, Math.min(...retryTimes));
       return;
     }
-    const loading = known.find((location) => location?.state === 'loading');
+    const loading = locations.find((location) => location?.state === 'loading');
     if (loading === undefined || now + loading.readyInMs <= state.request.deadline) return;
     const reason = `a replica is expected in ${Math.round(loading.readyInMs)} ms`;
     this.refuse(state, 'deadline_unreachable', reason, now, loading.readyInMs);
   }
 
-  /** Tells the owner of the first pool that may help; joined there with other routers' wakes. */
+  /** Sends a wake to the owner of the first suitable pool; the owner combines it with other routers' wakes. */
   private wake(tenant: string, now: number, force: boolean): void {
     const route = this.routes.get(tenant);
     if (route === undefined) return;
@@ -276,7 +286,7 @@
     });
   }
 
-  private accepted(id: string, load: ReplicaLoad, now: number): void {
+  private requestAccepted(id: string, load: ReplicaLoad, now: number): void {
     const state = this.requests.get(id);
     if (state === undefined || state.engine === '') return;
     state.phase = 'streaming';
@@ -289,11 +299,11 @@
     const state = this.requests.get(id);
     if (state === undefined) return;
     state.tokens += 1;
-    // Progress: the resumes start over.
+    // The stream made progress, so the next break starts with the first resume delay again.
     state.resumes = 0;
   }
 
-  /** The engine says itself that nothing ran: the request may go elsewhere. */
+  /** Handles a refusal: the engine confirms that the request did not run, so another engine may take it. */
   private refusedByEngine(id: string, refusal: RequestRefusal, now: number): void {
     const state = this.requests.get(id);
     if (state === undefined || state.engine === '') return;
@@ -304,25 +314,30 @@
     else if (refusal === 'leaving') this.engineLeaving(engine, now);
     else route?.removeEngine(engine);
     state.refusals += 1;
-    if (state.refusals >= MOST_REFUSALS) {
-      this.refuse(state, 'engine_refused', `engines refused ${state.refusals} times`, now);
+    if (state.refusals >= MAX_REFUSALS) {
+      this.refuse(
+        state,
+        'engine_refused',
+        `engines refused the request ${state.refusals} times`,
+        now,
+      );
       return;
     }
     this.enqueue(state, now);
   }
 
-  private broken(id: string, sent: boolean, now: number): void {
+  private connectionBroken(id: string, sent: boolean, now: number): void {
     const state = this.requests.get(id);
     if (state === undefined || state.engine === '') return;
     if (!sent && state.phase === 'sent') {
       this.refusedByEngine(id, 'not_loaded', now);
       return;
     }
-    const pause = RESUME_PAUSES_MS[state.resumes];
-    if (pause !== undefined) {
+    const resumeDelayMs = RESUME_DELAYS_MS[state.resumes];
+    if (resumeDelayMs !== undefined) {
       state.phase = 'resuming';
       state.resumes += 1;
-      this.effects.push({ type: 'resume', id, engine: state.engine, delayMs: pause });
+      this.effects.push({ type: 'resume', id, engine: state.engine, delayMs: resumeDelayMs });
       return;
     }
     state.phase = 'cancelling';
@@ -330,28 +345,28 @@
     this.effects.push({ type: 'cancel', id, engine, incarnation });
   }
 
-  /** The stream is lost; what the engine said of the cancelled request decides. */
-  private cancelled(id: string, ran: 'no' | 'yes' | 'unknown', now: number): void {
+  /** Handles a lost stream after its cancellation, depending on whether the engine reports that the request ran. */
+  private requestCancelled(id: string, ran: 'no' | 'yes' | 'unknown', now: number): void {
     const state = this.requests.get(id);
     if (state?.phase !== 'cancelling') return;
     const engine = state.engine;
     this.release(state);
     this.routes.get(state.request.tenant)?.removeEngine(engine);
-    // Once the engine has accepted the request, a later "it did not run" is wrong.
-    const truly = state.started ? 'yes' : ran;
-    if (truly === 'no') {
+    // Once the engine has accepted the request, a later report that it did not run is wrong.
+    const actuallyRan = state.started ? 'yes' : ran;
+    if (actuallyRan === 'no') {
       state.refusals += 1;
       this.enqueue(state, now);
       return;
     }
-    const unheard = state.tokens === 0;
-    if (state.request.repeatable && unheard && this.retries.take(now)) {
+    const hasNoTokens = state.tokens === 0;
+    if (state.request.repeatable && hasNoTokens && this.retryTokens.take(now)) {
       state.started = false;
       state.mayHaveRun = true;
       this.enqueue(state, now);
       return;
     }
-    const kind = truly === 'yes' ? 'engine_failed' : 'engine_outcome_unknown';
+    const kind = actuallyRan === 'yes' ? 'engine_failed' : 'engine_outcome_unknown';
     this.refuse(state, kind, 'the engine failed during the answer', now);
   }
 
@@ -391,8 +406,14 @@
   ): void {
     const retry = retryAfterMs === undefined ? {} : { retryAfterMs };
     const claimsNotRun = answerFor(kind).ran === 'no';
-    const truthful = claimsNotRun && state.mayHaveRun ? 'engine_outcome_unknown' : kind;
-    this.effects.push({ type: 'refuse', id: state.request.id, kind: truthful, reason, ...retry });
+    const reportedKind = claimsNotRun && state.mayHaveRun ? 'engine_outcome_unknown' : kind;
+    this.effects.push({
+      type: 'refuse',
+      id: state.request.id,
+      kind: reportedKind,
+      reason,
+      ...retry,
+    });
     this.end(state, now);
   }
 
@@ -427,18 +448,18 @@
     return routes.find((route) => route.pool === location.pool)?.owner;
   }
 
-  /** Dispatches what can go, and refuses what cannot make it. */
+  /** Dispatches waiting requests, and refuses those that cannot be served before their deadline. */
   private serveWaiting(tenant: string, now: number): void {
     this.dispatch(tenant, now);
     const route = this.routes.get(tenant);
     for (const request of route?.queue.items() ?? []) {
       const state = this.requests.get(request.id);
-      if (state !== undefined) this.refuseIfHopeless(state, now);
+      if (state !== undefined) this.refuseIfUnserviceable(state, now);
     }
   }
 
   private engineLeaving(engine: string, now: number): void {
-    this.leaving.add(engine);
+    this.leavingEngines.add(engine);
     for (const [tenant, route] of this.routes) {
       if (!route.removeEngine(engine)) continue;
       if (route.queue.size > 0) this.wake(tenant, now, true);
@@ -457,7 +478,7 @@
     }
   }
 
-  /** Takes nothing new; refuses what has not been sent, so that callers go elsewhere at once. */
+  /** Stops accepting requests and refuses unsent ones, so that callers can use another daemon at once. */
   private drain(now: number): void {
     this.draining = true;
     for (const state of [...this.requests.values()]) {
@@ -473,18 +494,18 @@
         if (route.queue.size > 0) this.wake(tenant, now, false);
       } else if (route.inFlight > 0 && now - route.lastWakeAt >= RENEW_PERIOD_MS) {
         this.wake(tenant, now, true);
-      } else if (this.isForgotten(route, now)) {
+      } else if (this.isIdle(route, now)) {
         this.routes.delete(tenant);
       }
     }
   }
 
-  private isForgotten(route: TenantRoute, now: number): boolean {
-    return route.inFlight === 0 && now - route.lastUsedAt > FORGET_AFTER_MS;
+  private isIdle(route: TenantRoute, now: number): boolean {
+    return route.inFlight === 0 && now - route.lastUsedAt > IDLE_ROUTE_TIMEOUT_MS;
   }
 
-  /** An engine that the platform's list shows as live again may be used. */
+  /** Allows the use of an engine that the platform's list shows as live again. */
   engineReturned(engine: string): void {
-    this.leaving.delete(engine);
+    this.leavingEngines.delete(engine);
   }
 }
--- a/src/core/routing-table.ts
+++ b/src/core/routing-table.ts
@@ -1,7 +1,7 @@
 /**
- * Chooses the route and the service of a request. One immutable table for each
- * version of the configuration; the state of weighted choices is carried from
- * one to the next, so that a change elsewhere does not disturb the shares.
+ * Chooses the route and the service of a request. Each configuration version has
+ * one immutable table. A new table takes over the state of weighted choices whose
+ * targets are unchanged, so that unrelated changes do not disturb their shares.
  */
 import type { Route, RouteTarget, Service, ServiceConfiguration } from './service-configuration.js';
 import { WeightedChoice } from './weighted-choice.js';
@@ -14,7 +14,7 @@
 
 /** The routes and services of one version of the configuration. */
 export class RoutingTable {
-  /** Routes of each host, longest prefix first. */
+  /** Routes by host, longest path prefix first. */
   private readonly routesByHost = new Map<string, Route[]>();
   private readonly services: ReadonlyMap<string, Service>;
   private readonly choices = new Map<string, WeightedChoice<RouteTarget>>();
@@ -36,18 +36,18 @@
     }
   }
 
-  /** The service of a name. */
+  /** Returns the service with the given name. */
   service(name: string): Service | undefined {
     return this.services.get(name);
   }
 
-  /** The route of a request, without a choice among its services. */
+  /** Returns the route of a request without choosing one of its services. */
   route(host: string, path: string): Route | undefined {
     const routes = this.routesByHost.get(host) ?? [];
     return routes.find((route) => path.startsWith(route.pathPrefix));
   }
 
-  /** Route and service of a request; counts towards the shares of a split route. */
+  /** Returns the route and service of a request; counts towards the shares of a route with several targets. */
   match(host: string, path: string): RouteMatch | undefined {
     const route = this.route(host, path);
     if (route === undefined) return undefined;
@@ -59,9 +59,9 @@
 
 function choiceFor(
   route: Route,
-  before: WeightedChoice<RouteTarget> | undefined,
+  previous: WeightedChoice<RouteTarget> | undefined,
 ): WeightedChoice<RouteTarget> {
-  if (before?.isSame(route.targets, sameTarget) === true) return before;
+  if (previous?.isSame(route.targets, sameTarget) === true) return previous;
   return new WeightedChoice(route.targets);
 }
 
--- a/src/core/sliding-sum.ts
+++ b/src/core/sliding-sum.ts
@@ -1,56 +1,56 @@
-/** A sum over a sliding window of time. Pure; times are milliseconds of a steady clock. */
+/** A sum over a sliding time window. Pure; times are milliseconds of a monotonic clock. */
 
-/** Parts of a window: what was added together is forgotten together, a part too late. */
-const PARTS = 64;
+/** Buckets per window. Amounts in one bucket expire together, up to one bucket length late. */
+const BUCKETS_PER_WINDOW = 64;
 
-interface Part {
+interface Bucket {
   readonly at: number;
   amount: number;
 }
 
-/** Adds amounts and forgets them after the window. */
+/** Sums amounts; each amount expires after the window. */
 export class SlidingSum {
-  private readonly parts: Part[] = [];
+  private readonly buckets: Bucket[] = [];
 
   constructor(readonly windowMs: number) {}
 
   add(amount: number, now: number): void {
-    const last = this.parts.at(-1);
-    if (last !== undefined && now - last.at < this.partMs) last.amount += amount;
-    else this.parts.push({ at: now, amount });
+    const last = this.buckets.at(-1);
+    if (last !== undefined && now - last.at < this.bucketMs) last.amount += amount;
+    else this.buckets.push({ at: now, amount });
   }
 
-  /** The sum over the window that ends now, never under 0. */
+  /** The sum over the window that ends now, at least 0. */
   total(now: number): number {
-    this.forget(now);
-    const sum = this.parts.reduce((total, part) => total + part.amount, 0);
+    this.removeExpired(now);
+    const sum = this.buckets.reduce((total, bucket) => total + bucket.amount, 0);
     return Math.max(0, sum);
   }
 
-  /** The sum, which is forgotten. */
+  /** Returns the sum and resets it. */
   take(now: number): number {
     const total = this.total(now);
-    this.parts.length = 0;
+    this.buckets.length = 0;
     return total;
   }
 
-  /** Milliseconds until the sum has fallen to `limit`. */
+  /** Milliseconds until the sum is at most `limit` if nothing is added. */
   untilAtMost(limit: number, now: number): number {
     let sum = this.total(now);
     if (sum <= limit) return 0;
-    for (const part of this.parts) {
-      sum -= part.amount;
-      if (sum <= limit) return part.at + this.windowMs + this.partMs - now;
+    for (const bucket of this.buckets) {
+      sum -= bucket.amount;
+      if (sum <= limit) return bucket.at + this.windowMs + this.bucketMs - now;
     }
     return this.windowMs;
   }
 
-  private get partMs(): number {
-    return this.windowMs / PARTS;
+  private get bucketMs(): number {
+    return this.windowMs / BUCKETS_PER_WINDOW;
   }
 
-  private forget(now: number): void {
-    const oldest = now - this.windowMs - this.partMs;
-    while ((this.parts[0]?.at ?? Infinity) <= oldest) this.parts.shift();
+  private removeExpired(now: number): void {
+    const cutoff = now - this.windowMs - this.bucketMs;
+    while ((this.buckets[0]?.at ?? Infinity) <= cutoff) this.buckets.shift();
   }
 }
--- a/src/core/token-bucket.ts
+++ b/src/core/token-bucket.ts
@@ -1,4 +1,4 @@
-/** A token bucket: so many units a second, with a bounded burst. Pure; time is handed in. */
+/** A token bucket with a rate in units per second and a bounded burst. Pure; callers pass the time. */
 
 /** Grants units at a rate. Times are Unix milliseconds. */
 export class TokenBucket {
@@ -14,7 +14,7 @@
     this.updatedAt = now;
   }
 
-  /** Changes rate and burst; what has been saved up stays, as far as it fits. */
+  /** Changes rate and burst; keeps the accumulated units up to the new burst. */
   setRate(ratePerSecond: number, burst: number, now: number): void {
     this.refill(now);
     this.ratePerSecond = ratePerSecond;
@@ -22,32 +22,32 @@
     this.tokens = Math.min(this.tokens, burst);
   }
 
-  /** Takes one unit; false if there is none. */
+  /** Takes one unit; returns false if none is available. */
   take(now: number): boolean {
     if (!this.holds(1, now)) return false;
     this.spend(1, now);
     return true;
   }
 
-  /** Whether so many units are there. */
+  /** Whether at least `units` are available. */
   holds(units: number, now: number): boolean {
     this.refill(now);
     return this.tokens >= units;
   }
 
-  /** Units that are there; negative if some are owed. */
+  /** Available units; negative if units are owed. */
   available(now: number): number {
     this.refill(now);
     return this.tokens;
   }
 
-  /** Takes units that were granted already: what is not there is owed. */
+  /** Takes units that were granted already; units that are not available become a debt. */
   spend(units: number, now: number): void {
     this.refill(now);
     this.tokens = Math.min(this.burst, this.tokens - units);
   }
 
-  /** Milliseconds until so many units are there. */
+  /** Milliseconds until `units` are available. */
   waitMs(now: number, units = 1): number {
     this.refill(now);
     return this.tokens >= units ? 0 : ((units - this.tokens) / this.ratePerSecond) * 1000;
--- a/test/core/backend-rate-limits.test.ts
+++ b/test/core/backend-rate-limits.test.ts
@@ -1,4 +1,4 @@
-/* Answers of a backend that names a limit cross: what was said before must not undo what was said later. */
+/* Answers from a backend that announces a rate limit can arrive out of order; an older answer must not undo a newer limit. */
 import { describe, expect, it } from 'vitest';
 import {
   BackendRateLimits,
@@ -13,7 +13,7 @@
   return { type: 'limited', perSecond };
 }
 
-describe('a limit in an answer', () => {
+describe('readRateLimit', () => {
   it.each([
     ['1', limited(1)],
     ['0.3', limited(0.3)],
@@ -27,23 +27,23 @@
     ['1e9', { type: 'unreadable' }],
     ['few', { type: 'unreadable' }],
     ['1, few', { type: 'unreadable' }],
-  ] as const)('%j is read', (header, notice) => {
+  ] as const)('parses the header %j', (header, notice) => {
     expect(readRateLimit(header)).toEqual(notice);
   });
 });
 
-describe('what a daemon believes of a backend', () => {
-  it('begins with the first answer that names a limit, and ends with one that names none', () => {
+describe('BackendRateLimits', () => {
+  it('records a limit from the first answer that announces one and removes it after an answer without one', () => {
     const rates = new BackendRateLimits();
     expect(rates.noteAnswer(BACKEND, UNLIMITED, undefined)).toBeUndefined();
-    const belief = rates.noteAnswer(BACKEND, limited(1), undefined);
+    const limit = rates.noteAnswer(BACKEND, limited(1), undefined);
     expect(rates.of(BACKEND)?.perSecond).toBe(1);
-    rates.noteAnswer(BACKEND, UNLIMITED, belief);
+    rates.noteAnswer(BACKEND, UNLIMITED, limit);
     expect(rates.of(BACKEND)?.perSecond).toBeUndefined();
   });
 
   it.each([['none', UNLIMITED] as const, ['a higher one', limited(5)] as const])(
-    'keeps a limit when an answer to an earlier request names %s',
+    'keeps the limit when an answer to an earlier request announces %s',
     (_name, notice) => {
       const rates = new BackendRateLimits();
       const sentUnder = rates.of(BACKEND);
@@ -55,21 +55,21 @@
     },
   );
 
-  it('takes a lower limit from any answer', () => {
+  it('accepts a lower limit from any answer', () => {
     const rates = new BackendRateLimits();
     rates.noteAnswer(BACKEND, limited(5), undefined);
     rates.noteAnswer(BACKEND, limited(1), undefined);
     expect(rates.of(BACKEND)?.perSecond).toBe(1);
   });
 
-  it('is not changed by what cannot be read', () => {
+  it('ignores an unreadable limit', () => {
     const rates = new BackendRateLimits();
     rates.noteAnswer(BACKEND, limited(1), undefined);
     expect(rates.noteAnswer(BACKEND, { type: 'unreadable' }, rates.of(BACKEND))).toBeUndefined();
     expect(rates.of(BACKEND)?.perSecond).toBe(1);
   });
 
-  it('says nothing of a later process, and goes on where the start becomes known', () => {
+  it('does not apply a limit to a later process but keeps it when the start of the process becomes known', () => {
     const rates = new BackendRateLimits();
     rates.noteAnswer(BACKEND, limited(1), undefined);
     expect(rates.of({ id: 'a', start: '2' })).toBeUndefined();
@@ -77,7 +77,7 @@
     expect(rates.of({ id: 'b', start: '1' })?.perSecond).toBe(1);
   });
 
-  it('is the same at all daemons, in whatever order they hear', () => {
+  it('converges at all daemons regardless of the order in which they receive limits', () => {
     const [one, two] = [new BackendRateLimits(), new BackendRateLimits()];
     one.noteAnswer(BACKEND, limited(1), undefined);
     two.noteAnswer(BACKEND, limited(3), undefined);
@@ -93,7 +93,7 @@
     expect(two.of(BACKEND)?.perSecond).toBeUndefined();
   });
 
-  it('is bounded, and forgets ended limits first', () => {
+  it('bounds the number of recorded processes and drops removed limits first', () => {
     const rates = new BackendRateLimits();
     rates.noteAnswer({ id: 'kept' }, limited(1), undefined);
     for (let count = 0; count < 2_500; count++) {
--- a/test/core/backend-selection.test.ts
+++ b/test/core/backend-selection.test.ts
@@ -2,21 +2,23 @@
 import type { BackendCandidate } from '../../src/core/backend-selection.js';
 import { StaleLoadSelection } from '../../src/core/backend-selection-stale-load.js';
 
-function candidate(id: string, part: Partial<BackendCandidate> = {}): BackendCandidate {
-  const usual = { sameZone: true, hasConnection: true, slots: 12, inFlight: 0, failureShare: 0 };
-  return { id, ...usual, ...part };
+function candidate(id: string, overrides: Partial<BackendCandidate> = {}): BackendCandidate {
+  const defaults = { sameZone: true, hasConnection: true, slots: 12, inFlight: 0, failureShare: 0 };
+  return { id, ...defaults, ...overrides };
 }
 
 describe('StaleLoadSelection', () => {
-  it('leaves the backend that keeps the prompt when its slots are nearly taken', () => {
+  it('avoids the backend that caches the prompt when almost all of its slots are in use', () => {
     const selection = new StaleLoadSelection('d');
     const idle = ['x', 'y', 'z'].map((id) => candidate(id));
-    const home = selection.choose(idle, 'prompt')?.id ?? '';
-    const busy = idle.map((each) => (each.id === home ? candidate(home, { inFlight: 11 }) : each));
-    expect(selection.choose(busy, 'prompt')?.id).not.toBe(home);
+    const cachingId = selection.choose(idle, 'prompt')?.id ?? '';
+    const busy = idle.map((each) =>
+      each.id === cachingId ? candidate(cachingId, { inFlight: 11 }) : each,
+    );
+    expect(selection.choose(busy, 'prompt')?.id).not.toBe(cachingId);
   });
 
-  it('spreads the daemons over equal backends', () => {
+  it('spreads the choices of different daemons over equal backends', () => {
     const equals = ['x', 'y', 'z', 'w'].map((id) => candidate(id));
     const chosen = Array.from({ length: 40 }, (_, index) => {
       return new StaleLoadSelection(`d${index}`).choose(equals, undefined)?.id;
@@ -24,7 +26,7 @@
     expect(new Set(chosen).size).toBe(4);
   });
 
-  it('takes a backend at which streams would be late only when the sure ones are much fuller', () => {
+  it('chooses a backend with a pause risk only when the backends without one are much fuller', () => {
     const risky = candidate('x', { pauseRisk: 0.4 });
     const sure = (inFlight: number): BackendCandidate => candidate('y', { inFlight });
     const choose = (...candidates: BackendCandidate[]): string | undefined => {
@@ -34,7 +36,7 @@
     expect(choose(risky, sure(9))).toBe('x');
   });
 
-  it('sends more to a faster backend', () => {
+  it('sends more requests to a faster backend', () => {
     const [slow, fast] = [candidate('x', { speed: 0.5 }), candidate('y', { speed: 1.5 })];
     const counts = { x: 0, y: 0 };
     const selection = new StaleLoadSelection('d');
@@ -49,45 +51,49 @@
     expect(counts.y).toBeGreaterThanOrEqual(2 * counts.x);
   });
 
-  it('prefers a backend of its own zone with a kept connection', () => {
+  it('prefers a backend in its own zone with an open connection', () => {
     const near = candidate('x');
     const far = candidate('y', { sameZone: false, hasConnection: false });
     expect(new StaleLoadSelection('d').choose([far, near], undefined)?.id).toBe('x');
   });
 });
 
-/** Many daemons that send streams to backends whose load they hear late; all times in milliseconds. */
-class LateNewsFleet {
+/** Simulates many daemons that send streams to backends whose load reports arrive late; all times in milliseconds. */
+class LateReportSimulation {
   private static readonly daemons = 195;
   private static readonly backends = 25;
   private static readonly slots = 12;
   private static readonly requestsPerSecond = 60;
   private static readonly streamMs = 2_500;
-  private static readonly newsPeriodMs = 250;
-  private static readonly newsDelayMs = 250;
-  /** Prompts that arrive at a backend within so long are read at the same time. */
+  private static readonly reportPeriodMs = 250;
+  private static readonly reportDelayMs = 250;
+  /** Prompts that arrive at a backend within this time are processed at the same time. */
   private static readonly promptMs = 80;
 
   private readonly selections = Array.from(
-    { length: LateNewsFleet.daemons },
+    { length: LateReportSimulation.daemons },
     (_, index) => new StaleLoadSelection(`d${index}`),
   );
-  private readonly ids = Array.from({ length: LateNewsFleet.backends }, (_, index) => `b${index}`);
+  private readonly ids = Array.from(
+    { length: LateReportSimulation.backends },
+    (_, index) => `b${index}`,
+  );
   private readonly inFlight = new Map(this.ids.map((id) => [id, 0]));
   private readonly arrivals = new Map<string, number[]>(this.ids.map((id) => [id, []]));
   private readonly ends: { readonly at: number; readonly id: string }[] = [];
-  private readonly news: { readonly at: number; readonly loads: ReadonlyMap<string, number> }[] =
+  private readonly reports: { readonly at: number; readonly loads: ReadonlyMap<string, number> }[] =
     [];
   private seed = 1;
 
-  /** Plays a minute; the share of requests that meet two or more other prompts at their backend. */
+  /** Simulates a minute; returns the share of requests whose backend processes two or more other prompts. */
   crowdedShare(): number {
     let sent = 0;
     let crowded = 0;
-    let nextNews = 0;
-    const meanGapMs = 1_000 / LateNewsFleet.requestsPerSecond;
+    let nextReport = 0;
+    const meanGapMs = 1_000 / LateReportSimulation.requestsPerSecond;
     for (let now = 0; now < 60_000; now += -Math.log(1 - this.random()) * meanGapMs) {
-      for (; nextNews <= now; nextNews += LateNewsFleet.newsPeriodMs) this.tell(nextNews);
+      for (; nextReport <= now; nextReport += LateReportSimulation.reportPeriodMs)
+        this.reportLoads(nextReport);
       this.endStreams(now);
       sent += 1;
       if (this.send(now) >= 3) crowded += 1;
@@ -95,18 +101,22 @@
     return crowded / sent;
   }
 
-  /** Sends one request; the prompts that are read at its backend, its own among them. */
+  /** Sends one request; returns the number of prompts that its backend processes, including its own. */
   private send(now: number): number {
-    const loads = this.news.filter(({ at }) => at + LateNewsFleet.newsDelayMs <= now).at(-1)?.loads;
+    const loads = this.reports
+      .filter(({ at }) => at + LateReportSimulation.reportDelayMs <= now)
+      .at(-1)?.loads;
     const candidates = this.ids.map((id) =>
-      candidate(id, { slots: LateNewsFleet.slots, inFlight: loads?.get(id) ?? 0 }),
+      candidate(id, { slots: LateReportSimulation.slots, inFlight: loads?.get(id) ?? 0 }),
     );
-    const daemon = Math.floor(this.random() * LateNewsFleet.daemons);
+    const daemon = Math.floor(this.random() * LateReportSimulation.daemons);
     const prompt = `p${Math.floor(this.random() * 30)}`;
     const id = this.selections[daemon]?.choose(candidates, prompt)?.id ?? '';
     this.inFlight.set(id, (this.inFlight.get(id) ?? 0) + 1);
-    this.ends.push({ at: now + LateNewsFleet.streamMs * (0.5 + this.random()), id });
-    const recent = (this.arrivals.get(id) ?? []).filter((at) => at > now - LateNewsFleet.promptMs);
+    this.ends.push({ at: now + LateReportSimulation.streamMs * (0.5 + this.random()), id });
+    const recent = (this.arrivals.get(id) ?? []).filter(
+      (at) => at > now - LateReportSimulation.promptMs,
+    );
     recent.push(now);
     this.arrivals.set(id, recent);
     return recent.length;
@@ -120,20 +130,20 @@
     }
   }
 
-  private tell(at: number): void {
-    this.news.push({ at, loads: new Map(this.inFlight) });
+  private reportLoads(at: number): void {
+    this.reports.push({ at, loads: new Map(this.inFlight) });
   }
 
-  /** The same numbers in each run. */
+  /** Returns a pseudo-random number in [0, 1); the sequence is the same in each run. */
   private random(): number {
     this.seed = (Math.imul(this.seed, 1_664_525) + 1_013_904_223) >>> 0;
     return this.seed / 2 ** 32;
   }
 }
 
-describe('hundreds of daemons that hear of load late', () => {
-  it('do not all send to the backend that was free a moment ago', () => {
-    // 0.49 while every daemon took the cheapest backend that it knew.
-    expect(new LateNewsFleet().crowdedShare()).toBeLessThan(0.1);
+describe('StaleLoadSelection with many daemons and late load reports', () => {
+  it('does not send all requests to the backend that was free in the last report', () => {
+    // The share was 0.49 when every daemon chose the cheapest backend that it knew.
+    expect(new LateReportSimulation().crowdedShare()).toBeLessThan(0.1);
   });
 });
