--- a/src/core/backend-rate-limits.ts
+++ b/src/core/backend-rate-limits.ts
@@ -61,20 +61,20 @@
   /**
    * Records the limit that an answer announces.
    *
-   * @param sentUnder - The recorded limit at the time the request was sent.
+   * @param limitAtSend - The recorded limit at the time the request was sent.
    * @returns The new recorded limit; undefined if nothing changes.
    */
   noteAnswer(
     backend: BackendProcess,
     notice: RateLimitNotice,
-    sentUnder: BelievedRateLimit | undefined,
+    limitAtSend: BelievedRateLimit | undefined,
   ): BelievedRateLimit | undefined {
     if (notice.type === 'unreadable') return undefined;
     const current = this.of(backend);
     const perSecond = notice.type === 'limited' ? notice.perSecond : undefined;
     if (comparableRate(perSecond) === comparableRate(current?.perSecond)) return undefined;
     const isStricter = comparableRate(perSecond) < comparableRate(current?.perSecond);
-    if (!isStricter && sentUnder !== current) return undefined;
+    if (!isStricter && limitAtSend !== current) return undefined;
     const process = current?.backend ?? { ...backend };
     const limit = { backend: process, generation: (current?.generation ?? 0) + 1, perSecond };
     this.store(limit);
@@ -82,12 +82,12 @@
   }
 
   /** Merges limits recorded by another daemon; returns those that were newer. */
-  hear(beliefs: readonly BelievedRateLimit[]): BelievedRateLimit[] {
-    const news = beliefs.filter((received) =>
+  hear(receivedLimits: readonly BelievedRateLimit[]): BelievedRateLimit[] {
+    const newerLimits = receivedLimits.filter((received) =>
       isNewer(received, this.known.get(startKey(received.backend))),
     );
-    for (const limit of news) this.store(limit);
-    return news;
+    for (const limit of newerLimits) this.store(limit);
+    return newerLimits;
   }
 
   /** All recorded limits, for other daemons to merge. */
--- a/src/core/engine-ledger.ts
+++ b/src/core/engine-ledger.ts
@@ -43,7 +43,7 @@
   /** Whether this engine, in its current incarnation, has accepted a seal of the owner's epoch. */
   sealed = false;
   /** Whether the engine itself reports that it is leaving. */
-  private saysLeaving = false;
+  private reportsLeaving = false;
   /** Whether the platform's list shows the engine as leaving. */
   listedLeaving = false;
   /** False while the owner receives no reports from the engine. */
@@ -69,7 +69,7 @@
   restart(incarnation: string): void {
     this.incarnation = incarnation;
     this.sealed = false;
-    this.saysLeaving = false;
+    this.reportsLeaving = false;
     this.replicas.clear();
     this.cached.clear();
     this.lastReport = 0;
@@ -108,12 +108,12 @@
 
   /** Whether the engine is about to shut down. */
   get leaving(): boolean {
-    return this.saysLeaving || this.listedLeaving;
+    return this.reportsLeaving || this.listedLeaving;
   }
 
   /** Records that the engine refused an order because it is about to shut down. */
   markLeaving(): void {
-    this.saysLeaving = true;
+    this.reportsLeaving = true;
   }
 
   /** Whether the owner may order new loads on this engine. */
@@ -148,11 +148,11 @@
    * only if the engine had already processed the last order for it.
    */
   adopt(report: EngineReport, now: number): ReportNews {
-    const news: ReportNews = { loaded: [], woken: [] };
-    if (report.incarnation !== this.incarnation || report.number <= this.lastReport) return news;
+    const changes: ReportNews = { loaded: [], woken: [] };
+    if (report.incarnation !== this.incarnation || report.number <= this.lastReport) return changes;
     this.lastReport = report.number;
     this.capacityBytes = report.capacityBytes;
-    this.saysLeaving = report.leaving;
+    this.reportsLeaving = report.leaving;
     this.cached.clear();
     for (const { model, tier } of report.cached) this.cached.set(model, tier);
     const shown = new Set(report.holdings.map((holding) => holding.replica.tenant));
@@ -160,28 +160,28 @@
       if (!shown.has(tenant) && report.sequence >= replica.sequence) this.replicas.delete(tenant);
     }
     for (const holding of report.holdings) {
-      this.adoptHolding(holding, report.sequence, now, news);
+      this.adoptHolding(holding, report.sequence, now, changes);
     }
-    return news;
+    return changes;
   }
 
   private adoptHolding(
     holding: Holding,
     reportSequence: number,
     now: number,
-    news: ReportNews,
+    changes: ReportNews,
   ): void {
     const tenant = holding.replica.tenant;
     const known =
       this.replicas.get(tenant) ?? this.addReportedReplica(holding, reportSequence, now);
     if (known.inFlight === 0 && holding.inFlight > 0) {
-      news.woken.push({ tenant, idleMs: now - known.lastUsedAt });
+      changes.woken.push({ tenant, idleMs: now - known.lastUsedAt });
     }
     known.inFlight = holding.inFlight;
     known.lastUsedAt = Math.max(known.lastUsedAt, now - holding.idleMs);
     // The last order for this replica is newer than the state in the report.
     if (reportSequence < known.sequence) return;
-    if (holding.state === 'loaded' && known.state !== 'loaded') news.loaded.push(known);
+    if (holding.state === 'loaded' && known.state !== 'loaded') changes.loaded.push(known);
     known.state = holding.state;
   }
 
--- a/src/core/exchange-schedule.ts
+++ b/src/core/exchange-schedule.ts
@@ -18,14 +18,14 @@
   private periodMs = MIN_PERIOD_MS;
   private dueAt = -Infinity;
   private jitterCount = 0;
-  private hasLearned = true;
+  private hasNewMembers = true;
 
   /** @param self - Name of this member; seeds the jitter. */
   constructor(private readonly self: string) {}
 
   /** Shortens the period after an exchange brought new members, or when members are known to be missing. */
   noteLearned(now: number): void {
-    this.hasLearned = true;
+    this.hasNewMembers = true;
     if (this.periodMs === MIN_PERIOD_MS) return;
     this.periodMs = MIN_PERIOD_MS;
     this.dueAt = Math.min(this.dueAt, now + this.jittered(MIN_PERIOD_MS));
@@ -38,8 +38,8 @@
 
   /** Records the start of an exchange and sets the time of the next one. */
   begin(now: number): void {
-    this.periodMs = this.hasLearned ? MIN_PERIOD_MS : Math.min(MAX_PERIOD_MS, this.periodMs * 2);
-    this.hasLearned = false;
+    this.periodMs = this.hasNewMembers ? MIN_PERIOD_MS : Math.min(MAX_PERIOD_MS, this.periodMs * 2);
+    this.hasNewMembers = false;
     this.dueAt = now + this.jittered(this.periodMs);
   }
 
--- a/src/core/hold-policy.ts
+++ b/src/core/hold-policy.ts
@@ -33,6 +33,7 @@
 
 /** Decides whether to hold requests that no backend can take now. */
 export interface HoldPolicy {
+  /** Returns whether the request waits or is refused now. */
   decide(request: HeldRequest): HoldDecision;
   /** Records the wait of a held request that was sent or ended unsent. */
   noteWait(wait: ObservedWait): void;
--- a/src/core/pool-owner.ts
+++ b/src/core/pool-owner.ts
@@ -73,7 +73,7 @@
       loadTimes: this.loadTimes,
       failure: (tenant) => this.failures.get(tenant),
       specOf: (tenant) => this.specOf(tenant),
-      allowed: (tenant) => this.allowed(tenant),
+      allowed: (tenant) => this.replicaLimit(tenant),
       countReplicas: (tenant) => this.countReplicas(tenant),
     });
   }
@@ -346,10 +346,10 @@
       if (!engine.sealed) continue;
       for (const [name, replica] of engine.replicas) {
         if (replica.state === 'unloading') continue;
-        const surplus = this.countNotUnloading(name) > this.allowed(name);
+        const isSurplus = this.countNotUnloading(name) > this.replicaLimit(name);
         // A leaving engine finishes its running requests. Its replicas are unloaded so that other
         // engines can load them before it shuts down.
-        const mustUnload = surplus || engine.leaving || this.isOutdated(replica);
+        const mustUnload = isSurplus || engine.leaving || this.isOutdated(replica);
         if (mustUnload) this.unload(engine, name);
       }
     }
@@ -377,7 +377,7 @@
     return this.tenants.get(name)?.spec;
   }
 
-  private allowed(name: string): number {
+  private replicaLimit(name: string): number {
     return this.tenants.get(name)?.allowed ?? 0;
   }
 
@@ -421,9 +421,9 @@
     if (spec === undefined || demand.waiting(now) === 0) return false;
     if ((this.failures.get(name)?.until ?? 0) > now) return false;
     const desired = Math.ceil(demand.total(now) / spec.slots);
-    const allowed = this.allowed(name);
-    if (this.countUsable(name) >= Math.min(desired, allowed)) return false;
-    return this.countReplicas(name) < allowed;
+    const limit = this.replicaLimit(name);
+    if (this.countUsable(name) >= Math.min(desired, limit)) return false;
+    return this.countReplicas(name) < limit;
   }
 
   private countUsable(name: string): number {
--- a/src/core/router-request.ts
+++ b/src/core/router-request.ts
@@ -29,7 +29,9 @@
   /** Whether an earlier attempt may have run; if so, the router never reports the request as not run. */
   mayHaveRun: boolean;
   tokens: number;
+  /** Resume attempts since the last token. */
   resumes: number;
+  /** Attempts that engines refused or reported as not run. */
   refusals: number;
 }
 
--- a/src/core/sliding-sum.ts
+++ b/src/core/sliding-sum.ts
@@ -14,6 +14,7 @@
 
   constructor(readonly windowMs: number) {}
 
+  /** Adds an amount at the time `now`. */
   add(amount: number, now: number): void {
     const last = this.buckets.at(-1);
     if (last !== undefined && now - last.at < this.bucketMs) last.amount += amount;
--- a/test/core/backend-rate-limits.test.ts
+++ b/test/core/backend-rate-limits.test.ts
@@ -46,9 +46,9 @@
     'keeps the limit when an answer to an earlier request announces %s',
     (_name, notice) => {
       const rates = new BackendRateLimits();
-      const sentUnder = rates.of(BACKEND);
+      const limitAtSend = rates.of(BACKEND);
       rates.noteAnswer(BACKEND, limited(1), undefined);
-      expect(rates.noteAnswer(BACKEND, notice, sentUnder)).toBeUndefined();
+      expect(rates.noteAnswer(BACKEND, notice, limitAtSend)).toBeUndefined();
       expect(rates.of(BACKEND)?.perSecond).toBe(1);
       rates.noteAnswer(BACKEND, notice, rates.of(BACKEND));
       expect(rates.of(BACKEND)?.perSecond).not.toBe(1);
