--- a/src/core/backend-selection-stale-load.ts
+++ b/src/core/backend-selection-stale-load.ts
@@ -15,7 +15,7 @@
 const CACHE_MISS_COST = 0.12;
 const NEW_CONNECTION_COST = 0.1;
 const FAILURE_COST = 2;
-/** Cost of a backend where every such stream would pause for too long; fuller backends are preferred up to this cost. */
+/** Cost of a backend where every such stream would pause too long; streams prefer other backends up to this much fuller. */
 const LATE_PAUSE_COST = 1;
 /** Bounds for the speed in the cost; a faster backend is still limited by its slots. */
 const MIN_SPEED = 0.4;
--- a/src/core/pool-locator.ts
+++ b/src/core/pool-locator.ts
@@ -62,8 +62,7 @@
       if (replica?.state !== 'ordered' && replica?.state !== 'loading') continue;
       const expected = this.pool.loadTimes.expected(replica.tier, replica.spec.modelBytes);
       const elapsed = now - replica.orderedAt;
-      // A load is overdue, for example, when the weight store stalls. Its remaining time is assumed to grow with its
-      // elapsed time.
+      // An overdue load, for example from a stalled weight store, is assumed to need more time the longer it has taken.
       return elapsed <= expected ? expected - elapsed : elapsed * OVERDUE_REMAINING_SHARE;
     }
     return undefined;
--- a/src/core/router.ts
+++ b/src/core/router.ts
@@ -236,7 +236,7 @@
     }
   }
 
-  /** Refuses a waiting request that cannot be served before its deadline; the refusal carries a retry time if known. */
+  /** Refuses a waiting request that no pool can serve before its deadline; the refusal carries a retry time if known. */
   private refuseIfUnserviceable(state: RequestState, now: number): void {
     const tenant = state.request.tenant;
     const route = this.routes.get(tenant);
