--- a/src/core/adapter-plan.ts
+++ b/src/core/adapter-plan.ts
@@ -1,55 +1,60 @@
-/** Where an adapter is loaded, and which one makes way for it. Pure. */
+/**
+ * Chooses the backend that loads an adapter, and the adapter to unload when there is no room. Pure.
+ */
 import { adapterKey, modelSpec, type BackendLedger } from './backend-ledger.js';
 import type { LoadPlaces } from './load-place.js';
 import type { ModelOrder } from './model-order.js';
 import type { PlannedOrder, PlanningInput } from './planning.js';
 import type { ModelReference } from './service-configuration.js';
 
-/** Expected time of an adapter's load. */
+/** Expected duration of an adapter load. */
 const ADAPTER_LOAD_MS = 60;
-/** Adapters that may be on their way to one backend. */
-const MOST_COMING_ADAPTERS = 4;
+/** Maximum number of adapters that may be loading at one backend at a time. */
+const MAX_LOADING_ADAPTERS = 4;
 
-/** Plans adapters in one round. */
+/** Plans adapter loads and unloads for one planning round. */
 export class AdapterPlan {
   constructor(
     private readonly input: PlanningInput,
     private readonly places: LoadPlaces,
   ) {}
 
-  /** Backends that hold the model. */
+  /** Returns the backends that have the model loaded. */
   holders(model: string): BackendLedger[] {
     return this.input.backends.filter((ledger) => ledger.models.has(model));
   }
 
-  /** Whether some backend holds the adapter for good, or is loading it. */
+  /** Whether any backend has the adapter loaded and is not unloading it, or is loading it. */
   isHeldOrComing(wanted: ModelReference): boolean {
     const key = adapterKey(wanted);
     return this.input.backends.some((ledger) => {
       const { sent } = ledger;
       const isSent = sent?.operation === 'load' && adapterKey(sent) === key;
-      return isSent || ledger.comingAdapters.has(key) || holdsAdapter(ledger, wanted);
+      return isSent || ledger.comingAdapters.has(key) || keepsAdapter(ledger, wanted);
     });
   }
 
-  /** The next order towards the adapter; undefined if it has to wait. */
+  /** Returns the next order needed to load the adapter; undefined if no order can be given now. */
   next(wanted: ModelReference, holders: readonly BackendLedger[]): PlannedOrder | undefined {
     const usable = holders.filter(
       (ledger) => ledger.takesAdapterOrder && !this.places.isReserved(ledger.id),
     );
-    const [place] = usable
+    const [target] = usable
       .filter((ledger) => this.hasRoom(ledger, wanted.model))
       .sort((a, b) => a.usedAdapterSlots() - b.usedAdapterSlots());
-    if (place !== undefined) {
+    if (target !== undefined) {
       const { model, adapter } = wanted;
       const order: ModelOrder = { operation: 'load', model, adapter };
-      return planned(place, order, ADAPTER_LOAD_MS, 'adapter waits');
+      return toPlannedOrder(target, order, ADAPTER_LOAD_MS, 'adapter waits');
     }
     if (usable.some((ledger) => ledger.comingAdapters.size > 0)) return undefined;
-    return this.makeRoom(usable);
+    return this.unloadLeastUsedAdapter(usable);
   }
 
-  /** Milliseconds until one of the holders can take the adapter: each load there comes first. */
+  /**
+   * Milliseconds until the adapter is loaded at one of the holders; work queued at a backend goes
+   * first.
+   */
   readyInMs(holders: readonly BackendLedger[]): number {
     const waits = holders.map((ledger) => this.places.waitMs(ledger));
     return Math.min(...waits) + ADAPTER_LOAD_MS;
@@ -58,13 +63,13 @@
   private hasRoom(ledger: BackendLedger, model: string): boolean {
     const { host } = this.input;
     const size = modelSpec(host, model)?.adapterMegabytes ?? 0;
-    if (ledger.comingAdapters.size >= MOST_COMING_ADAPTERS) return false;
+    if (ledger.comingAdapters.size >= MAX_LOADING_ADAPTERS) return false;
     if (ledger.usedAdapterSlots() >= host.adapterSlots) return false;
     return ledger.usedMegabytes(host) + size <= host.megabytes;
   }
 
-  /** Unloads the adapter in least demand that no request uses. */
-  private makeRoom(holders: readonly BackendLedger[]): PlannedOrder | undefined {
+  /** Unloads the adapter with the lowest request rate among those without requests in flight. */
+  private unloadLeastUsedAdapter(holders: readonly BackendLedger[]): PlannedOrder | undefined {
     const { demand, now } = this.input;
     let best: { ledger: BackendLedger; order: ModelOrder; rate: number } | undefined;
     for (const ledger of holders) {
@@ -75,7 +80,7 @@
         best = { ledger, order: { operation: 'unload', ...candidate }, rate };
       }
     }
-    return best && planned(best.ledger, best.order, 0, 'room for an adapter');
+    return best && toPlannedOrder(best.ledger, best.order, 0, 'room for an adapter');
   }
 }
 
@@ -85,7 +90,7 @@
   );
 }
 
-function holdsAdapter(ledger: BackendLedger, wanted: ModelReference): boolean {
+function keepsAdapter(ledger: BackendLedger, wanted: ModelReference): boolean {
   const { model, adapter } = wanted;
   const order = ledger.currentOrder;
   const isLeaving =
@@ -94,7 +99,7 @@
   return ledger.models.get(model)?.adapters.has(adapter) === true;
 }
 
-function planned(
+function toPlannedOrder(
   ledger: BackendLedger,
   order: ModelOrder,
   durationMs: number,
--- a/src/core/demand.ts
+++ b/src/core/demand.ts
@@ -1,9 +1,9 @@
-/** What routers want of a tenant in a pool: wakes of all routers, joined. Pure. */
+/** Demand for one tenant of a pool, aggregated over the wake requests of all routers. Pure. */
 import type { WakeRequest } from './pool-messages.js';
 
-/** Milliseconds after which a router that has not renewed its wake is forgotten. */
+/** Milliseconds after its last wake request when a router is dropped. */
 export const SUBSCRIPTION_LIFETIME_MS = 15_000;
-/** Milliseconds after which a router's waiting requests count no more without a new wake. */
+/** Milliseconds for which the requests named in a wake request count as waiting or in flight. */
 const WAITING_LIFETIME_MS = 3_000;
 
 interface RouterDemand {
@@ -11,16 +11,16 @@
   readonly at: number;
 }
 
-/** The joined demand for one tenant. */
+/** Aggregated demand for one tenant. */
 export class Demand {
   private readonly routers = new Map<string, RouterDemand>();
 
-  /** Takes in a router's wake; it replaces the router's last one. */
+  /** Records a router's wake request, replacing its previous one. */
   add(wake: WakeRequest, now: number): void {
     this.routers.set(wake.router, { wake, at: now });
   }
 
-  /** Forgets routers that have gone quiet; true if some were. */
+  /** Drops routers whose subscription has expired; returns whether any were dropped. */
   expire(now: number): boolean {
     const before = this.routers.size;
     for (const [router, demand] of this.routers) {
@@ -29,42 +29,45 @@
     return this.routers.size !== before;
   }
 
-  /** Routers that hear of the tenant's location. */
+  /** Routers that receive updates of the tenant's location. */
   subscribers(): string[] {
     return [...this.routers.keys()];
   }
 
-  /** Routers that use the tenant. */
+  /** Number of routers that use the tenant. */
   get size(): number {
     return this.routers.size;
   }
 
-  /** Requests waiting at all routers. */
+  /** Number of requests waiting at all routers. */
   waiting(now: number): number {
-    return this.fresh(now).reduce((sum, wake) => sum + wake.waiting, 0);
+    return this.currentWakes(now).reduce((sum, wake) => sum + wake.waiting, 0);
   }
 
-  /** Requests waiting and in flight at all routers. */
+  /** Number of requests waiting or in flight at all routers. */
   total(now: number): number {
-    return this.fresh(now).reduce((sum, wake) => sum + wake.waiting + wake.inFlight, 0);
+    return this.currentWakes(now).reduce((sum, wake) => sum + wake.waiting + wake.inFlight, 0);
   }
 
-  /** Most urgent class that waits; Infinity for none. */
+  /**
+   * Lowest (most urgent) priority value among routers with waiting requests; Infinity if there are
+   * none.
+   */
   priority(now: number): number {
-    return this.least(now, (wake) => wake.priority);
+    return this.minimumOfWaiting(now, (wake) => wake.priority);
   }
 
-  /** Earliest deadline that waits; Infinity for none. */
+  /** Earliest deadline among routers with waiting requests; Infinity if there are none. */
   deadline(now: number): number {
-    return this.least(now, (wake) => wake.deadline);
+    return this.minimumOfWaiting(now, (wake) => wake.deadline);
   }
 
-  private least(now: number, measure: (wake: WakeRequest) => number): number {
-    const waiting = this.fresh(now).filter((wake) => wake.waiting > 0);
+  private minimumOfWaiting(now: number, measure: (wake: WakeRequest) => number): number {
+    const waiting = this.currentWakes(now).filter((wake) => wake.waiting > 0);
     return waiting.reduce((low, wake) => Math.min(low, measure(wake)), Infinity);
   }
 
-  private fresh(now: number): WakeRequest[] {
+  private currentWakes(now: number): WakeRequest[] {
     return [...this.routers.values()]
       .filter((demand) => now - demand.at <= WAITING_LIFETIME_MS)
       .map((demand) => demand.wake);
--- a/src/core/load-place.ts
+++ b/src/core/load-place.ts
@@ -1,32 +1,41 @@
-/** Where a model costs least to load: copies at hand, room, and work in progress. Pure. */
+/**
+ * Finds the backend where a model costs least to load, by the location of its weights, free memory
+ * and queued work. Pure.
+ */
 import { modelSpec, type BackendLedger } from './backend-ledger.js';
 import type { ModelWorth } from './model-worth.js';
 import { ExpectedCallersCost, FreeOrderChannel, type OrderChannelCost } from './order-channel.js';
 import type { CopyPlace, PlanningInput } from './planning.js';
 import type { ModelSpec } from './service-configuration.js';
 
-/** Cost of a load from the store, besides its time: it is priced and rationed. */
+/**
+ * Extra cost of a load from the weight store, in milliseconds: such loads cost money and are
+ * limited in number.
+ */
 const STORE_LOAD_COST_MS = 600;
 
-/** A backend at which a model could be loaded. */
+/** A backend that could load the model, with the cost of the load there. */
 export interface LoadPlace {
   readonly ledger: BackendLedger;
-  /** Whether an order can be given now. */
+  /** Whether the load, or the unload that must come first, can be ordered now. */
   readonly isFree: boolean;
-  /** Time and displaced worth together, in milliseconds. */
+  /**
+   * Total cost in milliseconds: the time until the model is loaded, the worth of evicted models and
+   * any surcharges.
+   */
   readonly cost: number;
-  /** Time until the model is loaded. */
+  /** Milliseconds until the model is loaded. */
   readonly readyInMs: number;
-  /** Time of the load alone. */
+  /** Milliseconds that the load itself takes. */
   readonly loadMs: number;
   readonly copy: CopyPlace;
-  /** Models that make way, in this order. */
+  /** Models to unload first, in this order. */
   readonly victims: readonly string[];
-  /** What they are worth. */
+  /** Total worth of the victims, in milliseconds. */
   readonly displacedWorth: number;
 }
 
-/** A model that could make way. */
+/** A loaded model that could be evicted. */
 interface Victim {
   readonly name: string;
   readonly megabytes: number;
@@ -34,41 +43,50 @@
   readonly unloadMs: number;
 }
 
-/** What a backend holds, as the search for a place sees it. */
+/** Memory use of a backend and the models that can be evicted there. */
 interface Occupancy {
   readonly usedMegabytes: number;
-  /** Cheapest first. */
+  /** Sorted by worth plus unload time, lowest first. */
   readonly victims: readonly Victim[];
-  /** Cache: victims by the megabytes of the model that they make way for; undefined if no room can be made. */
+  /**
+   * Cache: victims by the megabytes of the model to load; undefined if evictions cannot free enough
+   * memory.
+   */
   readonly chosen: Map<number, readonly Victim[] | undefined>;
 }
 
-/** Places for loads, for one round of planning. */
+/** Computes the load candidates of one planning round. */
 export class LoadPlaces {
   private readonly reserved = new Set<string>();
-  /** Work that waits for a backend, in milliseconds. */
+  /** Work queued for each backend, in milliseconds. */
   private readonly queuedMs = new Map<string, number>();
-  /** Models for which backends make room. */
-  private readonly expected = new Map<string, ModelSpec>();
-  /** Worked out once a round: what the round orders reserves the backend, and so changes no other's. */
+  /** Models for which memory is being freed, by backend. */
+  private readonly modelsToLoad = new Map<string, ModelSpec>();
+  /**
+   * Computed once per backend and round: an order of this round reserves its backend, so it changes
+   * the occupancy of no other.
+   */
   private readonly occupancies = new Map<string, Occupancy>();
-  private readonly channel: OrderChannelCost;
+  private readonly channelPricing: OrderChannelCost;
   private storeLoads: number;
-  /** Milliseconds until each place for a load from the store is free; what waits takes them in turn. */
+  /**
+   * Milliseconds until each concurrent load slot of the weight store is free; queued loads take the
+   * earliest.
+   */
   private readonly storePlaceWaits: number[];
 
   constructor(
     private readonly input: PlanningInput,
     private readonly worth: ModelWorth,
   ) {
-    this.channel = input.policies.orderChannelCost
+    this.channelPricing = input.policies.orderChannelCost
       ? new ExpectedCallersCost(input)
       : new FreeOrderChannel();
     this.storeLoads = input.storeLoads;
     this.storePlaceWaits = [...input.storePlaceWaits];
   }
 
-  /** Whether some backend can be given an order for a model now. */
+  /** Whether any backend can be given a model order now. */
   hasFree(): boolean {
     return this.input.backends.some((ledger) => this.isFree(ledger));
   }
@@ -77,7 +95,7 @@
     return ledger.takesModelOrder && !this.reserved.has(ledger.id);
   }
 
-  /** The backend is given no further order in this round. */
+  /** Excludes the backend from further orders in this round. */
   reserve(backend: string): void {
     this.reserved.add(backend);
   }
@@ -86,41 +104,44 @@
     return this.reserved.has(backend);
   }
 
-  /** One load from the store begins. */
+  /** Counts a load from the weight store that starts now. */
   useStore(place: LoadPlace): void {
     this.storeLoads -= 1;
-    this.takeStorePlace(place);
+    this.occupyStoreSlot(place);
   }
 
-  private takeStorePlace(place: LoadPlace): void {
+  private occupyStoreSlot(place: LoadPlace): void {
     const waits = this.storePlaceWaits;
     waits[waits.indexOf(Math.min(...waits))] = place.readyInMs;
   }
 
-  /** A backend has more to do before it is free. */
+  /** Adds queued work to a backend. */
   addWork(backend: string, milliseconds: number): void {
     this.queuedMs.set(backend, (this.queuedMs.get(backend) ?? 0) + milliseconds);
   }
 
-  /** A backend will load a model for which it makes room. */
+  /** Records that a backend will load a model for which memory is being freed. */
   expect(ledger: BackendLedger, spec: ModelSpec): void {
-    this.addWork(ledger.id, 1000 * loadSeconds(spec, copyAt(ledger, spec.name)));
-    this.expected.set(ledger.id, spec);
+    this.addWork(ledger.id, 1000 * loadSeconds(spec, nearestCopy(ledger, spec.name)));
+    this.modelsToLoad.set(ledger.id, spec);
     this.occupancies.delete(ledger.id);
   }
 
   /**
-   * A model waits for a place that is not free now. One that waits for the weight store keeps
-   * the backend from nothing until the store takes it: the loads of copies at hand go before.
+   * Queues a load that cannot start now. With `forecastAll`, a load that waits for the weight
+   * store does not occupy the backend: loads from its disk or host memory go first.
    */
   queue(place: LoadPlace): void {
     const isFromStore = place.copy === 'store';
-    const keepsBackend = !isFromStore || !this.input.policies.forecastAll;
-    if (keepsBackend) this.addWork(place.ledger.id, place.loadMs);
-    if (isFromStore) this.takeStorePlace(place);
+    const occupiesBackend = !isFromStore || !this.input.policies.forecastAll;
+    if (occupiesBackend) this.addWork(place.ledger.id, place.loadMs);
+    if (isFromStore) this.occupyStoreSlot(place);
   }
 
-  /** The place with the lowest cost, free or not, among those that suit. */
+  /**
+   * Returns the candidate with the lowest cost among backends for which `suits` is true, whether or
+   * not it can start now.
+   */
   cheapest(
     spec: ModelSpec,
     suits: (backend: string) => boolean = () => true,
@@ -134,42 +155,48 @@
     return best;
   }
 
-  /** A load at the given backend; undefined if it cannot take the model. */
+  /**
+   * Returns the candidate for a load at the given backend; undefined if the model cannot fit there.
+   */
   at(ledger: BackendLedger, spec: ModelSpec): LoadPlace | undefined {
-    const copy = copyAt(ledger, spec.name);
+    const copy = nearestCopy(ledger, spec.name);
     const isFromStore = copy === 'store';
     const storeWaitMs = isFromStore ? Math.min(...this.storePlaceWaits) : 0;
     const victims = this.victimsFor(ledger, spec);
     if (victims === undefined) return undefined;
-    const mayBegin = !isFromStore || (this.storeLoads > 0 && storeWaitMs === 0);
-    const isFree = mayBegin && this.isFree(ledger);
+    const mayStart = !isFromStore || (this.storeLoads > 0 && storeWaitMs === 0);
+    const isFree = mayStart && this.isFree(ledger);
     const loadMs = 1000 * loadSeconds(spec, copy);
-    const unloadMs = sum(victims, (victim) => victim.unloadMs);
-    const displacedWorth = sum(victims, (victim) => victim.worth);
+    const unloadMs = sumOver(victims, (victim) => victim.unloadMs);
+    const displacedWorth = sumOver(victims, (victim) => victim.worth);
     const readyInMs = Math.max(this.waitMs(ledger) + unloadMs, storeWaitMs) + loadMs;
     const storeCost = isFromStore ? STORE_LOAD_COST_MS : 0;
-    const channelCost = this.channel.ofOrder(ledger, loadMs);
+    const channelCost = this.channelPricing.ofOrder(ledger, loadMs);
     const lateCost = this.lateCost(ledger, spec);
     const cost = readyInMs + displacedWorth + storeCost + channelCost + lateCost;
     const names = victims.map((victim) => victim.name);
     return { ledger, isFree, cost, readyInMs, loadMs, copy, victims: names, displacedWorth };
   }
 
-  /** The rate is looked up only where streams are late: this is asked of every place for every model. */
+  /**
+   * Reads the rate only if streams are late, because this runs for every pair of model and backend.
+   */
   private lateCost(ledger: BackendLedger, { name }: ModelSpec): number {
     const { quality } = this.worth;
     if (quality.isGoodAnywhere(name)) return 0;
     return quality.lateMs(ledger.id, name, this.worth.urgentRate(name));
   }
 
-  /** Time until the backend has done what it is doing and what waits for it. */
+  /** Milliseconds until the backend has finished its current order and its queued work. */
   waitMs(ledger: BackendLedger): number {
     const running = Math.max(0, ledger.expectedEnd - this.input.now);
-    const unknown = ledger.phase === 'unsynchronized' ? SYNCHRONIZE_MS : 0;
-    return unknown + running + (this.queuedMs.get(ledger.id) ?? 0);
+    const synchronizeMs = ledger.phase === 'unsynchronized' ? SYNCHRONIZE_MS : 0;
+    return synchronizeMs + running + (this.queuedMs.get(ledger.id) ?? 0);
   }
 
-  /** The models of least worth that must go; undefined if no room can be made. */
+  /**
+   * Returns the models of least worth to evict; undefined if evictions cannot free enough memory.
+   */
   private victimsFor(ledger: BackendLedger, spec: ModelSpec): readonly Victim[] | undefined {
     const occupancy = this.occupancyOf(ledger);
     const { chosen } = occupancy;
@@ -191,27 +218,28 @@
       chosen.push(victim);
       missing -= victim.megabytes;
     }
-    return missing > 0 ? undefined : withoutNeedless(chosen, -missing);
+    return missing > 0 ? undefined : withoutUnneeded(chosen, -missing);
   }
 
   private occupancyOf(ledger: BackendLedger): Occupancy {
     const known = this.occupancies.get(ledger.id);
     if (known !== undefined) return known;
     const { host } = this.input;
-    const leaving = this.leavingModel(ledger);
-    const staying = [...ledger.models.keys()].filter((name) => name !== leaving);
-    const victims = staying.map((name) => this.victim(ledger, name));
+    const unloading = this.unloadingModel(ledger);
+    const remaining = [...ledger.models.keys()].filter((name) => name !== unloading);
+    const victims = remaining.map((name) => this.victim(ledger, name));
     victims.sort((a, b) => a.worth + a.unloadMs - (b.worth + b.unloadMs));
-    const freed = leaving === undefined ? 0 : (modelSpec(host, leaving)?.megabytes ?? 0);
-    const taken = this.expected.get(ledger.id)?.megabytes ?? 0;
-    const usedMegabytes = ledger.usedMegabytes(host) - freed + taken;
-    const made: Occupancy = { usedMegabytes, victims, chosen: new Map() };
-    this.occupancies.set(ledger.id, made);
-    return made;
+    const freedMegabytes =
+      unloading === undefined ? 0 : (modelSpec(host, unloading)?.megabytes ?? 0);
+    const expectedMegabytes = this.modelsToLoad.get(ledger.id)?.megabytes ?? 0;
+    const usedMegabytes = ledger.usedMegabytes(host) - freedMegabytes + expectedMegabytes;
+    const created: Occupancy = { usedMegabytes, victims, chosen: new Map() };
+    this.occupancies.set(ledger.id, created);
+    return created;
   }
 
-  /** A model that is being unloaded: its room is free by the time of the next order. */
-  private leavingModel(ledger: BackendLedger): string | undefined {
+  /** Returns the model that is being unloaded; its memory is free when the next order starts. */
+  private unloadingModel(ledger: BackendLedger): string | undefined {
     const order = ledger.currentOrder;
     const isUnload = order?.operation === 'unload' && order.adapter === undefined;
     return isUnload ? order.model : undefined;
@@ -226,24 +254,30 @@
   }
 }
 
-/** Expected time until a backend's state is known, so that it can be given orders. */
+/**
+ * Expected milliseconds until the state of an unsynchronized backend is known, so that it can be
+ * given orders.
+ */
 const SYNCHRONIZE_MS = 500;
 
 const NO_VICTIMS: readonly Victim[] = [];
 
-/** Spares chosen models that turn out not to be needed, dearest first. */
-function withoutNeedless(chosen: readonly Victim[], spare: number): Victim[] {
+/**
+ * Removes chosen victims that are not needed to free enough memory; the last chosen is checked
+ * first.
+ */
+function withoutUnneeded(chosen: readonly Victim[], spare: number): Victim[] {
   const kept: Victim[] = [];
-  let left = spare;
+  let spareMegabytes = spare;
   for (const victim of [...chosen].reverse()) {
-    if (victim.megabytes <= left) left -= victim.megabytes;
+    if (victim.megabytes <= spareMegabytes) spareMegabytes -= victim.megabytes;
     else kept.push(victim);
   }
   return kept.reverse();
 }
 
-/** The nearest copy of a model, seen from a backend. */
-function copyAt(ledger: BackendLedger, model: string): CopyPlace {
+/** Returns the nearest location of a model's weights for a backend. */
+function nearestCopy(ledger: BackendLedger, model: string): CopyPlace {
   if (ledger.inMemory.has(model)) return 'memory';
   return ledger.onDisk.has(model) ? 'disk' : 'store';
 }
@@ -253,6 +287,6 @@
   return copy === 'disk' ? spec.diskLoadSeconds : spec.storeLoadSeconds;
 }
 
-function sum(victims: readonly Victim[], of: (victim: Victim) => number): number {
+function sumOver(victims: readonly Victim[], of: (victim: Victim) => number): number {
   return victims.reduce((total, victim) => total + of(victim), 0);
 }
--- a/src/core/model-demand.ts
+++ b/src/core/model-demand.ts
@@ -1,90 +1,102 @@
 /**
- * What the daemons' callers ask of the models of one service, gathered at its
- * owner. Pure; times are milliseconds of a steady clock.
+ * Demand for the models of one service, aggregated by its owner from the daemons' reports.
+ * Pure; times are milliseconds of a monotonic clock.
  */
 import { adapterKey } from './backend-ledger.js';
 import type { ModelReference } from './service-configuration.js';
 import type { DemandReport, DemandSample } from './demand-report.js';
 import { earliestDueFirst, type WaitingOrder } from './waiting-order.js';
 
-/** Time in which a rate falls to half without requests. */
+/** Time in which a rate falls to half its value without requests. */
 export const RATE_HALF_LIFE_MS = 8_000;
-/** A rate without requests for so many half-lives is dropped. */
-const FORGOTTEN_HALF_LIVES = 12;
-/** A daemon that tells of more failing backends than this share tells of its own links. */
-const CREDIBLE_FAILING_SHARE = 0.1;
-/** So many failing backends are believed in any case. */
-const CREDIBLE_FAILING = 2;
-/** A rate below this tells nothing of the next request. */
-const LEAST_RATE = 0.001;
-/** A daemon's report counts so long. */
+/** Number of half-lives without requests after which a rate is dropped. */
+const RATE_EXPIRY_HALF_LIVES = 12;
+/**
+ * A daemon that reports more than this share of the backends as failing probably has faulty links
+ * itself, so its list is ignored.
+ */
+const MAX_CREDIBLE_FAILING_SHARE = 0.1;
+/** Number of failing backends per report that is always accepted. */
+const ALWAYS_CREDIBLE_FAILING = 2;
+/** Lowest rate, in requests per second, used to predict the next request. */
+const MIN_RATE_PER_SECOND = 0.001;
+/** Milliseconds after which a daemon's report expires. */
 const REPORT_LIFETIME_MS = 2_000;
-/** A goal up to this long makes a request urgent: it does not leave time for a load. */
-const URGENT_GOAL_MS = 2_500;
+/** Longest latency goal of an urgent request, which leaves no time for a load. */
+const MAX_URGENT_GOAL_MS = 2_500;
 
 interface Rate extends ModelReference {
   urgent: number;
   patient: number;
-  /** Shortest goal of those with time for a load, in milliseconds; undefined if there were none. */
+  /**
+   * Shortest latency goal of requests with time for a load, in milliseconds; undefined if there
+   * were none.
+   */
   patientGoalMs: number | undefined;
-  /** When its values were last worked out; reading does that too. */
+  /** Time of the last decay of the values; reading them also decays them. */
   updatedAt: number;
-  /** When the last request arrived. */
+  /** Arrival time of the last request. */
   arrivedAt: number;
 }
 
-interface HeardReport {
+interface ReceivedReport {
   readonly report: DemandReport;
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
-/** Demand of all models and adapters of a service. */
+/** Demand for all models and adapters of a service. */
 export class ModelDemand {
   private readonly rates = new Map<string, Rate>();
-  private readonly reports = new Map<string, HeardReport>();
-  /** Since when requests for a model or adapter have been waiting. */
+  private readonly reports = new Map<string, ReceivedReport>();
+  /** Time since which requests for a model or adapter have been waiting. */
   private readonly waitingSince = new Map<string, number>();
   /**
-   * Requests in flight summed over the reports: by backend, by model, and by
+   * Requests in flight, summed over the reports and indexed by backend, by model, and by
    * backend and model or adapter.
    */
   private readonly inFlightSums = new Map<string, number>();
-  /** When reports were last looked through for old ones. */
-  private expiredAt = -Infinity;
-  /** The last answer of {@link waiting}; it holds for that moment until the next report. */
+  /** Time at which expired reports were last removed. */
+  private lastExpiryAt = -Infinity;
+  /** Cached result of {@link waiting} for one moment; cleared by the next report. */
   private ranked: { readonly at: number; readonly samples: readonly DemandSample[] } | undefined;
 
   constructor(private readonly order: WaitingOrder = earliestDueFirst) {}
 
-  /** Takes a daemon's report; it replaces that daemon's former one. */
+  /** Applies a daemon's report, replacing its previous one. */
   hear(report: DemandReport, now: number): void {
-    this.forget(report.daemon);
-    this.reports.set(report.daemon, { report, heardAt: now });
-    this.sumUse(report, 1);
+    this.removeReport(report.daemon);
+    this.reports.set(report.daemon, { report, receivedAt: now });
+    this.addUse(report, 1);
     this.ranked = undefined;
     for (const sample of report.samples) {
       if (sample.arrivals === 0) continue;
       const urgent = isUrgent(sample);
-      this.arrived(sample, sample, urgent, now);
+      this.recordArrivals(sample, sample, urgent, now);
       if (sample.adapter !== undefined) {
-        this.arrived({ model: sample.model, adapter: undefined }, sample, urgent, now);
+        this.recordArrivals({ model: sample.model, adapter: undefined }, sample, urgent, now);
       }
     }
   }
 
-  /** A backend has started again: the requests that daemons had in flight there ended with its earlier start. */
+  /**
+   * Removes a restarted backend from the reports: the requests in flight there ended with its
+   * previous process.
+   */
   forgetBackend(backend: string): void {
-    for (const [daemon, { report, heardAt }] of this.reports) {
+    for (const [daemon, { report, receivedAt }] of this.reports) {
       const ended = report.use.filter((use) => use.backend === backend);
       if (ended.length === 0 && !report.failing.includes(backend)) continue;
-      this.sumUse({ ...report, use: ended }, -1);
+      this.addUse({ ...report, use: ended }, -1);
       const use = report.use.filter((entry) => entry.backend !== backend);
       const failing = report.failing.filter((name) => name !== backend);
-      this.reports.set(daemon, { report: { ...report, use, failing }, heardAt });
+      this.reports.set(daemon, { report: { ...report, use, failing }, receivedAt });
     }
   }
 
-  /** What waits for a backend now, in the order of attention. */
+  /**
+   * Models and adapters that requests are waiting for, in the order in which loads should be
+   * planned.
+   */
   waiting(now: number): readonly DemandSample[] {
     if (this.ranked?.at !== now) this.ranked = { at: now, samples: this.rankWaiting(now) };
     return this.ranked.samples;
@@ -92,10 +104,10 @@
 
   private rankWaiting(now: number): DemandSample[] {
     const sums = new Map<string, DemandSample>();
-    for (const { report, heardAt } of this.fresh(now)) {
+    for (const { report, receivedAt } of this.currentReports(now)) {
       for (const sample of report.samples) {
         if (sample.waiting === 0) continue;
-        const dueInMs = sample.dueInMs - (now - heardAt);
+        const dueInMs = sample.dueInMs - (now - receivedAt);
         const key = adapterKey(sample);
         const before = sums.get(key);
         const waiting = sample.waiting + (before?.waiting ?? 0);
@@ -107,17 +119,20 @@
     for (const key of this.waitingSince.keys()) {
       if (!sums.has(key)) this.waitingSince.delete(key);
     }
-    const awaited = [...sums].map(([key, sample]) => {
+    const waitingModels = [...sums].map(([key, sample]) => {
       const since = this.waitingSince.get(key) ?? now;
       this.waitingSince.set(key, since);
-      const rate = Math.max(LEAST_RATE, this.rateOf(sample, now));
+      const rate = Math.max(MIN_RATE_PER_SECOND, this.rateOf(sample, now));
       const nextDueInMs = 1_000 / rate + sample.goalMs;
       return { sample, since, waitedMs: now - since, nextDueInMs };
     });
-    return awaited.sort(this.order).map(({ sample }) => sample);
+    return waitingModels.sort(this.order).map(({ sample }) => sample);
   }
 
-  /** Models for which requests have been waiting for a time, with or without a backend that holds them. */
+  /**
+   * Models for which requests have been waiting for at least `milliseconds`, whether or not a
+   * backend has them loaded.
+   */
   awaitedFor(milliseconds: number, now: number): Set<string> {
     const models = this.waiting(now).filter((sample) => {
       const since = this.waitingSince.get(adapterKey(sample)) ?? now;
@@ -126,25 +141,30 @@
     return new Set(models.map((sample) => sample.model));
   }
 
-  /** Backends that daemons say fail, whatever their own health answers and reports say. */
+  /**
+   * Backends that daemons report as failing, regardless of the backends' own health checks and
+   * reports; `listed` is the number of backends.
+   */
   failingBackends(listed: number, now: number): Set<string> {
-    const mostCredible = Math.max(CREDIBLE_FAILING, listed * CREDIBLE_FAILING_SHARE);
-    const credible = this.fresh(now).filter(({ report }) => report.failing.length <= mostCredible);
+    const maxCredible = Math.max(ALWAYS_CREDIBLE_FAILING, listed * MAX_CREDIBLE_FAILING_SHARE);
+    const credible = this.currentReports(now).filter(
+      ({ report }) => report.failing.length <= maxCredible,
+    );
     return new Set(credible.flatMap(({ report }) => report.failing));
   }
 
-  /** Requests in flight for a model, its adapters included, or for one adapter, at a backend. */
+  /** Requests in flight at a backend for one adapter, or for a model including its adapters. */
   inFlight(backend: string, reference: ModelReference, now: number): number {
-    this.expire(now);
+    this.expireReports(now);
     return this.inFlightSums.get(useKey(backend, reference)) ?? 0;
   }
 
-  /** Models, without their adapters, that have had urgent requests lately. */
+  /** Models, without adapters, that recently had urgent requests. */
   urgentModels(now: number): string[] {
     const models: string[] = [];
     for (const [key, rate] of this.rates) {
       if (rate.adapter !== undefined) continue;
-      if (this.isForgotten(rate, now)) this.rates.delete(key);
+      if (this.isExpired(rate, now)) this.rates.delete(key);
       else if (rate.urgent > 0) models.push(rate.model);
     }
     return models;
@@ -152,27 +172,27 @@
 
   /** Requests in flight at a backend, over all models. */
   inFlightAt(backend: string, now: number): number {
-    this.expire(now);
+    this.expireReports(now);
     return this.inFlightSums.get(backend) ?? 0;
   }
 
-  /** Requests in flight for a model, its adapters included, at all backends. */
+  /** Requests in flight at all backends for a model, including its adapters. */
   inFlightOf(model: string, now: number): number {
-    this.expire(now);
+    this.expireReports(now);
     return this.inFlightSums.get(modelKey(model)) ?? 0;
   }
 
-  /** Urgent requests a second, smoothed. */
+  /** Smoothed rate of urgent requests per second. */
   urgentRate(reference: ModelReference, now: number): number {
     return this.decayed(reference, now)?.urgent ?? 0;
   }
 
-  /** Requests a second, smoothed. */
+  /** Smoothed rate of all requests per second. */
   rateOf(reference: ModelReference, now: number): number {
     return this.urgentRate(reference, now) + this.patientRate(reference, now);
   }
 
-  /** Requests a second for the adapters of each model, smoothed. */
+  /** Smoothed rate of requests per second for the adapters of each model. */
   adapterRates(now: number): Map<string, number> {
     const rates = new Map<string, number>();
     for (const rate of this.rates.values()) {
@@ -182,7 +202,7 @@
     return rates;
   }
 
-  /** Requests a second over all models, smoothed. */
+  /** Smoothed rate of requests per second over all models. */
   totalRate(now: number): number {
     let total = 0;
     for (const rate of this.rates.values()) {
@@ -191,24 +211,27 @@
     return total;
   }
 
-  /** Requests a second with time for a load, smoothed. */
+  /** Smoothed rate of requests per second whose latency goal leaves time for a load. */
   patientRate(reference: ModelReference, now: number): number {
     return this.decayed(reference, now)?.patient ?? 0;
   }
 
-  /** Shortest goal of the callers with time for a load, in milliseconds; undefined if there were none. */
+  /**
+   * Shortest latency goal that leaves time for a load, in milliseconds; undefined if there was no
+   * such request.
+   */
   patientGoalMs(reference: ModelReference): number | undefined {
     return this.rates.get(adapterKey(reference))?.patientGoalMs;
   }
 
-  private arrived(
+  private recordArrivals(
     reference: ModelReference,
     sample: DemandSample,
     urgent: boolean,
     now: number,
   ): void {
     const rate = this.decayed(reference, now) ?? newRate(reference, now);
-    // An impulse of this height, decaying by the half-life, has an area of `count`.
+    // An impulse of this height that decays with the half-life has an area equal to the arrivals.
     const impulse = (sample.arrivals * Math.LN2 * 1000) / RATE_HALF_LIFE_MS;
     rate.arrivedAt = now;
     if (urgent) rate.urgent += impulse;
@@ -229,33 +252,33 @@
     return rate;
   }
 
-  /** Whether a rate has fallen so low that it decides nothing any more. */
-  private isForgotten(rate: Rate, now: number): boolean {
-    return now - rate.arrivedAt > FORGOTTEN_HALF_LIVES * RATE_HALF_LIFE_MS;
+  /** Whether the last request is so old that the rate no longer affects decisions. */
+  private isExpired(rate: Rate, now: number): boolean {
+    return now - rate.arrivedAt > RATE_EXPIRY_HALF_LIVES * RATE_HALF_LIFE_MS;
   }
 
-  private fresh(now: number): HeardReport[] {
-    this.expire(now);
+  private currentReports(now: number): ReceivedReport[] {
+    this.expireReports(now);
     return [...this.reports.values()];
   }
 
-  /** Reports of daemons that have fallen silent count no longer. */
-  private expire(now: number): void {
-    if (now === this.expiredAt) return;
-    this.expiredAt = now;
-    for (const [daemon, heard] of this.reports) {
-      if (now - heard.heardAt > REPORT_LIFETIME_MS) this.forget(daemon);
+  /** Removes reports that are older than {@link REPORT_LIFETIME_MS}. */
+  private expireReports(now: number): void {
+    if (now === this.lastExpiryAt) return;
+    this.lastExpiryAt = now;
+    for (const [daemon, received] of this.reports) {
+      if (now - received.receivedAt > REPORT_LIFETIME_MS) this.removeReport(daemon);
     }
   }
 
-  private forget(daemon: string): void {
-    const heard = this.reports.get(daemon);
-    if (heard === undefined) return;
+  private removeReport(daemon: string): void {
+    const received = this.reports.get(daemon);
+    if (received === undefined) return;
     this.reports.delete(daemon);
-    this.sumUse(heard.report, -1);
+    this.addUse(received.report, -1);
   }
 
-  private sumUse(report: DemandReport, sign: 1 | -1): void {
+  private addUse(report: DemandReport, sign: 1 | -1): void {
     for (const use of report.use) {
       const { backend, model, adapter, inFlight } = use;
       this.add(backend, sign * inFlight);
@@ -294,5 +317,5 @@
 }
 
 function isUrgent(sample: DemandSample): boolean {
-  return sample.goalMs <= URGENT_GOAL_MS;
+  return sample.goalMs <= MAX_URGENT_GOAL_MS;
 }
--- a/src/core/model-order.ts
+++ b/src/core/model-order.ts
@@ -1,46 +1,52 @@
-/** Orders that an owner gives to a backend, and what the backend tells about itself. Types only. */
+/** Orders that an owner sends to a backend, and the state that the backend reports. Types only. */
 import type { HeldModel, ModelReference } from './service-configuration.js';
 
-/** Load or unload a model, or one adapter of a loaded model. */
+/** Order to load or unload a model, or one adapter of a loaded model. */
 export interface ModelOrder extends ModelReference {
   readonly operation: 'load' | 'unload';
 }
 
-/** What makes an order safe against late delivery and other owners. */
+/** Fencing data that protects an order against late delivery and against orders of other owners. */
 export interface OrderFence {
-  /** Names the daemon that gives the order. */
+  /** Identifies the daemon that gives the order. */
   readonly holder: string;
-  /** The owner's epoch; the backend refuses lower ones. */
+  /** The owner's epoch; the backend rejects an order with a lower epoch than it has seen. */
   readonly epoch: number;
-  /** Orders that the backend must have taken so far; else it refuses. */
+  /**
+   * Number of orders that the backend must have accepted so far; it rejects the order if the number
+   * differs.
+   */
   readonly expectedSequence: number;
-  /** Asked at the very send: an order may wait for its connection, or its process stand still, until another owns. */
+  /**
+   * Checked immediately before sending: while the order waits for its connection or the process is
+   * paused, another daemon may become the owner.
+   */
   readonly maySend: () => boolean;
 }
 
-/** The end of an order call. */
+/** Result of sending an order. */
 export type OrderOutcome =
-  /** The backend has begun. */
+  /** The backend has started to carry out the order. */
   | { readonly type: 'accepted' }
-  /** What was ordered already holds. */
+  /** The backend is already in the ordered state. */
   | { readonly type: 'holds' }
   /** Another order is in progress, or the sequence is not the expected one. */
   | { readonly type: 'conflict' }
-  /** A higher epoch has been seen. */
+  /** The backend has seen a higher epoch. */
   | { readonly type: 'fenced' }
-  /** Another process has the address now, or the order is not understood. */
+  /** Another process now uses the address, or the backend cannot interpret the order. */
   | { readonly type: 'rejected' }
-  /** It may have been taken, and may still be. */
+  /** The backend may have accepted the order already, or may still accept it. */
   | { readonly type: 'unknown'; readonly reason: string };
 
-/** A backend's state at one moment, as it tells it. */
+/** State of a backend at one moment, as the backend reports it. */
 export interface BackendReport {
-  /** An order for a model is in progress. */
+  /** Whether an order for a model is in progress. */
   readonly busy: boolean;
-  /** Orders taken. */
+  /** Number of orders accepted. */
   readonly sequence: number;
   readonly models: readonly HeldModel[];
-  /** Adapters on their way. */
+  /** Adapters that are being loaded. */
   readonly coming: readonly ModelReference[];
   readonly inMemory: readonly string[];
   readonly onDisk: readonly string[];
--- a/src/core/model-worth.ts
+++ b/src/core/model-worth.ts
@@ -1,34 +1,39 @@
-/** What the copies of the models are worth, in milliseconds of callers' waiting. Pure. */
+/** Worth of model copies, in milliseconds of callers' waiting time. Pure. */
 import { isUnloadOf, modelRank, modelSpec, type BackendLedger } from './backend-ledger.js';
 import { CopyQuality } from './capacity/copy-quality.js';
 import type { PlanningInput } from './planning.js';
 import type { ModelReference } from './service-configuration.js';
 
-/** Worth of a copy for one request a second. */
-const URGENT_WORTH = 4_000;
-const PATIENT_WORTH = 400;
-/** Worth of a copy for which requests wait. */
-const AWAITED_WORTH = 4_000;
-/** Worth of the model that operators list first; they list their busiest first. */
+/**
+ * Worth of a copy per urgent request a second, and per request a second that leaves time for a
+ * load.
+ */
+const WORTH_PER_URGENT_RATE = 4_000;
+const WORTH_PER_PATIENT_RATE = 400;
+/** Additional worth of the only copy of a model that requests are waiting for. */
+const WORTH_OF_AWAITED_COPY = 4_000;
+/**
+ * Worth of the model listed first in the configuration; operators list their busiest models first.
+ */
 const LISTED_FIRST_WORTH = 600;
-/** A model that was loaded so lately has not been used yet. */
-const FRESH_MS = 900;
-const FRESH_WORTH = 8_000;
+/** Milliseconds after a load during which the model may not have been used yet. */
+const NEWLY_LOADED_MS = 900;
+const WORTH_OF_NEWLY_LOADED = 8_000;
 /**
- * Share of the slots of a model's copies from which on its callers queue at them: more wait
- * there than for a rare model, so its next copy goes first. Well below 1, for the load varies
- * around its mean: where that nearly fills the slots, streams already begin late.
+ * Share of the slots of a model's copies from which its callers are assumed to queue. More callers
+ * wait there than for a rare model, so a further copy is loaded first. The share is well below 1
+ * because the load varies: when its mean nearly fills the slots, streams already start late.
  */
 const CROWDED_SLOTS_SHARE = 0.75;
 
-/** Worth of the models of one service, for one round of planning. */
+/** Worth of the models of one service, for one planning round. */
 export class ModelWorth {
   private readonly awaited: ReadonlySet<string>;
   private readonly copyCounts: Map<string, number>;
   private readonly fullCounts: Map<string, number>;
-  /** As far as asked for. */
+  /** Cache: urgent requests per second by model. */
   private readonly urgentRates = new Map<string, number>();
-  /** How good copies are by where they lie. */
+  /** Quality of copies by the backend that has them. */
   readonly quality: CopyQuality;
 
   constructor(private readonly input: PlanningInput) {
@@ -41,23 +46,28 @@
     );
   }
 
-  /** Copies that are held and stay, or are being loaded. */
+  /** Number of copies that are loaded and not being unloaded, or are being loaded. */
   copies(model: string): number {
     return this.copyCounts.get(model) ?? 0;
   }
 
-  /** The same, copies at places that suit the model badly counted in part. */
+  /**
+   * Like {@link copies}, but a copy at a backend that suits the model badly counts only in part.
+   */
   fullCopies(model: string): number {
     return this.fullCounts.get(model) ?? 0;
   }
 
-  /** This round has ordered a load of the model. */
+  /** Counts a copy whose load was ordered in this round. */
   noteLoad(model: string): void {
     this.copyCounts.set(model, this.copies(model) + 1);
     this.fullCounts.set(model, this.fullCopies(model) + 1);
   }
 
-  /** Whether callers of a model queue at its copies; those that are coming count, for they will take their part. */
+  /**
+   * Whether callers queue at a model's copies; copies being loaded count, because they will serve a
+   * part of the callers.
+   */
   isCrowded(model: string): boolean {
     return this.wouldCrowd(model, this.fullCopies(model));
   }
@@ -68,30 +78,33 @@
     return slots > 0 && demand.inFlightOf(model, now) >= slots * CROWDED_SLOTS_SHARE;
   }
 
-  /** Urgent requests a second for a model; the same all through a round. */
+  /** Urgent requests per second for a model; constant within a round. */
   urgentRate(model: string): number {
-    const known = this.urgentRates.get(model);
-    if (known !== undefined) return known;
+    const cached = this.urgentRates.get(model);
+    if (cached !== undefined) return cached;
     const rate = this.input.demand.urgentRate(reference(model), this.input.now);
     this.urgentRates.set(model, rate);
     return rate;
   }
 
-  /** What the loss of the copy at a backend would cost. */
+  /** Cost of losing the copy at a backend, in milliseconds. */
   ofCopy(ledger: BackendLedger, model: string): number {
     const { demand, now } = this.input;
     const patient = demand.patientRate(reference(model), now) * this.patientWorth(model);
     const prior = LISTED_FIRST_WORTH / (1 + modelRank(this.input.host, model));
-    const lasting = this.urgentRate(model) * URGENT_WORTH + patient + prior;
-    const lost = this.partOf(ledger, model);
-    const awaited = this.copies(model) <= 1 && this.awaited.has(model) ? AWAITED_WORTH : 0;
+    const lasting = this.urgentRate(model) * WORTH_PER_URGENT_RATE + patient + prior;
+    const lost = this.shareOf(ledger, model);
+    const awaited = this.copies(model) <= 1 && this.awaited.has(model) ? WORTH_OF_AWAITED_COPY : 0;
     const loadedAt = ledger.models.get(model)?.loadedAt ?? -Infinity;
-    const fresh = now - loadedAt < FRESH_MS ? FRESH_WORTH : 0;
+    const fresh = now - loadedAt < NEWLY_LOADED_MS ? WORTH_OF_NEWLY_LOADED : 0;
     return lost * lasting + awaited + fresh;
   }
 
-  /** Part of what a model's copies are worth that goes with one: a quarter with one of two as good. */
-  private partOf(ledger: BackendLedger, model: string): number {
+  /**
+   * Share of the total worth of a model's copies that is lost with one copy: a quarter for one of
+   * two equally good copies.
+   */
+  private shareOf(ledger: BackendLedger, model: string): number {
     const copies = this.fullCopies(model);
     const quality = this.quality.ofCopy(ledger, model);
     const share = copies === 0 ? 1 : quality / copies;
@@ -99,36 +112,39 @@
   }
 
   /**
-   * Worth of a copy for one request a second that leaves time for a load: what the load, and the
-   * unload that makes room for it, take of its goal. Where callers ask for more models than
-   * there are places, each copy that goes is soon loaded again, and its callers wait.
+   * Worth of a copy per request a second that leaves time for a load: the share of its latency
+   * goal that a reload and the preceding unload take. If callers request more models than fit
+   * in memory, each evicted copy is soon loaded again, and its callers wait.
    */
   private patientWorth(model: string): number {
     const { demand, host, policies, unloadTimes } = this.input;
-    if (!policies.copyWorthByCallers) return PATIENT_WORTH;
+    if (!policies.copyWorthByCallers) return WORTH_PER_PATIENT_RATE;
     const goalMs = demand.patientGoalMs(reference(model));
     const spec = modelSpec(host, model);
-    if (goalMs === undefined || spec === undefined) return PATIENT_WORTH;
+    if (goalMs === undefined || spec === undefined) return WORTH_PER_PATIENT_RATE;
     const reloadMs = 1_000 * spec.diskLoadSeconds + unloadTimes.expected(true);
-    return URGENT_WORTH * Math.min(1, reloadMs / goalMs);
+    return WORTH_PER_URGENT_RATE * Math.min(1, reloadMs / goalMs);
   }
 
-  /** What one more copy would be worth: what its loss would cost once it is there, so that no copy is moved to and fro. */
+  /**
+   * Worth of one more copy: the cost of losing it once it is loaded, so that no copy is moved back
+   * and forth.
+   */
   ofFurtherCopy(model: string): number {
     const copies = this.fullCopies(model);
     const sharers = this.isNeeded(model, copies) ? copies + 1 : (copies + 1) ** 2;
-    return (this.urgentRate(model) * URGENT_WORTH) / sharers;
+    return (this.urgentRate(model) * WORTH_PER_URGENT_RATE) / sharers;
   }
 
   /**
-   * Whether the others can't take over the callers of one copy: then it counts for its whole
-   * part of the callers, and otherwise for less, because the others have room.
+   * Whether the other copies cannot take over the callers of one copy. If they cannot, the copy
+   * counts for its whole share of the callers; otherwise for less, because the others have room.
    */
   private isNeeded(model: string, others: number): boolean {
     return this.input.policies.relieveCrowdedCopies && this.wouldCrowd(model, others);
   }
 
-  /** Expected time of an unload. */
+  /** Expected duration of an unload, in milliseconds. */
   unloadMs(ledger: BackendLedger, model: string): number {
     const running = this.input.demand.inFlight(ledger.id, reference(model), this.input.now);
     return this.input.unloadTimes.expected(running > 0);
@@ -137,12 +153,12 @@
 
 function countCopies(
   backends: readonly BackendLedger[],
-  partOf: (ledger: BackendLedger, model: string) => number,
+  shareOf: (ledger: BackendLedger, model: string) => number,
 ): Map<string, number> {
   const counts = new Map<string, number>();
   for (const ledger of backends) {
     const add = (model: string): void => {
-      counts.set(model, (counts.get(model) ?? 0) + partOf(ledger, model));
+      counts.set(model, (counts.get(model) ?? 0) + shareOf(ledger, model));
     };
     const order = ledger.currentOrder;
     for (const model of ledger.models.keys()) {
--- a/src/core/order-channel.ts
+++ b/src/core/order-channel.ts
@@ -1,18 +1,21 @@
 /**
- * What it costs to keep a backend from other orders. A backend carries out one
- * order at a time, so a long load keeps the copies at hand there from being
- * loaded for callers who ask for them meanwhile. Pure.
+ * Cost of occupying a backend with an order. A backend carries out one order at a
+ * time, so during a long load it cannot load models from its own disk or host memory
+ * for callers that request them. Pure.
  */
 import type { BackendLedger } from './backend-ledger.js';
 import type { PlanningInput } from './planning.js';
 
-/** Prices the time for which an order takes a backend's order channel. */
+/** Computes the cost of the time for which an order occupies a backend. */
 export interface OrderChannelCost {
-  /** Expected waiting of callers, in milliseconds, while an order of `durationMs` runs. */
+  /**
+   * Expected total waiting time of callers, in milliseconds, caused by an order that takes
+   * `durationMs`.
+   */
   ofOrder(ledger: BackendLedger, durationMs: number): number;
 }
 
-/** The channel costs nothing. */
+/** Assigns no cost to occupying a backend. */
 export class FreeOrderChannel implements OrderChannelCost {
   ofOrder(): number {
     return 0;
@@ -20,28 +23,31 @@
 }
 
 /**
- * Prices it by the requests that are to be expected for models with a copy at
- * hand there and loaded nowhere, and for adapters of the models that it holds: none
- * can be loaded there meanwhile. For one round of planning.
+ * Derives the cost from the requests expected for models that have weights on the backend's
+ * disk or in its host memory and are loaded at no backend, and for adapters of the models that
+ * it has loaded: none of these can be loaded there during the order. Valid for one planning round.
  */
 export class ExpectedCallersCost implements OrderChannelCost {
-  /** Requests a second that only an order at the backend could serve soon; worked out when first asked for. */
+  /**
+   * Requests per second that need an order at the backend to be served soon, by backend; computed
+   * on first use.
+   */
   private rates: ReadonlyMap<string, number> | undefined;
 
   constructor(private readonly input: PlanningInput) {}
 
   ofOrder(ledger: BackendLedger, durationMs: number): number {
-    this.rates ??= this.ratesOfBackends();
+    this.rates ??= this.computeRates();
     const callers = ((this.rates.get(ledger.id) ?? 0) * durationMs) / 1_000;
-    // They come at any time of it, and so wait for half of it.
+    // Callers arrive evenly over the order's duration, so each waits half of it on average.
     return callers * (durationMs / 2);
   }
 
-  private ratesOfBackends(): Map<string, number> {
+  private computeRates(): Map<string, number> {
     const { backends, demand, host, now } = this.input;
     const rates = new Map<string, number>();
-    const copies = backendsByModel(backends, loadedModels);
-    const holders = backendsByModel(backends, copiesAtHand);
+    const copies = countBackendsByModel(backends, loadedModels);
+    const holders = countBackendsByModel(backends, locallyStoredModels);
     const adapterRates = demand.adapterRates(now);
     const usualRate = demand.totalRate(now) / Math.max(1, host.models.length);
     for (const ledger of backends) {
@@ -49,7 +55,7 @@
       for (const model of loadedModels(ledger)) {
         rate += (adapterRates.get(model) ?? 0) / (copies.get(model) ?? 1);
       }
-      for (const model of copiesAtHand(ledger)) {
+      for (const model of locallyStoredModels(ledger)) {
         if (copies.has(model)) continue;
         const modelRate = Math.max(usualRate, demand.rateOf({ model, adapter: undefined }, now));
         rate += modelRate / (holders.get(model) ?? 1);
@@ -60,18 +66,18 @@
   }
 }
 
-/** Models that a backend holds loaded. */
+/** Models that are loaded at a backend. */
 function loadedModels(ledger: BackendLedger): Iterable<string> {
   return ledger.models.keys();
 }
 
-/** Models with a copy on the backend's disk or in its host memory. */
-function copiesAtHand(ledger: BackendLedger): Set<string> {
+/** Models whose weights are on the backend's disk or in its host memory. */
+function locallyStoredModels(ledger: BackendLedger): Set<string> {
   return new Set([...ledger.onDisk, ...ledger.inMemory]);
 }
 
-/** Backends of each model, by what is looked at of a backend. */
-function backendsByModel(
+/** Counts, for each model that `modelsOf` returns, the backends for which it is returned. */
+function countBackendsByModel(
   backends: readonly BackendLedger[],
   modelsOf: (ledger: BackendLedger) => Iterable<string>,
 ): Map<string, number> {
--- a/src/core/placement-cache-aware.ts
+++ b/src/core/placement-cache-aware.ts
@@ -1,11 +1,13 @@
-/** Placement that goes where the checkpoint is nearest, then where most memory is free. */
+/**
+ * Placement policy that prefers engines with a near checkpoint, then engines with much free memory.
+ */
 import type { CheckpointTier, ReplicaSpec } from '../engines/engine-client.js';
 import type { EngineLedger } from './engine-ledger.js';
 import { findEvictions, type Placement, type PlacementPolicy } from './placement.js';
 
 const TIER_RANK: Record<CheckpointTier, number> = { resident: 0, memory: 1, disk: 2, remote: 3 };
 
-/** Fewest evictions first, then the nearest checkpoint, then the most free memory. */
+/** Prefers the fewest evictions, then the nearest checkpoint tier, then the most free memory. */
 export class CacheAwarePlacement implements PlacementPolicy {
   choose(
     spec: ReplicaSpec,
--- a/src/core/placement-planner.ts
+++ b/src/core/placement-planner.ts
@@ -1,7 +1,7 @@
 /**
- * Decides which orders the owner of a service gives next: loads for waiting
- * requests where they cost least, second copies of models in urgent demand, and
- * unloads that make room. Pure; times are milliseconds of a steady clock.
+ * Plans the next orders of a service's owner: loads for waiting requests at the
+ * backend where they cost least, further copies of models in urgent demand, and
+ * unloads that free memory. Pure; times are milliseconds of a monotonic clock.
  */
 import { AdapterPlan } from './adapter-plan.js';
 import { adapterKey, modelSpec, type BackendLedger } from './backend-ledger.js';
@@ -12,50 +12,59 @@
 import type { LoadPlanner, PlannedOrder, PlanningInput } from './planning.js';
 import type { ModelSpec } from './service-configuration.js';
 
-/** A backend that makes room for a model. */
+/** Reservation of memory that a backend frees for a model. */
 interface Reservation {
   readonly backend: string;
   readonly reason: string;
   readonly until: number;
-  /** Copies of the model, held or coming, when the room was ordered: with more of them it is not needed. */
+  /**
+   * Copies of the model, loaded or loading, when the reservation was made; with more copies the
+   * reservation is no longer needed.
+   */
   readonly copies: number;
 }
 
-/** A backend with the model that it makes room for. */
-interface ReservedRoom {
+/** A backend and the model for which it frees memory. */
+interface ResolvedReservation {
   readonly ledger: BackendLedger;
   readonly spec: ModelSpec;
 }
 
-/** Urgent requests a second for which a model gets a second and a third copy. */
+/** Urgent requests per second from which a model gets a second or third copy. */
 const SECOND_COPY_RATE = 0.25;
 const THIRD_COPY_RATE = 10;
-/** Share of a backend's slots that the requests of one model may take before it gets a further copy. */
+/**
+ * Share of a backend's slots that requests for one model may use before the model gets a further
+ * copy.
+ */
 const COPY_SLOTS_SHARE = 0.4;
-/** A further copy must be worth so many times what makes way for it. */
-const COPY_MARGIN = 2;
-/** Forecasts that an owner tells at once, the most urgent, unless it tells all. */
-const MOST_FORECASTS = 64;
-/** The most that it tells if it tells all: some 20 kB of an update, and tens of milliseconds of the owner's time. */
-const MOST_OF_ALL_FORECASTS = 1_024;
-/** Room that is made and not used by then is given up. */
+/** A further copy must be worth at least this many times the copies that are evicted for it. */
+const FURTHER_COPY_WORTH_RATIO = 2;
+/** Maximum number of forecasts per update, most urgent first, without `forecastAll`. */
+const MAX_URGENT_FORECASTS = 64;
+/**
+ * Maximum number of forecasts with `forecastAll`: about 20 kB per update and tens of milliseconds
+ * of the owner's time.
+ */
+const MAX_FORECASTS = 1_024;
+/** Milliseconds after which unused reserved memory is released. */
 const RESERVATION_MS = 4_000;
 
-/** Plans for one service; remembers which backend makes room for which model. */
+/** Plans orders for one service and keeps the memory reservations between rounds. */
 export class PlacementPlanner implements LoadPlanner {
   private readonly reservations = new Map<string, Reservation>();
-  /** Models that were fetched from the weight store before anybody asked for them. */
+  /** Models that were fetched from the weight store ahead of any request. */
   private readonly fetched = new Set<string>();
 
-  /** Orders to give now, at most one for each backend. */
+  /** Returns the orders to give now, at most one per backend. */
   plan(input: PlanningInput): PlannedOrder[] {
     const round = new PlanningRound(input, this.reservations);
-    round.useReservedRoom();
+    round.startReservedLoads();
     round.relieveCrowded();
     for (const wanted of input.demand.waiting(input.now)) {
       if (!round.places.hasFree()) break;
-      if (wanted.adapter === undefined) round.load(wanted);
-      else round.loadAdapter(wanted);
+      if (wanted.adapter === undefined) round.planLoad(wanted);
+      else round.planAdapterLoad(wanted);
     }
     round.addCopy();
     round.fetchAhead(this.fetched);
@@ -63,15 +72,16 @@
   }
 
   /**
-   * Milliseconds until awaited models and adapters that nobody holds are expected to be loaded.
-   * The others' would move with the time, and each request for one makes it awaited.
+   * Returns the milliseconds until models and adapters that requests wait for, and that no backend
+   * has loaded, are expected to be loaded. Models without waiting requests are left out: their
+   * forecasts would change all the time, and the first request for one includes it.
    */
   forecasts(input: PlanningInput): Map<string, number> {
     const round = new PlanningRound(input, this.reservations);
-    const times = round.expectReserved();
-    const most = input.policies.forecastAll ? MOST_OF_ALL_FORECASTS : MOST_FORECASTS;
+    const times = round.forecastReserved();
+    const maxForecasts = input.policies.forecastAll ? MAX_FORECASTS : MAX_URGENT_FORECASTS;
     for (const wanted of input.demand.waiting(input.now)) {
-      if (times.size >= most) break;
+      if (times.size >= maxForecasts) break;
       if (wanted.adapter !== undefined) round.forecastAdapter(wanted, times);
       else if (!times.has(wanted.model)) round.forecast(wanted.model, times);
     }
@@ -79,7 +89,7 @@
   }
 }
 
-/** One round of planning. */
+/** One planning round. */
 class PlanningRound {
   readonly orders: PlannedOrder[] = [];
   readonly worth: ModelWorth;
@@ -93,19 +103,19 @@
     this.places = new LoadPlaces(input, this.worth);
   }
 
-  /** Begins the loads for which room was being made. */
-  useReservedRoom(): void {
+  /** Starts the loads for which memory was reserved. */
+  startReservedLoads(): void {
     for (const [model, reservation] of [...this.reservations]) {
       const { backend, reason } = reservation;
-      const room = this.reservedRoom(model, backend);
-      if (room !== undefined) this.renew(model, reservation, room.ledger);
-      if (room === undefined || this.isOver(model)) {
+      const resolved = this.resolveReservation(model, backend);
+      if (resolved !== undefined) this.extendReservation(model, reservation, resolved.ledger);
+      if (resolved === undefined || this.hasExpired(model)) {
         this.reservations.delete(model);
         continue;
       }
-      const { ledger, spec } = room;
+      const { ledger, spec } = resolved;
       const place = this.places.at(ledger, spec);
-      // The backend makes room still, or the weight store allows no further load now.
+      // The backend is still freeing memory, or the weight store allows no further load now.
       if (place !== undefined && !place.isFree) {
         this.places.reserve(ledger.id);
         this.places.expect(ledger, spec);
@@ -113,65 +123,74 @@
       }
       this.reservations.delete(model);
       const isNeeded = this.worth.copies(model) <= reservation.copies;
-      if (place !== undefined && isNeeded) this.order(spec, place, reason);
+      if (place !== undefined && isNeeded) this.addLoad(spec, place, reason);
     }
   }
 
   /**
-   * Room for a further copy is kept while the victim's requests run, however long: given up
-   * and made anew elsewhere it would again be given up.
+   * Extends the reservation for a further copy while the victim's unload waits for its running
+   * requests, without a time limit: if it were released, a new reservation at another backend
+   * would expire in the same way.
    */
-  private renew(model: string, reservation: Reservation, ledger: BackendLedger): void {
-    const isBeingMade = ledger.currentOrder?.operation === 'unload';
-    if (reservation.copies === 0 || !isBeingMade) return;
+  private extendReservation(model: string, reservation: Reservation, ledger: BackendLedger): void {
+    const isUnloading = ledger.currentOrder?.operation === 'unload';
+    if (reservation.copies === 0 || !isUnloading) return;
     const until = this.input.now + RESERVATION_MS;
     this.reservations.set(model, { ...reservation, until });
   }
 
-  private isOver(model: string): boolean {
+  private hasExpired(model: string): boolean {
     return (this.reservations.get(model)?.until ?? -Infinity) < this.input.now;
   }
 
-  /** Loads for which room is being made, and the milliseconds until they have ended. */
-  expectReserved(): Map<string, number> {
+  /**
+   * Returns the models for which memory is reserved, with the milliseconds until they are loaded.
+   */
+  forecastReserved(): Map<string, number> {
     const times = new Map<string, number>();
     for (const [model, { backend }] of this.reservations) {
-      const room = this.reservedRoom(model, backend);
-      if (room === undefined) continue;
-      this.places.expect(room.ledger, room.spec);
-      times.set(model, Math.round(this.places.waitMs(room.ledger)));
+      const resolved = this.resolveReservation(model, backend);
+      if (resolved === undefined) continue;
+      this.places.expect(resolved.ledger, resolved.spec);
+      times.set(model, Math.round(this.places.waitMs(resolved.ledger)));
     }
     return times;
   }
 
-  /** Undefined if the backend or the model is gone. */
-  private reservedRoom(model: string, backend: string): ReservedRoom | undefined {
+  /** Resolves a reservation; undefined if the backend or the model no longer exists. */
+  private resolveReservation(model: string, backend: string): ResolvedReservation | undefined {
     const ledger = this.input.backends.find((candidate) => candidate.id === backend);
     const spec = modelSpec(this.input.host, model);
     return ledger === undefined || spec === undefined ? undefined : { ledger, spec };
   }
 
-  /** Begins the load of a model that nobody holds, or makes room for it, or waits for its place. */
-  load(wanted: DemandSample): void {
+  /**
+   * Orders the load of a model that no backend has loaded, or the unload that must come first, or
+   * queues the load.
+   */
+  planLoad(wanted: DemandSample): void {
     const spec = modelSpec(this.input.host, wanted.model);
-    if (spec === undefined || this.isHeldOrComing(wanted.model)) return;
+    if (spec === undefined || this.isLoadedOrLoading(wanted.model)) return;
     const place = this.places.cheapest(spec);
     if (place === undefined) return;
-    if (place.isFree) this.order(spec, place, 'waiting requests');
+    if (place.isFree) this.addLoad(spec, place, 'waiting requests');
     else this.places.queue(place);
   }
 
-  /** Begins the load of an adapter where its model is held. */
-  loadAdapter(wanted: DemandSample): void {
+  /** Orders the load of an adapter at a backend that has its model loaded. */
+  planAdapterLoad(wanted: DemandSample): void {
     const plan = new AdapterPlan(this.input, this.places);
     if (plan.isHeldOrComing(wanted)) return;
     const holders = plan.holders(wanted.model);
-    if (holders.length === 0) return this.load({ ...wanted, adapter: undefined });
+    if (holders.length === 0) return this.planLoad({ ...wanted, adapter: undefined });
     const planned = plan.next(wanted, holders);
-    if (planned !== undefined) this.push(planned);
+    if (planned !== undefined) this.addOrder(planned);
   }
 
-  /** Notes when a model will be ready; its load delays those behind it. */
+  /**
+   * Adds the time at which a model will be loaded to `times`; its load delays the loads queued
+   * after it.
+   */
   forecast(model: string, times: Map<string, number>): void {
     const spec = modelSpec(this.input.host, model);
     if (spec === undefined || this.worth.copies(model) > 0) return;
@@ -181,7 +200,10 @@
     this.places.queue(place);
   }
 
-  /** Notes when an adapter will be ready at one of its model's holders, or after its model. */
+  /**
+   * Adds the time at which an adapter will be loaded, or that of its model if no backend has the
+   * model loaded.
+   */
   forecastAdapter(wanted: DemandSample, times: Map<string, number>): void {
     const plan = new AdapterPlan(this.input, this.places);
     const holders = plan.holders(wanted.model);
@@ -191,7 +213,10 @@
     }
   }
 
-  /** Adds a copy of each model whose copies are nearly full, before rare models take the places. */
+  /**
+   * Adds a copy of each model whose copies are nearly full, before loads of rare models use the
+   * backends.
+   */
   relieveCrowded(): void {
     const { demand, now } = this.input;
     for (const model of demand.urgentModels(now)) {
@@ -207,7 +232,10 @@
     }
   }
 
-  /** Copies at slow places count in part, and there may be as many again that are better placed. */
+  /**
+   * Whether a model needs a further copy. Copies at slow backends count in part, so up to twice the
+   * wanted number is allowed.
+   */
   private isCopyWanted(model: string): boolean {
     const copies = this.worth.copies(model);
     if (copies === 0) return false;
@@ -216,40 +244,50 @@
   }
 
   /**
-   * Fetches models that lie at no backend from the weight store while no caller has asked for
-   * anything yet: the store gives a few at a time, slowly, so that callers of most of them
-   * would be refused. Each at most once, and only in place of what can be loaded again at hand.
+   * Loads models that are stored at no backend from the weight store before the first request
+   * arrives: the store serves few loads at a time and slowly, so callers of most of these
+   * models would be refused. Fetches each model at most once, and evicts only models that a
+   * backend has on disk or in memory.
    */
   fetchAhead(fetched: Set<string>): void {
     const { backends, demand, host, now, policies } = this.input;
     if (!policies.fetchAhead || demand.totalRate(now) > 0) return;
-    const kept = new Set(backends.flatMap(({ onDisk, inMemory }) => [...onDisk, ...inMemory]));
+    const storedModels = new Set(
+      backends.flatMap(({ onDisk, inMemory }) => [...onDisk, ...inMemory]),
+    );
     for (const spec of host.models) {
       const { name } = spec;
-      if (kept.has(name) || fetched.has(name) || this.isHeldOrComing(name)) continue;
+      if (storedModels.has(name) || fetched.has(name) || this.isLoadedOrLoading(name)) continue;
       const place = this.places.cheapest(spec);
       if (place === undefined || !place.isFree) return;
-      if (!place.victims.every((victim) => kept.has(victim))) continue;
+      if (!place.victims.every((victim) => storedModels.has(victim))) continue;
       fetched.add(name);
-      this.order(spec, place, 'on no disk');
+      this.addLoad(spec, place, 'on no disk');
     }
   }
 
-  /** Orders one more copy where it displaces nothing worth more; false if there is no such place now. */
+  /**
+   * Orders one more copy unless the copies to evict are worth too much in comparison; returns
+   * whether an order was given.
+   */
   private tryFurtherCopy(model: string, reason: string): boolean {
     const spec = modelSpec(this.input.host, model);
     if (spec === undefined || this.reservations.has(model)) return false;
-    // A copy besides those that are wanted takes the place of one at a slow place.
-    const isBesides = this.worth.copies(model) >= this.copiesWanted(model);
+    // A copy beyond the wanted number replaces one at a slow backend, so it must go to a good one.
+    const isExtra = this.worth.copies(model) >= this.copiesWanted(model);
     const suits = (backend: string): boolean => this.worth.quality.isGood(backend, model);
-    const place = this.places.cheapest(spec, isBesides ? suits : undefined);
+    const place = this.places.cheapest(spec, isExtra ? suits : undefined);
     if (place === undefined || !place.isFree) return false;
-    if (place.displacedWorth * COPY_MARGIN > this.worth.ofFurtherCopy(model)) return false;
-    this.order(spec, place, reason);
+    if (place.displacedWorth * FURTHER_COPY_WORTH_RATIO > this.worth.ofFurtherCopy(model))
+      return false;
+    this.addLoad(spec, place, reason);
     return true;
   }
 
-  /** By the rate, so that the loss of one copy is borne, and by what runs at once. */
+  /**
+   * Wanted number of copies, by the urgent rate, so that one copy may be lost, and by the requests
+   * in flight.
+   */
   private copiesWanted(model: string): number {
     const { host, demand, now } = this.input;
     const byRate = copiesForRate(this.worth.urgentRate(model));
@@ -258,36 +296,44 @@
     return Math.max(byRate, 1 + Math.ceil(running / (host.slots * COPY_SLOTS_SHARE)));
   }
 
-  private isHeldOrComing(model: string): boolean {
+  private isLoadedOrLoading(model: string): boolean {
     return this.reservations.has(model) || this.worth.copies(model) > 0;
   }
 
-  private order(spec: ModelSpec, place: LoadPlace, reason: string): void {
+  private addLoad(spec: ModelSpec, place: LoadPlace, reason: string): void {
     const { now } = this.input;
     const backend = place.ledger.id;
     const [victim] = place.victims;
     if (victim !== undefined) {
       const until = now + RESERVATION_MS;
-      this.reservations.set(spec.name, { backend, reason, until, copies: this.copiesBefore(spec) });
+      this.reservations.set(spec.name, {
+        backend,
+        reason,
+        until,
+        copies: this.maxCopiesForReservation(spec),
+      });
       const order: ModelOrder = { operation: 'unload', model: victim, adapter: undefined };
       const durationMs = this.worth.unloadMs(place.ledger, victim);
       this.places.expect(place.ledger, spec);
-      const why = `room for ${spec.name}: ${reason}`;
-      return this.push({ backend, order, durationMs, copy: undefined, reason: why });
+      const unloadReason = `room for ${spec.name}: ${reason}`;
+      return this.addOrder({ backend, order, durationMs, copy: undefined, reason: unloadReason });
     }
     if (place.copy === 'store') this.places.useStore(place);
     this.worth.noteLoad(spec.name);
     const order: ModelOrder = { operation: 'load', model: spec.name, adapter: undefined };
     const { copy, loadMs } = place;
-    this.push({ backend, order, durationMs: loadMs, copy, reason });
+    this.addOrder({ backend, order, durationMs: loadMs, copy, reason });
   }
 
-  /** The most copies with which room ordered now is still needed; 0 if room is made for unheld models only. */
-  private copiesBefore(spec: ModelSpec): number {
+  /**
+   * Largest number of copies with which a reservation made now is still needed; 0 without
+   * `relieveCrowdedCopies`, which reserves only for models that are not loaded.
+   */
+  private maxCopiesForReservation(spec: ModelSpec): number {
     return this.input.policies.relieveCrowdedCopies ? this.worth.copies(spec.name) : 0;
   }
 
-  private push(planned: PlannedOrder): void {
+  private addOrder(planned: PlannedOrder): void {
     this.places.reserve(planned.backend);
     this.places.addWork(planned.backend, planned.durationMs);
     this.orders.push(planned);
--- a/src/core/placement-publisher.ts
+++ b/src/core/placement-publisher.ts
@@ -1,46 +1,49 @@
 /**
- * Turns the state that an owner knows into updates for the daemons: what has
- * changed since the last update, or everything for a daemon that missed one.
- * Pure; times are milliseconds of the owner's steady clock.
+ * Builds placement updates for the daemons from the owner's state: the changes since the
+ * last update, or a full update for a daemon that missed one.
+ * Pure; times are milliseconds of the owner's monotonic clock.
  */
 import { CapacityNews } from './capacity/capacity-news.js';
 import type { LearnedFigures } from './capacity/learned-capacity.js';
 import type { PlacedModel, PlacementUpdate } from './placement-update.js';
 
-/** A model at a backend, as the owner knows it. */
+/** A model at a backend, in the owner's state. */
 export interface KnownPlacement {
   readonly name: string;
   readonly adapters: readonly string[];
-  /** When it is expected to be loaded; 0 when it is. */
+  /** Time at which the model is expected to be loaded; 0 if it is loaded. */
   readonly readyAt: number;
   readonly unloading: boolean;
 }
 
-/** All that the owner knows. */
+/** The owner's complete state of placements. */
 export interface PlacementState {
   readonly backends: ReadonlyMap<string, readonly KnownPlacement[]>;
-  /** Expected times at which models that no backend holds are loaded. */
+  /** Expected load times of models that no backend has loaded. */
   readonly forecasts: ReadonlyMap<string, number>;
   /** Requests in flight at each backend. */
   readonly loads: ReadonlyMap<string, number>;
-  /** Loads from the weight store that may run at once; 0 if nothing is known. */
+  /** Maximum number of concurrent loads from the weight store; 0 if unknown. */
   readonly storeLoadLimit: number;
-  /** A load that changes by less is not told again. */
+  /**
+   * A backend's number of requests in flight is published again only if it changes by at least this
+   * much.
+   */
   readonly loadTolerance: number;
-  /** What is believed of the backends' speeds; absent if that is not learned. */
+  /** Estimated speeds of the backends; absent if they are not learned. */
   readonly capacity?: LearnedFigures | undefined;
 }
 
-/** A forecast that moves by less is not told again. */
+/** A forecast is published again only if it moves by at least this much. */
 const FORECAST_TOLERANCE_MS = 300;
 
 interface PublishedBackend {
   readonly models: readonly KnownPlacement[];
-  /** Equal texts mean equal models. */
+  /** Equal for equal lists of models. */
   readonly fingerprint: string;
 }
 
-/** Remembers what the daemons have been told in one epoch. */
+/** Tracks what has been published to the daemons in one epoch. */
 export class PlacementPublisher {
   private version = 0;
   private backends = new Map<string, PublishedBackend>();
@@ -52,11 +55,17 @@
   constructor(
     private readonly service: string,
     private readonly epoch: number,
-    /** A forecast that moves by less than this share of the time until then is not told again either. */
+    /**
+     * A forecast is also not published again if it moves by less than this share of its remaining
+     * time.
+     */
     private readonly forecastToleranceShare = 0,
   ) {}
 
-  /** The next update; the first one tells everything. Without changes it only proves that the owner lives. */
+  /**
+   * Returns the next update; the first one is a full update. Without changes, it only shows that
+   * the owner is alive.
+   */
   update(state: PlacementState, now: number): PlacementUpdate {
     this.storeLoadLimit = state.storeLoadLimit;
     const changedBackends = this.takeBackends(state);
@@ -80,7 +89,7 @@
     return { ...told, baseVersion, removedBackends, removedForecasts, capacity };
   }
 
-  /** Everything, for a daemon that missed an update. */
+  /** Returns a full update, for a daemon that missed an update. */
   everything(now: number): PlacementUpdate {
     const { backends, forecasts, loads } = this;
     const told = this.told([...backends.keys()], [...forecasts.keys()], [...loads.keys()], now);
--- a/src/core/placement-update.ts
+++ b/src/core/placement-update.ts
@@ -1,38 +1,43 @@
 /**
- * The owner's word on where a service's models are, as it travels: everything
- * once, then what has changed. Types only; times are relative, because daemons'
- * clocks differ.
+ * Update on the placement of a service's models that the owner sends to the daemons: the full state
+ * once, then only changes. Types only; times are relative, because the daemons' clocks differ.
  */
 import type { LearnedFigures } from './capacity/learned-capacity.js';
 import type { HeldModel } from './service-configuration.js';
 
-/** A model at a backend, as its owner tells. */
+/** A model at a backend, as the service's owner reports it. */
 export interface PlacedModel extends HeldModel {
-  /** Milliseconds until it is loaded, from when the owner said so; 0 when it is. */
+  /** Milliseconds from sending of the update until the model is loaded; 0 if it is loaded. */
   readonly readyInMs: number;
-  /** No new request may go there. */
+  /** Whether the model is being unloaded; no new request may be sent to it. */
   readonly unloading: boolean;
 }
 
-/** What an owner tells of its service. */
+/** Placement update for one service. */
 export interface PlacementUpdate {
   readonly service: string;
   /** Fencing token of the owner. */
   readonly epoch: number;
-  /** Rises with each change within an epoch. */
+  /** Increases with each change within an epoch. */
   readonly version: number;
-  /** The version that the changes apply to; undefined if everything is told. */
+  /** The version that the changes apply to; undefined for a full update. */
   readonly baseVersion: number | undefined;
-  /** Backends whose models have changed, or all of them. */
+  /** Backends whose models have changed, or all backends in a full update. */
   readonly backends: ReadonlyMap<string, readonly PlacedModel[]>;
   readonly removedBackends: readonly string[];
-  /** Milliseconds until a model that no backend holds is expected to be loaded. */
+  /** Milliseconds until a model that no backend has loaded is expected to be loaded. */
   readonly forecasts: ReadonlyMap<string, number>;
   readonly removedForecasts: readonly string[];
-  /** Loads from the weight store that may run at once, as the owner has learned; 0 if nothing is known. */
+  /**
+   * Maximum number of concurrent loads from the weight store, as the owner has learned; 0 if
+   * unknown.
+   */
   readonly storeLoadLimit: number;
-  /** Requests that all daemons together have in flight at a backend, where that has changed much. */
+  /**
+   * Requests that all daemons together have in flight at a backend; only backends where the number
+   * changed by at least the tolerance.
+   */
   readonly loads: ReadonlyMap<string, number>;
-  /** Speeds and gaps that have changed, and all shares if they have; absent if nothing has. */
+  /** Changed speeds and gaps, and all shares if any share changed; absent if nothing changed. */
   readonly capacity?: LearnedFigures | undefined;
 }
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -1,19 +1,19 @@
-/** Where a load goes: the interface of placement policies. */
+/** Interface of placement policies, which choose the engine for a load. */
 import type { ReplicaSpec } from '../engines/engine-client.js';
 import type { EngineLedger } from './engine-ledger.js';
 
-/** Replicas to unload first, and the engine to load on after that. */
+/** The engine to load on, and the replicas to unload there first. */
 export interface Placement {
   readonly engine: EngineLedger;
-  /** Tenants whose idle replicas make room; empty when there is room already. */
+  /** Tenants whose idle replicas are evicted; empty if there is enough free memory. */
   readonly evict: readonly string[];
 }
 
 /** Chooses an engine for a load. */
 export interface PlacementPolicy {
   /**
-   * The engine for a load, or undefined if it fits nowhere. `evictable` says
-   * whether a tenant's replica on an engine may make room.
+   * Returns the engine for a load, or undefined if it fits on no engine. `evictable`
+   * returns whether a tenant's replica on an engine may be evicted.
    */
   choose(
     spec: ReplicaSpec,
@@ -22,7 +22,10 @@
   ): Placement | undefined;
 }
 
-/** Idle replicas of an engine, least recently used first, whose unloading makes the load fit. */
+/**
+ * Returns the tenants of evictable replicas, least recently used first, whose eviction makes the
+ * load fit; undefined if it cannot fit.
+ */
 export function findEvictions(
   spec: ReplicaSpec,
   engine: EngineLedger,
@@ -36,17 +39,24 @@
   const evicted: string[] = [];
   for (const replica of idle) {
     evicted.push(replica.spec.tenant);
-    used -= ownBytes(replica.spec, engine, evicted);
+    used -= freedBytes(replica.spec, engine, evicted);
     if (used <= engine.capacityBytes) return evicted;
   }
   return undefined;
 }
 
-/** Memory that goes with a replica: its adapters, and its base model if no other keeps it. */
-function ownBytes(spec: ReplicaSpec, engine: EngineLedger, gone: readonly string[]): number {
+/**
+ * Bytes freed by evicting a replica: its adapters, and its base model if no remaining replica uses
+ * it.
+ */
+function freedBytes(
+  spec: ReplicaSpec,
+  engine: EngineLedger,
+  evictedTenants: readonly string[],
+): number {
   const adapters = spec.adapters.reduce((sum, adapter) => sum + adapter.bytes, 0);
-  const shared = [...engine.replicas.values()].some(
-    (other) => other.spec.model === spec.model && !gone.includes(other.spec.tenant),
+  const isModelShared = [...engine.replicas.values()].some(
+    (other) => other.spec.model === spec.model && !evictedTenants.includes(other.spec.tenant),
   );
-  return shared ? adapters : adapters + spec.modelBytes;
+  return isModelShared ? adapters : adapters + spec.modelBytes;
 }
--- a/src/core/planning.ts
+++ b/src/core/planning.ts
@@ -1,4 +1,4 @@
-/** What a round of planning works on, and what it brings. Types only. */
+/** Input and results of a planning round. Types only. */
 import type { BackendLedger } from './backend-ledger.js';
 import type { PlannedCapacity } from './capacity/copy-quality.js';
 import type { ModelDemand } from './model-demand.js';
@@ -7,22 +7,22 @@
 import type { ModelHostSpec } from './service-configuration.js';
 import type { UnloadTimes } from './unload-times.js';
 
-/** Where a copy of a model's weights lies, nearest first. */
+/** Location of a copy of a model's weights, nearest first. */
 export type CopyPlace = 'memory' | 'disk' | 'store';
 
 /** An order to give. */
 export interface PlannedOrder {
   readonly backend: string;
   readonly order: ModelOrder;
-  /** Expected time until it is carried out. */
+  /** Expected milliseconds until the order is carried out. */
   readonly durationMs: number;
-  /** Where a model that is loaded is copied from; undefined for other orders. */
+  /** Location from which a model is loaded; undefined for other orders. */
   readonly copy: CopyPlace | undefined;
-  /** Why, for the log. */
+  /** Reason for the order, for the log. */
   readonly reason: string;
 }
 
-/** What the planner decides on. */
+/** Input of a planning round. */
 export interface PlanningInput {
   readonly host: ModelHostSpec;
   /** Backends that may be given orders. */
@@ -30,19 +30,25 @@
   readonly demand: ModelDemand;
   readonly policies: Policies;
   readonly now: number;
-  /** Loads from the weight store that may begin now, by their ceiling. */
+  /** Number of loads from the weight store that may start now under the rate ceiling. */
   readonly storeLoads: number;
-  /** Milliseconds until each place for a load from the weight store is free, by the limit of loads at once. */
+  /**
+   * Milliseconds until each slot for a load from the weight store is free, one per allowed
+   * concurrent load.
+   */
   readonly storePlaceWaits: readonly number[];
   readonly unloadTimes: UnloadTimes;
-  /** How fast the backends are; absent if all count as alike. */
+  /** Speeds of the backends; absent if all are treated as equal. */
   readonly capacity?: PlannedCapacity | undefined;
 }
 
-/** Decides on orders and forecasts. An interface: each way to plan is one. */
+/** Plans orders and forecasts; implemented by each planning strategy. */
 export interface LoadPlanner {
-  /** Orders to give now, at most one for each backend. */
+  /** Returns the orders to give now, at most one per backend. */
   plan(input: PlanningInput): PlannedOrder[];
-  /** Milliseconds until awaited models and adapters that nobody holds are expected to be loaded. */
+  /**
+   * Returns the milliseconds until models and adapters that requests wait for, and that no backend
+   * has loaded, are expected to be loaded.
+   */
   forecasts(input: PlanningInput): Map<string, number>;
 }
--- a/src/core/policies.ts
+++ b/src/core/policies.ts
@@ -1,56 +1,84 @@
 /**
- * Policies that operators can switch off by name, so that the worth of each can be
- * measured on their own load. None of them keeps a promise: what does is no policy. Those that
- * settings do not name are as in {@link DEFAULT_POLICIES}. Types and names only.
+ * Policies that operators can switch on or off by name, to measure the benefit of each on their own
+ * load. No guarantee depends on a policy: behaviour that a guarantee needs cannot be switched off.
+ * Policies that the settings do not name have the value in {@link DEFAULT_POLICIES}. Types and
+ * names only.
  */
 
-/** Names of the policies, as the settings spell them. */
+/** Names of the policies, as used in the settings. */
 export const POLICY_NAMES = [
-  /** Loads from the weight store at once are limited to what it carries at full speed, learned. */
+  /**
+   * Concurrent loads from the weight store are limited to the learned number that it serves at full
+   * speed.
+   */
   'storeLoadLimit',
-  /** A caller that comes back after a refusal is not refused again while it can be served. */
+  /** A caller that retries after a refusal is not refused again while it can be served. */
   'keepReturningCallers',
-  /** Loads go by the time at which callers should find their models. */
+  /** Loads are ordered by the time at which callers need their models loaded. */
   'earliestDueFirst',
-  /** Long loads go where they keep the fewest callers from copies at hand. */
+  /**
+   * Long loads go to backends where they delay the fewest callers of models and adapters that could
+   * be loaded quickly.
+   */
   'orderChannelCost',
-  /** A new owner is told of the requests of some time before. */
+  /** Daemons report the recent requests to a new owner. */
   'recallDemand',
-  /** A configuration is proved current by peers, so that the store's calls do not grow with the daemons. */
+  /**
+   * Daemons confirm with peers that a configuration is current, so that calls to the store do not
+   * grow with the number of daemons.
+   */
   'proofsFromPeers',
-  /** A request is held while it will more likely be served than not. */
+  /** A request is held while the probability that it is served exceeds one half. */
   'holdByChance',
-  /** Callers are told when each model that they wait for is expected, not the most urgent ones only. */
+  /**
+   * Load times are forecast for every model that callers wait for, instead of only the most urgent
+   * ones.
+   */
   'forecastAll',
-  /** A copy that relieves full ones counts for all the callers that it takes over, and gets the room made for it. */
+  /**
+   * A copy that relieves crowded ones counts for all callers that it takes over, and memory is
+   * freed for it.
+   */
   'relieveCrowdedCopies',
-  /** Slots of backends are counted over all daemons by one keeper each, which orders those that wait. */
+  /** One keeper per backend counts its slots over all daemons and orders the waiting requests. */
   'sharedSlots',
-  /** Speeds of backends are learned from streams; models and requests go by them. */
+  /** Backend speeds are learned from streams and used to place models and requests. */
   'learnedCapacity',
-  /** A copy is worth what a load would take of the time that its callers can wait. */
+  /**
+   * The worth of a copy depends on the share of its callers' latency goal that a reload would take.
+   */
   'copyWorthByCallers',
-  /** Loads go by how many callers each serves, then by the time at which they should find it. */
+  /**
+   * Loads are ordered by the number of callers that each serves, then by the time at which callers
+   * need the model.
+   */
   'mostCallersFirst',
-  /** Models that lie at no backend are fetched from the weight store before callers come. */
+  /**
+   * Models that are stored at no backend are fetched from the weight store before the first
+   * request.
+   */
   'fetchAhead',
 ] as const;
 
 /**
- * Names that were policies. Settings may still hold them, for an earlier build that reads the same file; they
- * change nothing. `leasedLimits`: a tenant's limit is granted under a lease wherever a tenant has a limit. A
- * promise that can be switched off was broken wherever a settings file did not name it.
+ * Names of former policies. They have no effect, but settings may still contain them for an earlier
+ * build that reads the same file. `leasedLimits`: a tenant's limit is now always granted under a
+ * lease. While this could be switched off, the guarantee was broken wherever a settings file did
+ * not name the policy.
  */
 export const RETIRED_POLICY_NAMES = ['leasedLimits'] as const;
 
-/** A policy's name. */
+/** Name of a policy. */
 export type PolicyName = (typeof POLICY_NAMES)[number];
 
-/** Which policies are on. */
+/** Whether each policy is enabled. */
 export type Policies = Readonly<Record<PolicyName, boolean>>;
 
-/** On only where the settings say so: a deployment that does not name them is served as it was without them. */
-const OFF_UNLESS_NAMED: ReadonlySet<PolicyName> = new Set([
+/**
+ * Enabled only by the settings, so that a deployment that does not name them keeps its previous
+ * behaviour.
+ */
+const OFF_BY_DEFAULT: ReadonlySet<PolicyName> = new Set([
   'forecastAll',
   'relieveCrowdedCopies',
   'sharedSlots',
@@ -60,10 +88,10 @@
   'fetchAhead',
 ]);
 
-/** What holds if the settings say nothing. */
-export const DEFAULT_POLICIES: Policies = policiesOf((name) => !OFF_UNLESS_NAMED.has(name));
+/** Values of policies that the settings do not name. */
+export const DEFAULT_POLICIES: Policies = policiesOf((name) => !OFF_BY_DEFAULT.has(name));
 
-/** One value for each policy. */
+/** Creates a record with one value for each policy. */
 export function policiesOf(value: (name: PolicyName) => boolean): Policies {
   const entries = POLICY_NAMES.map((name) => [name, value(name)] as const);
   return Object.fromEntries(entries) as Record<PolicyName, boolean>;
--- a/src/core/unload-times.ts
+++ b/src/core/unload-times.ts
@@ -1,25 +1,25 @@
 /**
- * How long unloads take, learned from those that were seen: an unload waits for
- * the requests that run, and nobody tells how long they will. Pure.
+ * Expected unload times, learned from observed unloads: an unload waits for the
+ * running requests, whose remaining time is unknown. Pure.
  */
 
 /** Expected time of an unload without running requests, in milliseconds. */
 const IDLE_MS = 100;
-/** Believed of an unload that waits for running requests before any was seen. */
-const FIRST_GUESS_MS = 800;
-/** Weight of the newest unload in the running mean. */
+/** Initial estimate for an unload that waits for running requests. */
+const INITIAL_IN_USE_MS = 800;
+/** Weight of the newest unload in the exponential moving average. */
 const NEWEST_WEIGHT = 0.15;
 
-/** Expected times of unloads. */
+/** Estimates how long unloads take. */
 export class UnloadTimes {
-  private inUseMs = FIRST_GUESS_MS;
+  private inUseMs = INITIAL_IN_USE_MS;
 
-  /** Expected milliseconds; `inUse` if requests for the model run. */
+  /** Expected milliseconds of an unload; `inUse` is whether requests for the model are running. */
   expected(inUse: boolean): number {
     return inUse ? this.inUseMs : IDLE_MS;
   }
 
-  /** An unload that was ordered while requests ran has taken so long. */
+  /** Records how long an unload took that was ordered while requests were running. */
   observeInUse(milliseconds: number): void {
     this.inUseMs += (milliseconds - this.inUseMs) * NEWEST_WEIGHT;
   }
--- a/src/core/waiting-order.ts
+++ b/src/core/waiting-order.ts
@@ -1,27 +1,28 @@
-/** The order in which an owner attends to the models that callers wait for. Pure. */
+/** Orders in which an owner plans loads for the models that callers wait for. Pure. */
 import type { DemandSample } from './demand-report.js';
 import type { Policies } from './policies.js';
 
 /** A model or adapter that callers wait for. */
 export interface AwaitedModel {
   readonly sample: DemandSample;
-  /** Steady milliseconds since when somebody has waited for it. */
+  /** Time since which callers have been waiting for it, in milliseconds of a monotonic clock. */
   readonly since: number;
-  /** Milliseconds since then. */
+  /** Milliseconds for which callers have been waiting. */
   readonly waitedMs: number;
-  /** Milliseconds until the next caller, as many as there were lately, should find it. */
+  /**
+   * Milliseconds until the next caller, predicted from the recent request rate, needs it loaded.
+   */
   readonly nextDueInMs: number;
 }
 
-/** Negative if the first comes before the second. */
+/** Compares two models; negative if the first is planned before the second. */
 export type WaitingOrder = (first: AwaitedModel, second: AwaitedModel) => number;
 
 /**
- * By the time at which the first caller should find the model: one that waits,
- * one that was told to come back, or the next one that is to be expected, so that
- * a model that many ask for does not rest on the promises made to the first of
- * them. A caller whose time has passed is due again some goals later, so that
- * every turn comes.
+ * Orders by the earliest time at which a caller needs the model: a waiting caller, one that
+ * was refused with a time to retry, or the next expected one. The last prevents that a popular
+ * model is delayed because its first callers were given a late retry time. An overdue caller
+ * is due again some goals later, so that no model starves.
  */
 export const earliestDueFirst: WaitingOrder = (first, second) => dueInMs(first) - dueInMs(second);
 
@@ -29,33 +30,33 @@
   return Math.min(sample.dueInMs, nextDueInMs);
 }
 
-/** By the time since when somebody has waited. */
+/** Orders by the time since which callers have been waiting. */
 export const firstComeFirst: WaitingOrder = (first, second) => first.since - second.since;
 
 /**
- * Longest time for which a model is passed over for others with more callers: whoever was told
- * to come back has come by then, and each model that is asked for has its turn.
+ * Milliseconds of waiting after which a model goes before models with more callers, so that no
+ * requested model starves. By then, callers that were refused with a retry time have returned.
  */
-const LONGEST_TURN_MS = 8_000;
+const MAX_PASSED_OVER_MS = 8_000;
 
 /**
- * By how many callers a load serves: where there are fewer loads than models asked for, one
- * serves all who wait for the same. The earliest due goes first among equals, and whoever
- * has been passed over for too long before all.
+ * Orders by the number of callers that a load serves: if fewer loads are possible than models
+ * are requested, one load serves all callers of the same model. Ties go to the earliest due.
+ * A model that has waited for {@link MAX_PASSED_OVER_MS} goes before all others.
  */
 export const mostCallersFirst: WaitingOrder = (first, second) => {
-  const turn = turnMs(second) - turnMs(first);
-  if (turn !== 0) return turn;
+  const overdueDifference = overdueWaitMs(second) - overdueWaitMs(first);
+  if (overdueDifference !== 0) return overdueDifference;
   const callers = second.sample.waiting - first.sample.waiting;
   return callers !== 0 ? callers : earliestDueFirst(first, second);
 };
 
-/** How long its turn has been due; 0 if it is not. */
-function turnMs({ waitedMs }: AwaitedModel): number {
-  return waitedMs < LONGEST_TURN_MS ? 0 : waitedMs;
+/** Milliseconds waited if the model has waited for {@link MAX_PASSED_OVER_MS} or longer; else 0. */
+function overdueWaitMs({ waitedMs }: AwaitedModel): number {
+  return waitedMs < MAX_PASSED_OVER_MS ? 0 : waitedMs;
 }
 
-/** The order that the policies name. */
+/** Returns the order that the policies select. */
 export function waitingOrderOf(policies: Policies): WaitingOrder {
   if (policies.mostCallersFirst) return mostCallersFirst;
   return policies.earliestDueFirst ? earliestDueFirst : firstComeFirst;
--- a/src/core/weighted-choice.ts
+++ b/src/core/weighted-choice.ts
@@ -1,10 +1,10 @@
-/** Smooth weighted round robin: shares follow the weights within a few choices. */
+/** Smooth weighted round robin: the shares match the weights within a few choices. */
 
 interface Weighted {
   readonly weight: number;
 }
 
-/** Chooses among options by weight, deterministically. */
+/** Chooses among options deterministically, in proportion to their weights. */
 export class WeightedChoice<Option extends Weighted> {
   private readonly credit: number[];
   private readonly total: number;
@@ -14,7 +14,7 @@
     this.total = options.reduce((sum, option) => sum + option.weight, 0);
   }
 
-  /** The next option; undefined if no option has a weight. */
+  /** Returns the next option; undefined if no option has a positive weight. */
   next(): Option | undefined {
     let best: number | undefined;
     for (const [index, option] of this.options.entries()) {
@@ -28,12 +28,12 @@
     return this.options[best];
   }
 
-  /** Whether the options are the same as these, in the same order. */
+  /** Whether the given options equal the current ones, in the same order. */
   isSame(options: readonly Option[], same: (a: Option, b: Option) => boolean): boolean {
     if (options.length !== this.options.length) return false;
     return options.every((option, index) => {
-      const own = this.options[index];
-      return own !== undefined && same(option, own);
+      const current = this.options[index];
+      return current !== undefined && same(option, current);
     });
   }
 }
--- a/test/core/copy-worth.test.ts
+++ b/test/core/copy-worth.test.ts
@@ -1,4 +1,7 @@
-/** What a copy is worth by the callers that it serves, which model is loaded next, and what before callers come. */
+/**
+ * Worth of a copy by the callers that it serves, the order of loads, and fetching models ahead of
+ * requests.
+ */
 import { describe, expect, it } from 'vitest';
 import type { Policies } from '../../src/core/policies.js';
 import { ModelDemand } from '../../src/core/model-demand.js';
@@ -15,21 +18,23 @@
 }
 
 describe('the worth of a copy', () => {
-  it('counts callers who leave time for a load by what a load takes of their goal', () => {
+  it('weighs callers with time for a load by the share of their goal that a load takes', () => {
     const victimOf = (policies: Policies): string => {
       const scene = new Scene([ledgerOf('x', ['listed', 'patient'], ['rare1'])], policies, host);
       const asked = waitingFor('patient', { waiting: 0, arrivals: 6, goalMs: 4_000 });
       scene.hear(asked, waitingFor('rare1'));
       return scene.plan()[0]?.order.model ?? '';
     };
-    // Half a request a second: at 400 for one a second it was worth less than what is listed first.
+    // About half a request per second: at a worth of 400 per request a second, the copy was worth
+    // less
+    // than that of the model listed first.
     expect(victimOf(without('copyWorthByCallers'))).toBe('patient');
     expect(victimOf(ON)).toBe('listed');
   });
 });
 
 describe('the order of loads', () => {
-  function awaited(order: typeof mostCallersFirst, waitedMs: number): string[] {
+  function waitingModels(order: typeof mostCallersFirst, waitedMs: number): string[] {
     const demand = new ModelDemand(order);
     const lone = waitingFor('rare1', { waiting: 1, dueInMs: 100 });
     demand.hear({ daemon: 'd1', samples: [lone], use: [], failing: [] }, 0);
@@ -40,14 +45,14 @@
     return demand.waiting(waitedMs).map(({ model }) => model);
   }
 
-  it('serves most callers first', () => {
-    expect(awaited(earliestDueFirst, 0)).toEqual(['rare1', 'rare2']);
-    expect(awaited(mostCallersFirst, 0)).toEqual(['rare2', 'rare1']);
+  it('loads the model with the most waiting callers first', () => {
+    expect(waitingModels(earliestDueFirst, 0)).toEqual(['rare1', 'rare2']);
+    expect(waitingModels(mostCallersFirst, 0)).toEqual(['rare2', 'rare1']);
   });
 
-  it('gives each model that is asked for its turn', () => {
-    expect(awaited(mostCallersFirst, 7_900)).toEqual(['rare2', 'rare1']);
-    expect(awaited(mostCallersFirst, 8_000)).toEqual(['rare1', 'rare2']);
+  it('does not starve a model with few callers', () => {
+    expect(waitingModels(mostCallersFirst, 7_900)).toEqual(['rare2', 'rare1']);
+    expect(waitingModels(mostCallersFirst, 8_000)).toEqual(['rare1', 'rare2']);
   });
 });
 
@@ -58,15 +63,15 @@
     return new Scene([ledgerOf('x', [], held), ledgerOf('y', [])], policies, host);
   }
 
-  it('brings models that lie at no backend while nobody has asked, one by one', () => {
+  it('fetches models that are stored at no backend one at a time before the first request', () => {
     expect(idle(without('fetchAhead')).plan()).toEqual([]);
     const scene = idle(ON);
     expect(brief(scene.planAndAccept())).toEqual([expect.stringContaining('load unheld1')]);
-    // The weight store has one place, and another round does not repeat the first load.
+    // The weight store allows one load at a time, and another round does not repeat the first load.
     expect(brief(scene.plan()).join()).not.toContain('unheld1');
   });
 
-  it('stops once callers have come, and displaces nothing that would have to be fetched again', () => {
+  it('stops after the first request, and evicts no model that would have to be fetched again', () => {
     const asked = idle(ON);
     asked.hear(waitingFor('patient', { waiting: 0 }));
     expect(asked.plan()).toEqual([]);
--- a/test/core/forecasts.test.ts
+++ b/test/core/forecasts.test.ts
@@ -1,4 +1,7 @@
-/** What callers are told of models that nobody holds: all of them, and the truth. */
+/**
+ * Forecasts for models that no backend has loaded: they cover all such models and match the planned
+ * loads.
+ */
 import { describe, expect, it } from 'vitest';
 import { PlacementPublisher } from '../../src/core/placement-publisher.js';
 import type { Policies } from '../../src/core/policies.js';
@@ -9,8 +12,8 @@
 const RARE = Array.from({ length: 200 }, (_, index) => `r${index}`);
 const host = hostOf(RARE);
 
-/** 63 backends, each with copies of a part of the rare models on its disk; callers wait for all. */
-function everybodyWaits(policies: Policies): Scene {
+/** 63 backends, each with a part of the rare models on its disk; callers wait for all models. */
+function sceneWithWaitingCallers(policies: Policies): Scene {
   const ledgers = Array.from({ length: 63 }, (_, index) => {
     const onDisk = RARE.filter((_, model) => model % 63 === index);
     return ledgerOf(`b${index}`, [], onDisk);
@@ -21,24 +24,25 @@
 }
 
 describe('forecasts', () => {
-  it('are told of every model that callers wait for', () => {
-    expect(everybodyWaits(OFF).forecasts().size).toBe(64);
-    expect(everybodyWaits(LOAD_POLICIES).forecasts().size).toBe(RARE.length);
+  it('cover every model that callers wait for', () => {
+    expect(sceneWithWaitingCallers(OFF).forecasts().size).toBe(64);
+    expect(sceneWithWaitingCallers(LOAD_POLICIES).forecasts().size).toBe(RARE.length);
   });
 
-  it('do not count a load that waits for the weight store before the copies at hand', () => {
-    const toldFor = (policies: Policies): number => {
+  it('do not put loads that wait for the weight store before loads from a local disk', () => {
+    const forecastFor = (policies: Policies): number => {
       const scene = new Scene([ledgerOf('x', [], ['r9'])], policies, host);
-      const lost = ['r1', 'r2', 'r3'].map((model) => waitingFor(model, { dueInMs: 100 }));
-      scene.hear(...lost, waitingFor('r9'));
+      const fromStore = ['r1', 'r2', 'r3'].map((model) => waitingFor(model, { dueInMs: 100 }));
+      scene.hear(...fromStore, waitingFor('r9'));
       return scene.forecasts().get('r9') ?? Infinity;
     };
-    // The first of the three takes the store, and the backend, at once; the others wait for the store.
-    expect(toldFor(OFF)).toBeGreaterThan(12_000);
-    expect(toldFor(LOAD_POLICIES)).toBeLessThan(6_000);
+    // The first of the three occupies the weight store and the backend; the others wait for the
+    // store.
+    expect(forecastFor(OFF)).toBeGreaterThan(12_000);
+    expect(forecastFor(LOAD_POLICIES)).toBeLessThan(6_000);
   });
 
-  it('are told again only when they have moved by a share of the time until then', () => {
+  it('are published again only after moving by a share of their remaining time', () => {
     const publisher = new PlacementPublisher('s', 1, 0.15);
     const publish = (readyAt: number, now: number): number => {
       const forecasts = new Map([['r1', readyAt]]);
--- a/test/core/gateway-fixtures.ts
+++ b/test/core/gateway-fixtures.ts
@@ -1,10 +1,10 @@
-/** Models and samples for the tests of the gateway's decisions. */
+/** Models, demand samples and updates for tests of the gateway's decisions. */
 import type { DemandSample } from '../../src/core/demand-report.js';
 import { DEFAULT_POLICIES, type Policies } from '../../src/core/policies.js';
 import type { PlacementUpdate } from '../../src/core/placement-update.js';
 import type { ModelHostSpec, ModelSpec } from '../../src/core/service-configuration.js';
 
-/** A model of the given size. */
+/** Creates a model of the given size. */
 export function modelOf(name: string, megabytes = 70): ModelSpec {
   return {
     name,
@@ -17,7 +17,7 @@
   };
 }
 
-/** Backends with room for two models of the usual size. */
+/** Creates a host specification whose backends have memory for two models of the default size. */
 export function hostOf(models: readonly string[]): ModelHostSpec {
   return {
     slots: 64,
@@ -29,7 +29,7 @@
   };
 }
 
-/** Requests that wait for a model. */
+/** Creates a demand sample of one request that waits for a model. */
 export function waitingFor(model: string, part: Partial<DemandSample> = {}): DemandSample {
   return {
     model,
@@ -42,7 +42,7 @@
   };
 }
 
-/** Everything that the first owner of service "s" tells. */
+/** Creates a full update of the first owner of service "s". */
 export function updateOf(part: Partial<PlacementUpdate> = {}): PlacementUpdate {
   return {
     service: 's',
@@ -59,7 +59,10 @@
   };
 }
 
-/** The policies that a deployment under load names; those whose worth is open are tested apart. */
+/**
+ * Policies of a deployment under load; policies whose benefit is not established yet are tested
+ * separately.
+ */
 export const LOAD_POLICIES: Policies = {
   ...DEFAULT_POLICIES,
   forecastAll: true,
--- a/test/core/placement-at-size.test.ts
+++ b/test/core/placement-at-size.test.ts
@@ -1,4 +1,4 @@
-/** A planning round at the size of the grown deployments stays far below the time between two rounds. */
+/** Bounds the processor time of a planning round at the size of large deployments. */
 import { describe, expect, it } from 'vitest';
 import { BackendLedger } from '../../src/core/backend-ledger.js';
 import { LearnedCapacity } from '../../src/core/capacity/learned-capacity.js';
@@ -12,9 +12,12 @@
 const MODELS = 480;
 const BACKENDS = 100;
 const DAEMONS = 80;
-/** A round is due every 50 ms; a machine of the smallest kind has a third of a core. */
-const LONGEST_ROUND_MS = 100;
-/** The best round counts, in processor time: the machine may be busy, and the first one compiles. */
+/** Rounds are 50 ms apart, and the smallest machines have a third of a core. */
+const MAX_ROUND_CPU_MS = 100;
+/**
+ * The fastest of several rounds is measured, in processor time: the machine may be busy, and the
+ * first round includes compilation.
+ */
 const ROUNDS = 5;
 
 const names = Array.from({ length: MODELS }, (_, index) => `m${index}`);
@@ -40,7 +43,7 @@
   });
 }
 
-function demandOfAll(now: number): ModelDemand {
+function demandOfAllDaemons(now: number): ModelDemand {
   const demand = new ModelDemand();
   for (let daemon = 0; daemon < DAEMONS; daemon++) {
     const samples: DemandSample[] = [];
@@ -60,8 +63,8 @@
   return demand;
 }
 
-/** Least processor time of a round, in milliseconds. */
-function bestRound(input: PlanningInput): number {
+/** Returns the lowest processor time of a round, in milliseconds. */
+function fastestRoundMs(input: PlanningInput): number {
   const rounds = Array.from({ length: ROUNDS }, () => {
     const planner = new PlacementPlanner();
     const before = process.cpuUsage();
@@ -79,7 +82,7 @@
   const input: PlanningInput = {
     host,
     backends: ledgers(),
-    demand: demandOfAll(now),
+    demand: demandOfAllDaemons(now),
     now,
     storeLoads: 1,
     storePlaceWaits: [0],
@@ -87,15 +90,15 @@
     policies: LOAD_POLICIES,
   };
 
-  it('plans for hundreds of waiting models in little time', () => {
-    expect(bestRound(input)).toBeLessThan(LONGEST_ROUND_MS);
+  it('takes little processor time for hundreds of waiting models', () => {
+    expect(fastestRoundMs(input)).toBeLessThan(MAX_ROUND_CPU_MS);
   });
 
-  it('so it does where all models and backends are known to be unequal', () => {
+  it('takes little processor time if all models and backends have different learned speeds', () => {
     const speeds = new Map(input.backends.map(({ id }, index) => [id, 0.5 + (index % 7) / 5]));
     const gaps = new Map(names.map((name, index) => [name, 40 + (index % 11) * 15]));
     const view = new LearnedCapacity({ speeds, gaps, pauseShares: [] });
     const capacity = { view, pauseGoalMs: () => 200 };
-    expect(bestRound({ ...input, capacity })).toBeLessThan(LONGEST_ROUND_MS);
+    expect(fastestRoundMs({ ...input, capacity })).toBeLessThan(MAX_ROUND_CPU_MS);
   });
 });
--- a/test/core/placement-planner.test.ts
+++ b/test/core/placement-planner.test.ts
@@ -2,7 +2,10 @@
 import { waitingFor } from './gateway-fixtures.js';
 import { brief, ledgerOf, reportOf, Scene } from './planner-scene.js';
 
-/** A hot model with one copy of 64 slots and so many requests there, and a rare one that waits. */
+/**
+ * A hot model with one copy of 64 slots and `inFlight` requests, and a rare model with a waiting
+ * request.
+ */
 function hotAndRare(inFlight: number): Scene {
   const scene = new Scene([ledgerOf('x', ['hot']), ledgerOf('y', [])]);
   const asked = waitingFor('hot', { waiting: 0, arrivals: 60, goalMs: 600 });
@@ -13,13 +16,13 @@
 }
 
 describe('PlacementPlanner', () => {
-  it('loads where a copy is at hand', () => {
+  it('loads at a backend that has the weights on disk', () => {
     const scene = new Scene([ledgerOf('x', []), ledgerOf('y', [], ['rare1'])]);
     scene.hear(waitingFor('rare1'));
     expect(brief(scene.plan())).toEqual(['y load rare1']);
   });
 
-  it('waits for the busy backend with the copy rather than load from the store', () => {
+  it('waits for a busy backend with the weights on disk instead of loading from the store', () => {
     const busy = ledgerOf('y', [], ['rare1', 'rare2']);
     const scene = new Scene([ledgerOf('x', []), busy]);
     busy.send({ operation: 'load', model: 'rare2', adapter: undefined });
@@ -33,7 +36,7 @@
     expect(scene.plan()).toEqual([]);
   });
 
-  it('loads from the store where that keeps nobody from copies at hand', () => {
+  it('loads from the store at the backend where no other callers need loads from its disk', () => {
     const scene = new Scene([
       ledgerOf('x', [], ['rare2', 'rare3', 'cool']),
       ledgerOf('y', ['warm']),
@@ -43,14 +46,14 @@
     expect(brief(scene.plan())).toEqual(['y load rare1']);
   });
 
-  it('loads from the store where that keeps nobody from the adapters of a held model', () => {
+  it('loads from the store at the backend where no callers need adapters of a loaded model', () => {
     const scene = new Scene([ledgerOf('a', ['hot']), ledgerOf('b', ['cool'])]);
     const adapters = { model: 'hot', adapter: 'a1', arrivals: 20, waiting: 0 };
     scene.hear(waitingFor('rare1'), waitingFor('hot', adapters));
     expect(scene.plan()).toMatchObject([{ backend: 'b', order: { model: 'rare1' } }]);
   });
 
-  it('forecasts an adapter for the end of the load that keeps its holder busy', () => {
+  it('forecasts an adapter for after the load that occupies the backend with its model', () => {
     const scene = new Scene([ledgerOf('a', ['hot'])]);
     scene.hear(waitingFor('rare1'));
     expect(scene.planAndAccept()).toMatchObject([{ backend: 'a', order: { model: 'rare1' } }]);
@@ -60,26 +63,26 @@
     expect(readyInMs).toBeLessThan(5_000);
   });
 
-  it('gives the place in the weight store to a model whose copies are nearly full, before a rare one', () => {
+  it('loads a model with nearly full copies from the weight store before a rare one', () => {
     const scene = hotAndRare(50);
     expect(brief(scene.planAndAccept())).toEqual(['y load hot']);
-    // The copy that is coming will take its part: no third one.
+    // The copy being loaded will serve a part of the requests, so no third copy is ordered.
     expect(brief(scene.plan())).toEqual(['x load rare1']);
   });
 
-  it('lets the rare one go first while the copies have room', () => {
+  it('loads the rare model first while the copies of the hot one have free slots', () => {
     const scene = hotAndRare(40);
     expect(brief(scene.plan())[0]).toContain('load rare1');
   });
 
-  it('does not order a model twice while it is on its way', () => {
+  it('does not order a model again while it is loading', () => {
     const scene = new Scene([ledgerOf('x', []), ledgerOf('y', [])]);
     scene.hear(waitingFor('rare1'));
     scene.planAndAccept();
     expect(scene.plan()).toEqual([]);
   });
 
-  it('uses the room that was made for the model it was made for', () => {
+  it('uses freed memory for the model for which it was reserved', () => {
     const ledger = ledgerOf('x', ['rare2', 'rare3'], ['rare1', 'warm']);
     const scene = new Scene([ledger]);
     scene.hear(waitingFor('rare1'));
@@ -92,7 +95,7 @@
     expect(brief(scene.plan())).toEqual(['x load rare1']);
   });
 
-  it('keeps to the ceiling of loads from the store also where room was made', () => {
+  it('respects the ceiling of store loads also for a model with reserved memory', () => {
     const ledger = ledgerOf('x', ['rare2', 'rare3']);
     const scene = new Scene([ledger]);
     scene.hear(waitingFor('rare1'));
@@ -106,7 +109,7 @@
     expect(brief(scene.plan(1))).toEqual(['x load rare1']);
   });
 
-  it('does not evict a model that has just been loaded for requests that wait', () => {
+  it('does not evict a model that was just loaded for waiting requests', () => {
     const ledger = ledgerOf('x', ['hot'], ['rare1', 'rare2']);
     const scene = new Scene([ledger]);
     scene.hear(waitingFor('rare1'));
@@ -132,7 +135,7 @@
     expect(brief(scene.plan())).toEqual(['y load hot']);
   });
 
-  it('adds copies of a model whose requests take many slots', () => {
+  it('adds copies of a model whose requests use many slots', () => {
     const ledgers = ['v', 'w', 'x', 'y'].map((id) => ledgerOf(id, id === 'v' ? ['hot'] : []));
     const scene = new Scene(ledgers);
     const use = [{ backend: 'v', model: 'hot', adapter: undefined, inFlight: 60 }];
@@ -142,7 +145,7 @@
     expect(loads.map((orders) => orders.length)).toEqual([1, 1, 1]);
   });
 
-  it('does not take a copy from a model in equal demand that has one more', () => {
+  it('does not evict a copy of a model in equal demand that has one more copy', () => {
     const held = [
       ['hot', 'warm'],
       ['hot', 'warm'],
@@ -156,11 +159,11 @@
     const patient = waitingFor('cool', { waiting: 0, arrivals: 80 });
     const samples = [waitingFor('hot', busy), waitingFor('warm', busy), patient];
     scene.demand.hear({ daemon: 'd', samples, use, failing: [] }, scene.now);
-    // Taken from "hot", the copy would be worth as much there, and so come back.
+    // An evicted copy of "hot" would be worth as much as the new one, and so be loaded again.
     expect(scene.plan()).toEqual([]);
   });
 
-  it('orders no adapter that is loaded already', () => {
+  it('does not order an adapter that is already loaded', () => {
     const ledger = ledgerOf('x', []);
     ledger.adopt(reportOf([], { models: [{ name: 'hot', adapters: ['a1'] }] }), 2_000);
     const scene = new Scene([ledger]);
@@ -168,7 +171,7 @@
     expect(scene.plan()).toEqual([]);
   });
 
-  it('makes room for an adapter only when its places are taken, not while others come', () => {
+  it('unloads an adapter only if all adapter slots are used and none is loading', () => {
     const ledger = ledgerOf('x', []);
     ledger.adopt(reportOf([], { models: [{ name: 'hot', adapters: ['a1'] }] }), 2_000);
     const scene = new Scene([ledger]);
@@ -182,7 +185,7 @@
     expect(brief(scene.plan())).toEqual(['x unload hot/a1']);
   });
 
-  it('loads no model from the store while the ceiling is reached', () => {
+  it('loads no model from the store while the ceiling of store loads is reached', () => {
     const scene = new Scene([ledgerOf('x', [])]);
     scene.hear(waitingFor('rare1'));
     expect(scene.plan(0)).toEqual([]);
--- a/test/core/placement-publisher.test.ts
+++ b/test/core/placement-publisher.test.ts
@@ -40,7 +40,7 @@
 }
 
 describe('PlacementPublisher', () => {
-  it('tells everything once, then only what has changed', () => {
+  it('publishes a full update once, then only changes', () => {
     const publisher = new PlacementPublisher('s', 1);
     const first = publisher.update(stateOf({ x: ['a'], y: ['b'] }), 0);
     expect([first.baseVersion, first.backends.size]).toEqual([undefined, 2]);
@@ -52,7 +52,7 @@
     expect([fourth.baseVersion, fourth.version]).toEqual([third.version, third.version]);
   });
 
-  it('does not repeat forecasts that hardly move, and ends those of loaded models', () => {
+  it('does not republish forecasts that hardly move, and removes those of loaded models', () => {
     const publisher = new PlacementPublisher('s', 1);
     publisher.update(stateOf({}, { a: 2_000 }), 0);
     expect(publisher.update(stateOf({}, { a: 2_100 }), 50).forecasts.size).toBe(0);
@@ -62,7 +62,7 @@
 });
 
 describe('loads', () => {
-  it('are told when they have changed much, and known to every daemon', () => {
+  it('are published when they change by the tolerance, and applied by the daemon', () => {
     const publisher = new PlacementPublisher('s', 1);
     const directory = new BackendDirectory();
     const told = (inFlight: number): number => {
@@ -79,7 +79,7 @@
 });
 
 describe('BackendDirectory', () => {
-  it('follows the updates to the state of the owner', () => {
+  it('reaches the state of the owner by applying its updates', () => {
     const publisher = new PlacementPublisher('s', 1);
     const directory = new BackendDirectory();
     const states = [stateOf({ x: ['a'] }), stateOf({ x: ['b'], y: ['a'] }), stateOf({ y: ['a'] })];
@@ -90,7 +90,7 @@
     expect(holds(directory, 'x', 'b')).toBe(false);
   });
 
-  it('applies no change to a version that it was not made for, and asks for everything', () => {
+  it('reports a gap for changes to a version that it does not have, and applies a full update', () => {
     const publisher = new PlacementPublisher('s', 1);
     const directory = new BackendDirectory();
     directory.hearPlacement(publisher.update(stateOf({ x: ['a'] }), 0), 0);
@@ -102,7 +102,7 @@
     expect([holds(directory, 'x', 'b'), holds(directory, 'y', 'a')]).toEqual([true, true]);
   });
 
-  it('does not go back to a former owner or an earlier version', () => {
+  it('rejects updates of a former owner or an earlier version', () => {
     const directory = new BackendDirectory();
     directory.hearPlacement(updateOf({ epoch: 2, version: 5 }), 0);
     expect(directory.hearPlacement(updateOf({ epoch: 1, version: 9 }), 0)).toBe('outdated');
--- a/test/core/planner-scene.ts
+++ b/test/core/planner-scene.ts
@@ -1,4 +1,4 @@
-/** A planner with backends and demand, for the tests of its decisions. */
+/** Fixture for planner tests: a planner with backends and demand. */
 import { BackendLedger } from '../../src/core/backend-ledger.js';
 import type { BackendUse, DemandSample } from '../../src/core/demand-report.js';
 import { ModelDemand } from '../../src/core/model-demand.js';
@@ -10,10 +10,10 @@
 import { UnloadTimes } from '../../src/core/unload-times.js';
 import { LOAD_POLICIES, hostOf } from './gateway-fixtures.js';
 
-/** What the backends of a scene can load, unless it says otherwise. */
+/** Default host specification of the fixture. */
 export const HOST = hostOf(['hot', 'warm', 'rare1', 'rare2', 'rare3', 'cool']);
 
-/** A backend's report. */
+/** Creates a backend's report. */
 export function reportOf(
   held: readonly string[],
   part: Partial<BackendReport> = {},
@@ -31,7 +31,7 @@
   };
 }
 
-/** A backend that can be given orders. */
+/** Creates the ledger of a backend that is ready for orders. */
 export function ledgerOf(
   id: string,
   held: readonly string[],
@@ -44,7 +44,7 @@
   return ledger;
 }
 
-/** One planner and what it plans on. */
+/** A planner with its input; time is advanced by setting `now`. */
 export class Scene {
   readonly planner = new PlacementPlanner();
   readonly demand = new ModelDemand();
@@ -64,7 +64,7 @@
     this.demand.hear({ daemon: 'd', samples, use, failing: [] }, this.now);
   }
 
-  /** @param storeLoads - Loads that the ceiling allows now. */
+  /** @param storeLoads - Number of loads from the weight store that may start now. */
   plan(storeLoads = 1): PlannedOrder[] {
     return this.planner.plan(this.input(storeLoads));
   }
@@ -87,7 +87,7 @@
     };
   }
 
-  /** Plans, and lets the backends accept. */
+  /** Plans a round, and marks its orders as accepted by the backends. */
   planAndAccept(): PlannedOrder[] {
     const orders = this.plan();
     for (const { backend, order, durationMs } of orders) {
@@ -99,7 +99,7 @@
   }
 }
 
-/** Orders as words. */
+/** Formats orders as "backend operation model/adapter". */
 export function brief(orders: readonly PlannedOrder[]): string[] {
   return orders.map(({ backend, order }) => {
     const adapter = order.adapter === undefined ? '' : `/${order.adapter}`;
