--- a/src/core/adapter-plan.ts
+++ b/src/core/adapter-plan.ts
@@ -16,7 +16,7 @@
 export class AdapterPlan {
   constructor(
     private readonly input: PlanningInput,
-    private readonly places: LoadPlaces,
+    private readonly candidates: LoadPlaces,
   ) {}
 
   /** Returns the backends that have the model loaded. */
@@ -37,7 +37,7 @@
   /** Returns the next order needed to load the adapter; undefined if no order can be given now. */
   next(wanted: ModelReference, holders: readonly BackendLedger[]): PlannedOrder | undefined {
     const usable = holders.filter(
-      (ledger) => ledger.takesAdapterOrder && !this.places.isReserved(ledger.id),
+      (ledger) => ledger.takesAdapterOrder && !this.candidates.isReserved(ledger.id),
     );
     const [target] = usable
       .filter((ledger) => this.hasRoom(ledger, wanted.model))
@@ -56,7 +56,7 @@
    * first.
    */
   readyInMs(holders: readonly BackendLedger[]): number {
-    const waits = holders.map((ledger) => this.places.waitMs(ledger));
+    const waits = holders.map((ledger) => this.candidates.waitMs(ledger));
     return Math.min(...waits) + ADAPTER_LOAD_MS;
   }
 
--- a/src/core/load-place.ts
+++ b/src/core/load-place.ts
@@ -73,7 +73,7 @@
    * Milliseconds until each concurrent load slot of the weight store is free; queued loads take the
    * earliest.
    */
-  private readonly storePlaceWaits: number[];
+  private readonly storeSlotWaitsMs: number[];
 
   constructor(
     private readonly input: PlanningInput,
@@ -83,7 +83,7 @@
       ? new ExpectedCallersCost(input)
       : new FreeOrderChannel();
     this.storeLoads = input.storeLoads;
-    this.storePlaceWaits = [...input.storePlaceWaits];
+    this.storeSlotWaitsMs = [...input.storePlaceWaits];
   }
 
   /** Whether any backend can be given a model order now. */
@@ -105,14 +105,14 @@
   }
 
   /** Counts a load from the weight store that starts now. */
-  useStore(place: LoadPlace): void {
+  useStore(candidate: LoadPlace): void {
     this.storeLoads -= 1;
-    this.occupyStoreSlot(place);
+    this.occupyStoreSlot(candidate);
   }
 
-  private occupyStoreSlot(place: LoadPlace): void {
-    const waits = this.storePlaceWaits;
-    waits[waits.indexOf(Math.min(...waits))] = place.readyInMs;
+  private occupyStoreSlot(candidate: LoadPlace): void {
+    const waits = this.storeSlotWaitsMs;
+    waits[waits.indexOf(Math.min(...waits))] = candidate.readyInMs;
   }
 
   /** Adds queued work to a backend. */
@@ -131,11 +131,11 @@
    * Queues a load that cannot start now. With `forecastAll`, a load that waits for the weight
    * store does not occupy the backend: loads from its disk or host memory go first.
    */
-  queue(place: LoadPlace): void {
-    const isFromStore = place.copy === 'store';
+  queue(candidate: LoadPlace): void {
+    const isFromStore = candidate.copy === 'store';
     const occupiesBackend = !isFromStore || !this.input.policies.forecastAll;
-    if (occupiesBackend) this.addWork(place.ledger.id, place.loadMs);
-    if (isFromStore) this.occupyStoreSlot(place);
+    if (occupiesBackend) this.addWork(candidate.ledger.id, candidate.loadMs);
+    if (isFromStore) this.occupyStoreSlot(candidate);
   }
 
   /**
@@ -149,8 +149,9 @@
     let best: LoadPlace | undefined;
     for (const ledger of this.input.backends) {
       if (ledger.models.has(spec.name) || !suits(ledger.id)) continue;
-      const place = this.at(ledger, spec);
-      if (place !== undefined && (best === undefined || place.cost < best.cost)) best = place;
+      const candidate = this.at(ledger, spec);
+      if (candidate !== undefined && (best === undefined || candidate.cost < best.cost))
+        best = candidate;
     }
     return best;
   }
@@ -161,7 +162,7 @@
   at(ledger: BackendLedger, spec: ModelSpec): LoadPlace | undefined {
     const copy = nearestCopy(ledger, spec.name);
     const isFromStore = copy === 'store';
-    const storeWaitMs = isFromStore ? Math.min(...this.storePlaceWaits) : 0;
+    const storeWaitMs = isFromStore ? Math.min(...this.storeSlotWaitsMs) : 0;
     const victims = this.victimsFor(ledger, spec);
     if (victims === undefined) return undefined;
     const mayStart = !isFromStore || (this.storeLoads > 0 && storeWaitMs === 0);
--- a/src/core/placement-planner.ts
+++ b/src/core/placement-planner.ts
@@ -62,7 +62,7 @@
     round.startReservedLoads();
     round.relieveCrowded();
     for (const wanted of input.demand.waiting(input.now)) {
-      if (!round.places.hasFree()) break;
+      if (!round.candidates.hasFree()) break;
       if (wanted.adapter === undefined) round.planLoad(wanted);
       else round.planAdapterLoad(wanted);
     }
@@ -93,14 +93,14 @@
 class PlanningRound {
   readonly orders: PlannedOrder[] = [];
   readonly worth: ModelWorth;
-  readonly places: LoadPlaces;
+  readonly candidates: LoadPlaces;
 
   constructor(
     private readonly input: PlanningInput,
     private readonly reservations: Map<string, Reservation>,
   ) {
     this.worth = new ModelWorth(input);
-    this.places = new LoadPlaces(input, this.worth);
+    this.candidates = new LoadPlaces(input, this.worth);
   }
 
   /** Starts the loads for which memory was reserved. */
@@ -114,16 +114,16 @@
         continue;
       }
       const { ledger, spec } = resolved;
-      const place = this.places.at(ledger, spec);
+      const candidate = this.candidates.at(ledger, spec);
       // The backend is still freeing memory, or the weight store allows no further load now.
-      if (place !== undefined && !place.isFree) {
-        this.places.reserve(ledger.id);
-        this.places.expect(ledger, spec);
+      if (candidate !== undefined && !candidate.isFree) {
+        this.candidates.reserve(ledger.id);
+        this.candidates.expect(ledger, spec);
         continue;
       }
       this.reservations.delete(model);
       const isNeeded = this.worth.copies(model) <= reservation.copies;
-      if (place !== undefined && isNeeded) this.addLoad(spec, place, reason);
+      if (candidate !== undefined && isNeeded) this.addLoad(spec, candidate, reason);
     }
   }
 
@@ -151,8 +151,8 @@
     for (const [model, { backend }] of this.reservations) {
       const resolved = this.resolveReservation(model, backend);
       if (resolved === undefined) continue;
-      this.places.expect(resolved.ledger, resolved.spec);
-      times.set(model, Math.round(this.places.waitMs(resolved.ledger)));
+      this.candidates.expect(resolved.ledger, resolved.spec);
+      times.set(model, Math.round(this.candidates.waitMs(resolved.ledger)));
     }
     return times;
   }
@@ -171,15 +171,15 @@
   planLoad(wanted: DemandSample): void {
     const spec = modelSpec(this.input.host, wanted.model);
     if (spec === undefined || this.isLoadedOrLoading(wanted.model)) return;
-    const place = this.places.cheapest(spec);
-    if (place === undefined) return;
-    if (place.isFree) this.addLoad(spec, place, 'waiting requests');
-    else this.places.queue(place);
+    const candidate = this.candidates.cheapest(spec);
+    if (candidate === undefined) return;
+    if (candidate.isFree) this.addLoad(spec, candidate, 'waiting requests');
+    else this.candidates.queue(candidate);
   }
 
   /** Orders the load of an adapter at a backend that has its model loaded. */
   planAdapterLoad(wanted: DemandSample): void {
-    const plan = new AdapterPlan(this.input, this.places);
+    const plan = new AdapterPlan(this.input, this.candidates);
     if (plan.isHeldOrComing(wanted)) return;
     const holders = plan.holders(wanted.model);
     if (holders.length === 0) return this.planLoad({ ...wanted, adapter: undefined });
@@ -194,10 +194,10 @@
   forecast(model: string, times: Map<string, number>): void {
     const spec = modelSpec(this.input.host, model);
     if (spec === undefined || this.worth.copies(model) > 0) return;
-    const place = this.places.cheapest(spec);
-    if (place === undefined) return;
-    times.set(model, Math.round(place.readyInMs));
-    this.places.queue(place);
+    const candidate = this.candidates.cheapest(spec);
+    if (candidate === undefined) return;
+    times.set(model, Math.round(candidate.readyInMs));
+    this.candidates.queue(candidate);
   }
 
   /**
@@ -205,7 +205,7 @@
    * model loaded.
    */
   forecastAdapter(wanted: DemandSample, times: Map<string, number>): void {
-    const plan = new AdapterPlan(this.input, this.places);
+    const plan = new AdapterPlan(this.input, this.candidates);
     const holders = plan.holders(wanted.model);
     if (holders.length === 0) return this.forecast(wanted.model, times);
     if (!plan.isHeldOrComing(wanted)) {
@@ -258,11 +258,11 @@
     for (const spec of host.models) {
       const { name } = spec;
       if (storedModels.has(name) || fetched.has(name) || this.isLoadedOrLoading(name)) continue;
-      const place = this.places.cheapest(spec);
-      if (place === undefined || !place.isFree) return;
-      if (!place.victims.every((victim) => storedModels.has(victim))) continue;
+      const candidate = this.candidates.cheapest(spec);
+      if (candidate === undefined || !candidate.isFree) return;
+      if (!candidate.victims.every((victim) => storedModels.has(victim))) continue;
       fetched.add(name);
-      this.addLoad(spec, place, 'on no disk');
+      this.addLoad(spec, candidate, 'on no disk');
     }
   }
 
@@ -276,11 +276,11 @@
     // A copy beyond the wanted number replaces one at a slow backend, so it must go to a good one.
     const isExtra = this.worth.copies(model) >= this.copiesWanted(model);
     const suits = (backend: string): boolean => this.worth.quality.isGood(backend, model);
-    const place = this.places.cheapest(spec, isExtra ? suits : undefined);
-    if (place === undefined || !place.isFree) return false;
-    if (place.displacedWorth * FURTHER_COPY_WORTH_RATIO > this.worth.ofFurtherCopy(model))
+    const candidate = this.candidates.cheapest(spec, isExtra ? suits : undefined);
+    if (candidate === undefined || !candidate.isFree) return false;
+    if (candidate.displacedWorth * FURTHER_COPY_WORTH_RATIO > this.worth.ofFurtherCopy(model))
       return false;
-    this.addLoad(spec, place, reason);
+    this.addLoad(spec, candidate, reason);
     return true;
   }
 
@@ -300,10 +300,10 @@
     return this.reservations.has(model) || this.worth.copies(model) > 0;
   }
 
-  private addLoad(spec: ModelSpec, place: LoadPlace, reason: string): void {
+  private addLoad(spec: ModelSpec, candidate: LoadPlace, reason: string): void {
     const { now } = this.input;
-    const backend = place.ledger.id;
-    const [victim] = place.victims;
+    const backend = candidate.ledger.id;
+    const [victim] = candidate.victims;
     if (victim !== undefined) {
       const until = now + RESERVATION_MS;
       this.reservations.set(spec.name, {
@@ -313,15 +313,15 @@
         copies: this.maxCopiesForReservation(spec),
       });
       const order: ModelOrder = { operation: 'unload', model: victim, adapter: undefined };
-      const durationMs = this.worth.unloadMs(place.ledger, victim);
-      this.places.expect(place.ledger, spec);
+      const durationMs = this.worth.unloadMs(candidate.ledger, victim);
+      this.candidates.expect(candidate.ledger, spec);
       const unloadReason = `room for ${spec.name}: ${reason}`;
       return this.addOrder({ backend, order, durationMs, copy: undefined, reason: unloadReason });
     }
-    if (place.copy === 'store') this.places.useStore(place);
+    if (candidate.copy === 'store') this.candidates.useStore(candidate);
     this.worth.noteLoad(spec.name);
     const order: ModelOrder = { operation: 'load', model: spec.name, adapter: undefined };
-    const { copy, loadMs } = place;
+    const { copy, loadMs } = candidate;
     this.addOrder({ backend, order, durationMs: loadMs, copy, reason });
   }
 
@@ -334,8 +334,8 @@
   }
 
   private addOrder(planned: PlannedOrder): void {
-    this.places.reserve(planned.backend);
-    this.places.addWork(planned.backend, planned.durationMs);
+    this.candidates.reserve(planned.backend);
+    this.candidates.addWork(planned.backend, planned.durationMs);
     this.orders.push(planned);
   }
 }
--- a/test/core/placement/site-replay.ts
+++ b/test/core/placement/site-replay.ts
@@ -33,7 +33,7 @@
 /** A refusal within this share of the goal counts as early. */
 const EARLY_REFUSAL_SHARE = 0.25;
 
-/** Number of requests from which a model counts in `asked` and `neverServed`. */
+/** Number of requests from which a model counts in `frequentModels` and `neverServed`. */
 const FREQUENT_MODEL_REQUESTS = 4;
 
 /** Kind of request. */
