--- a/src/core/adapter-plan.ts
+++ b/src/core/adapter-plan.ts
@@ -25,25 +25,25 @@
   }
 
   /** Whether any backend has the adapter loaded and is not unloading it, or is loading it. */
-  isHeldOrComing(wanted: ModelReference): boolean {
-    const key = adapterKey(wanted);
+  isHeldOrComing(requested: ModelReference): boolean {
+    const key = adapterKey(requested);
     return this.input.backends.some((ledger) => {
       const { sent } = ledger;
       const isSent = sent?.operation === 'load' && adapterKey(sent) === key;
-      return isSent || ledger.comingAdapters.has(key) || keepsAdapter(ledger, wanted);
+      return isSent || ledger.comingAdapters.has(key) || keepsAdapter(ledger, requested);
     });
   }
 
   /** Returns the next order needed to load the adapter; undefined if no order can be given now. */
-  next(wanted: ModelReference, holders: readonly BackendLedger[]): PlannedOrder | undefined {
+  next(requested: ModelReference, holders: readonly BackendLedger[]): PlannedOrder | undefined {
     const usable = holders.filter(
       (ledger) => ledger.takesAdapterOrder && !this.candidates.isReserved(ledger.id),
     );
     const [target] = usable
-      .filter((ledger) => this.hasRoom(ledger, wanted.model))
+      .filter((ledger) => this.hasRoom(ledger, requested.model))
       .sort((a, b) => a.usedAdapterSlots() - b.usedAdapterSlots());
     if (target !== undefined) {
-      const { model, adapter } = wanted;
+      const { model, adapter } = requested;
       const order: ModelOrder = { operation: 'load', model, adapter };
       return toPlannedOrder(target, order, ADAPTER_LOAD_MS, 'adapter waits');
     }
@@ -90,8 +90,8 @@
   );
 }
 
-function keepsAdapter(ledger: BackendLedger, wanted: ModelReference): boolean {
-  const { model, adapter } = wanted;
+function keepsAdapter(ledger: BackendLedger, requested: ModelReference): boolean {
+  const { model, adapter } = requested;
   const order = ledger.currentOrder;
   const isLeaving =
     order?.operation === 'unload' && order.model === model && order.adapter === adapter;
--- a/src/core/model-demand.ts
+++ b/src/core/model-demand.ts
@@ -27,12 +27,12 @@
 
 interface Rate extends ModelReference {
   urgent: number;
-  patient: number;
+  delayTolerant: number;
   /**
    * Shortest latency goal of requests with time for a load, in milliseconds; undefined if there
    * were none.
    */
-  patientGoalMs: number | undefined;
+  delayTolerantGoalMs: number | undefined;
   /** Time of the last decay of the values; reading them also decays them. */
   updatedAt: number;
   /** Arrival time of the last request. */
@@ -213,7 +213,7 @@
 
   /** Smoothed rate of requests per second whose latency goal leaves time for a load. */
   patientRate(reference: ModelReference, now: number): number {
-    return this.decayed(reference, now)?.patient ?? 0;
+    return this.decayed(reference, now)?.delayTolerant ?? 0;
   }
 
   /**
@@ -221,7 +221,7 @@
    * such request.
    */
   patientGoalMs(reference: ModelReference): number | undefined {
-    return this.rates.get(adapterKey(reference))?.patientGoalMs;
+    return this.rates.get(adapterKey(reference))?.delayTolerantGoalMs;
   }
 
   private recordArrivals(
@@ -236,8 +236,8 @@
     rate.arrivedAt = now;
     if (urgent) rate.urgent += impulse;
     else {
-      rate.patient += impulse;
-      rate.patientGoalMs = Math.min(sample.goalMs, rate.patientGoalMs ?? Infinity);
+      rate.delayTolerant += impulse;
+      rate.delayTolerantGoalMs = Math.min(sample.goalMs, rate.delayTolerantGoalMs ?? Infinity);
     }
     this.rates.set(adapterKey(reference), rate);
   }
@@ -247,7 +247,7 @@
     if (rate === undefined) return undefined;
     const factor = 0.5 ** ((now - rate.updatedAt) / RATE_HALF_LIFE_MS);
     rate.urgent *= factor;
-    rate.patient *= factor;
+    rate.delayTolerant *= factor;
     rate.updatedAt = now;
     return rate;
   }
@@ -309,8 +309,8 @@
     model,
     adapter,
     urgent: 0,
-    patient: 0,
-    patientGoalMs: undefined,
+    delayTolerant: 0,
+    delayTolerantGoalMs: undefined,
     updatedAt: now,
     arrivedAt: now,
   };
--- a/src/core/model-worth.ts
+++ b/src/core/model-worth.ts
@@ -9,13 +9,13 @@
  * load.
  */
 const WORTH_PER_URGENT_RATE = 4_000;
-const WORTH_PER_PATIENT_RATE = 400;
+const WORTH_PER_DELAY_TOLERANT_RATE = 400;
 /** Additional worth of the only copy of a model that requests are waiting for. */
 const WORTH_OF_AWAITED_COPY = 4_000;
 /**
  * Worth of the model listed first in the configuration; operators list their busiest models first.
  */
-const LISTED_FIRST_WORTH = 600;
+const WORTH_OF_FIRST_LISTED = 600;
 /** Milliseconds after a load during which the model may not have been used yet. */
 const NEWLY_LOADED_MS = 900;
 const WORTH_OF_NEWLY_LOADED = 8_000;
@@ -30,7 +30,7 @@
 export class ModelWorth {
   private readonly awaited: ReadonlySet<string>;
   private readonly copyCounts: Map<string, number>;
-  private readonly fullCounts: Map<string, number>;
+  private readonly effectiveCounts: Map<string, number>;
   /** Cache: urgent requests per second by model. */
   private readonly urgentRates = new Map<string, number>();
   /** Quality of copies by the backend that has them. */
@@ -41,7 +41,7 @@
     this.awaited = new Set(waiting.map((sample) => sample.model));
     this.quality = new CopyQuality(input.capacity, input.backends, input.now);
     this.copyCounts = countCopies(input.backends, () => 1);
-    this.fullCounts = countCopies(input.backends, (ledger, model) =>
+    this.effectiveCounts = countCopies(input.backends, (ledger, model) =>
       this.quality.ofCopy(ledger, model),
     );
   }
@@ -55,13 +55,13 @@
    * Like {@link copies}, but a copy at a backend that suits the model badly counts only in part.
    */
   fullCopies(model: string): number {
-    return this.fullCounts.get(model) ?? 0;
+    return this.effectiveCounts.get(model) ?? 0;
   }
 
   /** Counts a copy whose load was ordered in this round. */
   noteLoad(model: string): void {
     this.copyCounts.set(model, this.copies(model) + 1);
-    this.fullCounts.set(model, this.fullCopies(model) + 1);
+    this.effectiveCounts.set(model, this.fullCopies(model) + 1);
   }
 
   /**
@@ -90,14 +90,17 @@
   /** Cost of losing the copy at a backend, in milliseconds. */
   ofCopy(ledger: BackendLedger, model: string): number {
     const { demand, now } = this.input;
-    const patient = demand.patientRate(reference(model), now) * this.patientWorth(model);
-    const prior = LISTED_FIRST_WORTH / (1 + modelRank(this.input.host, model));
-    const lasting = this.urgentRate(model) * WORTH_PER_URGENT_RATE + patient + prior;
-    const lost = this.shareOf(ledger, model);
-    const awaited = this.copies(model) <= 1 && this.awaited.has(model) ? WORTH_OF_AWAITED_COPY : 0;
+    const tolerantWorth =
+      demand.patientRate(reference(model), now) * this.delayTolerantWorth(model);
+    const listedWorth = WORTH_OF_FIRST_LISTED / (1 + modelRank(this.input.host, model));
+    const lastingWorth =
+      this.urgentRate(model) * WORTH_PER_URGENT_RATE + tolerantWorth + listedWorth;
+    const lostShare = this.shareOf(ledger, model);
+    const awaitedWorth =
+      this.copies(model) <= 1 && this.awaited.has(model) ? WORTH_OF_AWAITED_COPY : 0;
     const loadedAt = ledger.models.get(model)?.loadedAt ?? -Infinity;
-    const fresh = now - loadedAt < NEWLY_LOADED_MS ? WORTH_OF_NEWLY_LOADED : 0;
-    return lost * lasting + awaited + fresh;
+    const newlyLoadedWorth = now - loadedAt < NEWLY_LOADED_MS ? WORTH_OF_NEWLY_LOADED : 0;
+    return lostShare * lastingWorth + awaitedWorth + newlyLoadedWorth;
   }
 
   /**
@@ -116,12 +119,12 @@
    * goal that a reload and the preceding unload take. If callers request more models than fit
    * in memory, each evicted copy is soon loaded again, and its callers wait.
    */
-  private patientWorth(model: string): number {
+  private delayTolerantWorth(model: string): number {
     const { demand, host, policies, unloadTimes } = this.input;
-    if (!policies.copyWorthByCallers) return WORTH_PER_PATIENT_RATE;
+    if (!policies.copyWorthByCallers) return WORTH_PER_DELAY_TOLERANT_RATE;
     const goalMs = demand.patientGoalMs(reference(model));
     const spec = modelSpec(host, model);
-    if (goalMs === undefined || spec === undefined) return WORTH_PER_PATIENT_RATE;
+    if (goalMs === undefined || spec === undefined) return WORTH_PER_DELAY_TOLERANT_RATE;
     const reloadMs = 1_000 * spec.diskLoadSeconds + unloadTimes.expected(true);
     return WORTH_PER_URGENT_RATE * Math.min(1, reloadMs / goalMs);
   }
@@ -132,8 +135,8 @@
    */
   ofFurtherCopy(model: string): number {
     const copies = this.fullCopies(model);
-    const sharers = this.isNeeded(model, copies) ? copies + 1 : (copies + 1) ** 2;
-    return (this.urgentRate(model) * WORTH_PER_URGENT_RATE) / sharers;
+    const divisor = this.isNeeded(model, copies) ? copies + 1 : (copies + 1) ** 2;
+    return (this.urgentRate(model) * WORTH_PER_URGENT_RATE) / divisor;
   }
 
   /**
--- a/src/core/placement-planner.ts
+++ b/src/core/placement-planner.ts
@@ -61,10 +61,10 @@
     const round = new PlanningRound(input, this.reservations);
     round.startReservedLoads();
     round.relieveCrowded();
-    for (const wanted of input.demand.waiting(input.now)) {
+    for (const sample of input.demand.waiting(input.now)) {
       if (!round.candidates.hasFree()) break;
-      if (wanted.adapter === undefined) round.planLoad(wanted);
-      else round.planAdapterLoad(wanted);
+      if (sample.adapter === undefined) round.planLoad(sample);
+      else round.planAdapterLoad(sample);
     }
     round.addCopy();
     round.fetchAhead(this.fetched);
@@ -80,10 +80,10 @@
     const round = new PlanningRound(input, this.reservations);
     const times = round.forecastReserved();
     const maxForecasts = input.policies.forecastAll ? MAX_FORECASTS : MAX_URGENT_FORECASTS;
-    for (const wanted of input.demand.waiting(input.now)) {
+    for (const sample of input.demand.waiting(input.now)) {
       if (times.size >= maxForecasts) break;
-      if (wanted.adapter !== undefined) round.forecastAdapter(wanted, times);
-      else if (!times.has(wanted.model)) round.forecast(wanted.model, times);
+      if (sample.adapter !== undefined) round.forecastAdapter(sample, times);
+      else if (!times.has(sample.model)) round.forecast(sample.model, times);
     }
     return times;
   }
@@ -168,9 +168,9 @@
    * Orders the load of a model that no backend has loaded, or the unload that must come first, or
    * queues the load.
    */
-  planLoad(wanted: DemandSample): void {
-    const spec = modelSpec(this.input.host, wanted.model);
-    if (spec === undefined || this.isLoadedOrLoading(wanted.model)) return;
+  planLoad(sample: DemandSample): void {
+    const spec = modelSpec(this.input.host, sample.model);
+    if (spec === undefined || this.isLoadedOrLoading(sample.model)) return;
     const candidate = this.candidates.cheapest(spec);
     if (candidate === undefined) return;
     if (candidate.isFree) this.addLoad(spec, candidate, 'waiting requests');
@@ -178,12 +178,12 @@
   }
 
   /** Orders the load of an adapter at a backend that has its model loaded. */
-  planAdapterLoad(wanted: DemandSample): void {
+  planAdapterLoad(sample: DemandSample): void {
     const plan = new AdapterPlan(this.input, this.candidates);
-    if (plan.isHeldOrComing(wanted)) return;
-    const holders = plan.holders(wanted.model);
-    if (holders.length === 0) return this.planLoad({ ...wanted, adapter: undefined });
-    const planned = plan.next(wanted, holders);
+    if (plan.isHeldOrComing(sample)) return;
+    const holders = plan.holders(sample.model);
+    if (holders.length === 0) return this.planLoad({ ...sample, adapter: undefined });
+    const planned = plan.next(sample, holders);
     if (planned !== undefined) this.addOrder(planned);
   }
 
@@ -204,12 +204,12 @@
    * Adds the time at which an adapter will be loaded, or that of its model if no backend has the
    * model loaded.
    */
-  forecastAdapter(wanted: DemandSample, times: Map<string, number>): void {
+  forecastAdapter(sample: DemandSample, times: Map<string, number>): void {
     const plan = new AdapterPlan(this.input, this.candidates);
-    const holders = plan.holders(wanted.model);
-    if (holders.length === 0) return this.forecast(wanted.model, times);
-    if (!plan.isHeldOrComing(wanted)) {
-      times.set(adapterKey(wanted), Math.round(plan.readyInMs(holders)));
+    const holders = plan.holders(sample.model);
+    if (holders.length === 0) return this.forecast(sample.model, times);
+    if (!plan.isHeldOrComing(sample)) {
+      times.set(adapterKey(sample), Math.round(plan.readyInMs(holders)));
     }
   }
 
--- a/src/core/placement-publisher.ts
+++ b/src/core/placement-publisher.ts
@@ -68,11 +68,11 @@
    */
   update(state: PlacementState, now: number): PlacementUpdate {
     this.storeLoadLimit = state.storeLoadLimit;
-    const changedBackends = this.takeBackends(state);
+    const changedBackends = this.applyBackends(state);
     const removedBackends = removeMissing(this.backends, state.backends);
-    const changedForecasts = this.takeForecasts(state, now);
+    const changedForecasts = this.applyForecasts(state, now);
     const removedForecasts = removeMissing(this.forecasts, state.forecasts);
-    const changedLoads = this.takeLoads(state);
+    const changedLoads = this.applyLoads(state);
     const capacity = this.capacity.take(state.capacity);
     const changes = [
       changedLoads,
@@ -85,16 +85,27 @@
     if (baseVersion === 0) return this.firstUpdate(now);
     const isChanged = changes.some((names) => names.length > 0);
     if (isChanged || capacity !== undefined) this.version += 1;
-    const told = this.told(changedBackends, changedForecasts, changedLoads, now);
-    return { ...told, baseVersion, removedBackends, removedForecasts, capacity };
+    const content = this.contentOf(changedBackends, changedForecasts, changedLoads, now);
+    return { ...content, baseVersion, removedBackends, removedForecasts, capacity };
   }
 
   /** Returns a full update, for a daemon that missed an update. */
   everything(now: number): PlacementUpdate {
     const { backends, forecasts, loads } = this;
-    const told = this.told([...backends.keys()], [...forecasts.keys()], [...loads.keys()], now);
+    const content = this.contentOf(
+      [...backends.keys()],
+      [...forecasts.keys()],
+      [...loads.keys()],
+      now,
+    );
     const capacity = this.capacity.everything();
-    return { ...told, baseVersion: undefined, removedBackends: [], removedForecasts: [], capacity };
+    return {
+      ...content,
+      baseVersion: undefined,
+      removedBackends: [],
+      removedForecasts: [],
+      capacity,
+    };
   }
 
   private firstUpdate(now: number): PlacementUpdate {
@@ -102,7 +113,7 @@
     return this.everything(now);
   }
 
-  private takeBackends(state: PlacementState): string[] {
+  private applyBackends(state: PlacementState): string[] {
     const changed: string[] = [];
     for (const [backend, models] of state.backends) {
       const fingerprint = fingerprintOf(models);
@@ -113,24 +124,24 @@
     return changed;
   }
 
-  private takeForecasts(state: PlacementState, now: number): string[] {
+  private applyForecasts(state: PlacementState, now: number): string[] {
     const changed: string[] = [];
     for (const [model, readyAt] of state.forecasts) {
-      const told = this.forecasts.get(model);
+      const published = this.forecasts.get(model);
       const share = (readyAt - now) * this.forecastToleranceShare;
       const tolerance = Math.max(FORECAST_TOLERANCE_MS, share);
-      if (told !== undefined && Math.abs(told - readyAt) < tolerance) continue;
+      if (published !== undefined && Math.abs(published - readyAt) < tolerance) continue;
       this.forecasts.set(model, readyAt);
       changed.push(model);
     }
     return changed;
   }
 
-  private takeLoads(state: PlacementState): string[] {
+  private applyLoads(state: PlacementState): string[] {
     const changed: string[] = [];
     for (const [backend, inFlight] of state.loads) {
-      const told = this.loads.get(backend) ?? 0;
-      if (Math.abs(told - inFlight) < state.loadTolerance) continue;
+      const published = this.loads.get(backend) ?? 0;
+      if (Math.abs(published - inFlight) < state.loadTolerance) continue;
       this.loads.set(backend, inFlight);
       changed.push(backend);
     }
@@ -138,7 +149,7 @@
     return changed;
   }
 
-  private told(
+  private contentOf(
     backends: readonly string[],
     forecasts: readonly string[],
     loads: readonly string[],
--- a/test/core/copy-worth.test.ts
+++ b/test/core/copy-worth.test.ts
@@ -21,8 +21,8 @@
   it('weighs callers with time for a load by the share of their goal that a load takes', () => {
     const victimOf = (policies: Policies): string => {
       const scene = new Scene([ledgerOf('x', ['listed', 'patient'], ['rare1'])], policies, host);
-      const asked = waitingFor('patient', { waiting: 0, arrivals: 6, goalMs: 4_000 });
-      scene.hear(asked, waitingFor('rare1'));
+      const recentDemand = waitingFor('patient', { waiting: 0, arrivals: 6, goalMs: 4_000 });
+      scene.hear(recentDemand, waitingFor('rare1'));
       return scene.plan()[0]?.order.model ?? '';
     };
     // About half a request per second: at a worth of 400 per request a second, the copy was worth
@@ -36,11 +36,11 @@
 describe('the order of loads', () => {
   function waitingModels(order: typeof mostCallersFirst, waitedMs: number): string[] {
     const demand = new ModelDemand(order);
-    const lone = waitingFor('rare1', { waiting: 1, dueInMs: 100 });
-    demand.hear({ daemon: 'd1', samples: [lone], use: [], failing: [] }, 0);
+    const single = waitingFor('rare1', { waiting: 1, dueInMs: 100 });
+    demand.hear({ daemon: 'd1', samples: [single], use: [], failing: [] }, 0);
     demand.waiting(0);
     const many = waitingFor('rare2', { waiting: 3, dueInMs: 2_000 });
-    demand.hear({ daemon: 'd1', samples: [lone], use: [], failing: [] }, waitedMs);
+    demand.hear({ daemon: 'd1', samples: [single], use: [], failing: [] }, waitedMs);
     demand.hear({ daemon: 'd2', samples: [many], use: [], failing: [] }, waitedMs);
     return demand.waiting(waitedMs).map(({ model }) => model);
   }
@@ -72,9 +72,9 @@
   });
 
   it('stops after the first request, and evicts no model that would have to be fetched again', () => {
-    const asked = idle(ON);
-    asked.hear(waitingFor('patient', { waiting: 0 }));
-    expect(asked.plan()).toEqual([]);
+    const scene = idle(ON);
+    scene.hear(waitingFor('patient', { waiting: 0 }));
+    expect(scene.plan()).toEqual([]);
     const full = new Scene([ledgerOf('x', ['listed', 'patient'])], ON, host);
     expect(full.plan()).toEqual([]);
   });
--- a/test/core/gateway-policies.test.ts
+++ b/test/core/gateway-policies.test.ts
@@ -164,9 +164,9 @@
 });
 
 describe('CallerDeadlines', () => {
-  const deadlinesOf = (...seen: number[]): CallerDeadlines => {
+  const deadlinesOf = (...observed: number[]): CallerDeadlines => {
     const deadlines = new CallerDeadlines();
-    for (const deadline of seen) deadlines.note(deadline);
+    for (const deadline of observed) deadlines.note(deadline);
     return deadlines;
   };
 
--- a/test/core/placement-planner.test.ts
+++ b/test/core/placement-planner.test.ts
@@ -8,9 +8,9 @@
  */
 function hotAndRare(inFlight: number): Scene {
   const scene = new Scene([ledgerOf('x', ['hot']), ledgerOf('y', [])]);
-  const asked = waitingFor('hot', { waiting: 0, arrivals: 60, goalMs: 600 });
+  const recentDemand = waitingFor('hot', { waiting: 0, arrivals: 60, goalMs: 600 });
   const use = [{ backend: 'x', model: 'hot', adapter: undefined, inFlight }];
-  const samples = [asked, waitingFor('rare1')];
+  const samples = [recentDemand, waitingFor('rare1')];
   scene.demand.hear({ daemon: 'd', samples, use, failing: [] }, scene.now);
   return scene;
 }
@@ -41,8 +41,10 @@
       ledgerOf('x', [], ['rare2', 'rare3', 'cool']),
       ledgerOf('y', ['warm']),
     ]);
-    const asked = ['rare2', 'rare3', 'cool'].map((model) => waitingFor(model, { waiting: 0 }));
-    scene.hear(waitingFor('rare1'), ...asked);
+    const recentDemand = ['rare2', 'rare3', 'cool'].map((model) =>
+      waitingFor(model, { waiting: 0 }),
+    );
+    scene.hear(waitingFor('rare1'), ...recentDemand);
     expect(brief(scene.plan())).toEqual(['y load rare1']);
   });
 
--- a/test/core/placement-publisher.test.ts
+++ b/test/core/placement-publisher.test.ts
@@ -15,8 +15,8 @@
     return [backend, placed] as const;
   });
   const loads = new Map<string, number>();
-  const told = { backends: new Map(backends), forecasts: new Map(Object.entries(forecasts)) };
-  return { ...told, loads, storeLoadLimit: 7, loadTolerance: 2 };
+  const placements = { backends: new Map(backends), forecasts: new Map(Object.entries(forecasts)) };
+  return { ...placements, loads, storeLoadLimit: 7, loadTolerance: 2 };
 }
 
 function backend(id: string): BackendRecord {
@@ -65,14 +65,20 @@
   it('are published when they change by the tolerance, and applied by the daemon', () => {
     const publisher = new PlacementPublisher('s', 1);
     const directory = new BackendDirectory();
-    const told = (inFlight: number): number => {
+    const publishLoad = (inFlight: number): number => {
       const state = { ...stateOf({ x: ['a'] }), loads: new Map([['x', inFlight]]) };
       const update = publisher.update(state, 0);
       directory.hearPlacement(update, 0);
       return update.loads.size;
     };
-    expect([told(0), told(1), told(5), told(6), told(0)]).toEqual([0, 0, 1, 0, 1]);
-    told(7);
+    expect([
+      publishLoad(0),
+      publishLoad(1),
+      publishLoad(5),
+      publishLoad(6),
+      publishLoad(0),
+    ]).toEqual([0, 0, 1, 0, 1]);
+    publishLoad(7);
     expect(directory.loadOf(backend('x'), 0)).toBe(7);
     expect(directory.loadOf(backend('y'), 0)).toBe(0);
   });
--- a/test/core/placement/site-replay.ts
+++ b/test/core/placement/site-replay.ts
@@ -170,7 +170,7 @@
   readonly refusedEarly: boolean;
   readonly waiting: WaitingCaller;
   readonly deadlineAt: number;
-  told?: number;
+  forecastReadyAt?: number;
 }
 
 /** Simulation of one site with one set of policies. */
@@ -203,9 +203,9 @@
   constructor(
     private readonly site: ReplaySite,
     private readonly callers: readonly RecordedCaller[],
-    private readonly way: ReplayWay,
+    private readonly variant: ReplayWay,
   ) {
-    this.demand = new ModelDemand(waitingOrderOf(way.policies));
+    this.demand = new ModelDemand(waitingOrderOf(variant.policies));
     this.hold = new GoalWindowHold();
     this.backends = site.backends.map(
       ({ held, onDisk }, index) => new ReplayBackend(`b${index}`, held, onDisk),
@@ -221,9 +221,11 @@
       if (isCounted) this.busyMs += STEP_MS * this.backends.filter(({ order }) => order).length;
     }
     this.outcome.busyShare = this.busyMs / (lastAt * this.backends.length);
-    const asked = [...this.requestCounts].filter(([, count]) => count >= FREQUENT_MODEL_REQUESTS);
-    this.outcome.asked = asked.length;
-    this.outcome.neverServed = asked.filter(([model]) => !this.served.has(model)).length;
+    const frequent = [...this.requestCounts].filter(
+      ([, count]) => count >= FREQUENT_MODEL_REQUESTS,
+    );
+    this.outcome.asked = frequent.length;
+    this.outcome.neverServed = frequent.filter(([model]) => !this.served.has(model)).length;
     this.outcome.toldTooEarlyMs.sort((a, b) => a - b);
     return this.outcome;
   }
@@ -335,7 +337,7 @@
   }
 
   private note(attempt: Attempt, firstPartAt: number): void {
-    const { caller, hasComeBack, refusedEarly, at, told } = attempt;
+    const { caller, hasComeBack, refusedEarly, at, forecastReadyAt } = attempt;
     const { kind } = caller;
     const counted = this.kindOf(kind);
     const inGoal = firstPartAt - at <= kind.goalMs;
@@ -344,7 +346,7 @@
     else if (hasComeBack && refusedEarly && inGoal) counted.cameBack += 1;
     else counted.late += 1;
     this.served.set(caller.model, (this.served.get(caller.model) ?? 0) + 1);
-    if (told !== undefined) this.outcome.toldTooEarlyMs.push(this.now - told);
+    if (forecastReadyAt !== undefined) this.outcome.toldTooEarlyMs.push(this.now - forecastReadyAt);
   }
 
   /** Decides whether to hold a request; false if it is refused. */
@@ -361,7 +363,7 @@
     const { goalMs } = kind;
     const decision = this.hold.decide({ goalMs, waitedMs, remainingMs, readyInMs, hasComeBack });
     if (decision.type === 'hold') {
-      if (readyInMs !== undefined) attempt.told ??= this.now + readyInMs;
+      if (readyInMs !== undefined) attempt.forecastReadyAt ??= this.now + readyInMs;
       return true;
     }
     if (readyInMs === undefined) this.outcome.refusedWithoutForecast += 1;
@@ -450,7 +452,7 @@
       host,
       backends: this.backends.map(({ ledger }) => ledger),
       demand: this.demand,
-      policies: this.way.policies,
+      policies: this.variant.policies,
       now: this.now,
       storeLoads: free,
       storePlaceWaits: [...Array<number>(free).fill(0), ...ends],
@@ -462,10 +464,10 @@
     this.lastRound = this.now;
     this.isRoundDue = false;
     this.report();
-    for (const planned of this.way.planner.plan(this.input())) this.begin(planned);
-    const told = this.way.planner.forecasts(this.input());
+    for (const planned of this.variant.planner.plan(this.input())) this.begin(planned);
+    const readyTimes = this.variant.planner.forecasts(this.input());
     this.forecasts = new Map(
-      [...told].map(([model, readyInMs]) => [model.replace(/\/$/, ''), this.now + readyInMs]),
+      [...readyTimes].map(([model, readyInMs]) => [model.replace(/\/$/, ''), this.now + readyInMs]),
     );
   }
 
--- a/test/core/placement/ways.test.ts
+++ b/test/core/placement/ways.test.ts
@@ -47,8 +47,8 @@
 
 function play(policies: Policies): ReplayOutcome[] {
   return SEEDS.map((seed) => {
-    const way = { policies, planner: new PlacementPlanner() };
-    return new SiteReplay(recordedSite(seed, BACKENDS), callers, way).play();
+    const variant = { policies, planner: new PlacementPlanner() };
+    return new SiteReplay(recordedSite(seed, BACKENDS), callers, variant).play();
   });
 }
 
@@ -80,22 +80,22 @@
     return `${inGoal} / ${cameBack} / ${late} / ${refused}`;
   });
   const loads = `${sumOf(outcomes, ({ loads }) => loads)}, ${sumOf(outcomes, ({ storeLoads }) => storeLoads)}`;
-  const never = sumOf(outcomes, ({ neverServed }) => neverServed);
+  const neverServedCount = sumOf(outcomes, ({ neverServed }) => neverServed);
   const withoutForecast = sumOf(outcomes, ({ refusedWithoutForecast }) => refusedWithoutForecast);
-  return `| ${[name, ...kinds, withoutForecast, loads, never].join(' | ')} |`;
+  return `| ${[name, ...kinds, withoutForecast, loads, neverServedCount].join(' | ')} |`;
 }
 
 describe('placement policies on recorded requests', () => {
   it('keep the share of requests served, give each refusal a forecast, and starve few models', () => {
     const played = VARIANTS.map(([name, policies]) => [name, play(policies)] as const);
     console.info(played.map(([name, outcomes]) => row(name, outcomes)).join('\n'));
-    const [before, ...ways] = played.map(([, outcomes]) => outcomes);
-    const full = ways[ADDED_POLICIES.length - 1] ?? [];
+    const [before, ...variants] = played.map(([, outcomes]) => outcomes);
+    const full = variants[ADDED_POLICIES.length - 1] ?? [];
     const gain = (kind: string): number =>
       share(kindOf(full, kind)) - share(kindOf(before ?? [], kind));
     // Results of the same requests with other seeds differ by 2 in 100.
     for (const kind of ['urgent', 'short', 'patient']) expect(gain(kind)).toBeGreaterThan(-0.02);
-    for (const outcomes of ways) {
+    for (const outcomes of variants) {
       expect(sumOf(outcomes, ({ refusedWithoutForecast }) => refusedWithoutForecast)).toBe(0);
     }
     for (const { asked, neverServed } of full) {
