--- a/src/core/placement-planner.ts
+++ b/src/core/placement-planner.ts
@@ -74,7 +74,7 @@
   /**
    * Returns the milliseconds until models and adapters that requests wait for, and that no backend
    * has loaded, are expected to be loaded. Models without waiting requests are left out: their
-   * forecasts would change all the time, and the first request for one includes it.
+   * forecasts would change all the time, and a model is included once a request waits for it.
    */
   forecasts(input: PlanningInput): Map<string, number> {
     const round = new PlanningRound(input, this.reservations);
