--- a/test/core/placement-publisher.test.ts
+++ b/test/core/placement-publisher.test.ts
@@ -15,8 +15,8 @@
     return [backend, placed] as const;
   });
   const loads = new Map<string, number>();
-  const told = { backends: new Map(backends), forecasts: new Map(Object.entries(forecasts)) };
-  return { ...told, loads, storeLoadLimit: 7, loadTolerance: 2 };
+  const placements = { backends: new Map(backends), forecasts: new Map(Object.entries(forecasts)) };
+  return { ...placements, loads, storeLoadLimit: 7, loadTolerance: 2 };
 }
 
 function backend(id: string): BackendRecord {
@@ -40,7 +40,7 @@
 }
 
 describe('PlacementPublisher', () => {
-  it('tells everything once, then only what has changed', () => {
+  it('publishes a full update once, then only changes', () => {
     const publisher = new PlacementPublisher('s', 1);
     const first = publisher.update(stateOf({ x: ['a'], y: ['b'] }), 0);
     expect([first.baseVersion, first.backends.size]).toEqual([undefined, 2]);
@@ -52,7 +52,7 @@
     expect([fourth.baseVersion, fourth.version]).toEqual([third.version, third.version]);
   });
 
-  it('does not repeat forecasts that hardly move, and ends those of loaded models', () => {
+  it('does not republish forecasts that hardly move, and removes those of loaded models', () => {
     const publisher = new PlacementPublisher('s', 1);
     publisher.update(stateOf({}, { a: 2_000 }), 0);
     expect(publisher.update(stateOf({}, { a: 2_100 }), 50).forecasts.size).toBe(0);
@@ -62,24 +62,30 @@
 });
 
 describe('loads', () => {
-  it('are told when they have changed much, and known to every daemon', () => {
+  it('are published when they change by the tolerance, and applied by the daemon', () => {
     const publisher = new PlacementPublisher('s', 1);
     const directory = new BackendDirectory();
-    const told = (inFlight: number): number => {
+    const publishLoad = (inFlight: number): number => {
       const state = { ...stateOf({ x: ['a'] }), loads: new Map([['x', inFlight]]) };
       const update = publisher.update(state, 0);
       directory.hearPlacement(update, 0);
       return update.loads.size;
     };
-    expect([told(0), told(1), told(5), told(6), told(0)]).toEqual([0, 0, 1, 0, 1]);
-    told(7);
+    expect([
+      publishLoad(0),
+      publishLoad(1),
+      publishLoad(5),
+      publishLoad(6),
+      publishLoad(0),
+    ]).toEqual([0, 0, 1, 0, 1]);
+    publishLoad(7);
     expect(directory.loadOf(backend('x'), 0)).toBe(7);
     expect(directory.loadOf(backend('y'), 0)).toBe(0);
   });
 });
 
 describe('BackendDirectory', () => {
-  it('follows the updates to the state of the owner', () => {
+  it('reaches the state of the owner by applying its updates', () => {
     const publisher = new PlacementPublisher('s', 1);
     const directory = new BackendDirectory();
     const states = [stateOf({ x: ['a'] }), stateOf({ x: ['b'], y: ['a'] }), stateOf({ y: ['a'] })];
@@ -90,7 +96,7 @@
     expect(holds(directory, 'x', 'b')).toBe(false);
   });
 
-  it('applies no change to a version that it was not made for, and asks for everything', () => {
+  it('reports a gap for changes to a version that it does not have, and applies a full update', () => {
     const publisher = new PlacementPublisher('s', 1);
     const directory = new BackendDirectory();
     directory.hearPlacement(publisher.update(stateOf({ x: ['a'] }), 0), 0);
@@ -102,7 +108,7 @@
     expect([holds(directory, 'x', 'b'), holds(directory, 'y', 'a')]).toEqual([true, true]);
   });
 
-  it('does not go back to a former owner or an earlier version', () => {
+  it('rejects updates of a former owner or an earlier version', () => {
     const directory = new BackendDirectory();
     directory.hearPlacement(updateOf({ epoch: 2, version: 5 }), 0);
     expect(directory.hearPlacement(updateOf({ epoch: 1, version: 9 }), 0)).toBe('outdated');
