--- a/src/core/adapter-plan.ts
+++ b/src/core/adapter-plan.ts
@@ -2,7 +2,7 @@
  * Chooses the backend that loads an adapter, and the adapter to unload when there is no room. Pure.
  */
 import { adapterKey, modelSpec, type BackendLedger } from './backend-ledger.js';
-import type { LoadPlaces } from './load-place.js';
+import type { LoadCandidates } from './load-candidates.js';
 import type { ModelOrder } from './model-order.js';
 import type { PlannedOrder, PlanningInput } from './planning.js';
 import type { ModelReference } from './service-configuration.js';
@@ -16,7 +16,7 @@
 export class AdapterPlan {
   constructor(
     private readonly input: PlanningInput,
-    private readonly candidates: LoadPlaces,
+    private readonly candidates: LoadCandidates,
   ) {}
 
   /** Returns the backends that have the model loaded. */
@@ -25,19 +25,22 @@
   }
 
   /** Whether any backend has the adapter loaded and is not unloading it, or is loading it. */
-  isHeldOrComing(requested: ModelReference): boolean {
+  isLoadedOrLoading(requested: ModelReference): boolean {
     const key = adapterKey(requested);
     return this.input.backends.some((ledger) => {
       const { sent } = ledger;
       const isSent = sent?.operation === 'load' && adapterKey(sent) === key;
-      return isSent || ledger.comingAdapters.has(key) || keepsAdapter(ledger, requested);
+      return isSent || ledger.loadingAdapters.has(key) || keepsAdapter(ledger, requested);
     });
   }
 
   /** Returns the next order needed to load the adapter; undefined if no order can be given now. */
-  next(requested: ModelReference, holders: readonly BackendLedger[]): PlannedOrder | undefined {
+  nextOrder(
+    requested: ModelReference,
+    holders: readonly BackendLedger[],
+  ): PlannedOrder | undefined {
     const usable = holders.filter(
-      (ledger) => ledger.takesAdapterOrder && !this.candidates.isReserved(ledger.id),
+      (ledger) => ledger.canSendAdapterOrder && !this.candidates.isReserved(ledger.id),
     );
     const [target] = usable
       .filter((ledger) => this.hasRoom(ledger, requested.model))
@@ -47,7 +50,7 @@
       const order: ModelOrder = { operation: 'load', model, adapter };
       return toPlannedOrder(target, order, ADAPTER_LOAD_MS, 'adapter waits');
     }
-    if (usable.some((ledger) => ledger.comingAdapters.size > 0)) return undefined;
+    if (usable.some((ledger) => ledger.loadingAdapters.size > 0)) return undefined;
     return this.unloadLeastUsedAdapter(usable);
   }
 
@@ -63,7 +66,7 @@
   private hasRoom(ledger: BackendLedger, model: string): boolean {
     const { host } = this.input;
     const size = modelSpec(host, model)?.adapterMegabytes ?? 0;
-    if (ledger.comingAdapters.size >= MAX_LOADING_ADAPTERS) return false;
+    if (ledger.loadingAdapters.size >= MAX_LOADING_ADAPTERS) return false;
     if (ledger.usedAdapterSlots() >= host.adapterSlots) return false;
     return ledger.usedMegabytes(host) + size <= host.megabytes;
   }
@@ -75,7 +78,7 @@
     for (const ledger of holders) {
       for (const candidate of adaptersOf(ledger)) {
         if (demand.inFlight(ledger.id, candidate, now) > 0) continue;
-        const rate = demand.urgentRate(candidate, now) + demand.patientRate(candidate, now);
+        const rate = demand.urgentRate(candidate, now) + demand.delayTolerantRate(candidate, now);
         if (best !== undefined && rate >= best.rate) continue;
         best = { ledger, order: { operation: 'unload', ...candidate }, rate };
       }
--- a/src/core/admission/told-failures.ts
+++ b/src/core/admission/failure-rate.ts
@@ -11,13 +11,13 @@
 const ASSUMED_SUCCESSES = 2;
 
 /** Exponentially decaying counts of one backend's finished and failed requests. */
-export class ToldFailures {
+export class FailureRate {
   private results = 0;
   private failures = 0;
   private updatedAt = 0;
 
   /** Records the result of a request at the backend. */
-  note(hasFailed: boolean, now: number): void {
+  recordResult(hasFailed: boolean, now: number): void {
     const decayFactor = this.decayFactor(now);
     this.results = this.results * decayFactor + 1;
     this.failures = this.failures * decayFactor + (hasFailed ? 1 : 0);
@@ -25,7 +25,7 @@
   }
 
   /** Returns the fraction of failed requests, from 0 to 1. */
-  share(now: number): number {
+  rate(now: number): number {
     const decayFactor = this.decayFactor(now);
     return (this.failures * decayFactor) / (this.results * decayFactor + ASSUMED_SUCCESSES);
   }
@@ -36,7 +36,7 @@
 }
 
 /** Converts a failure rate in per mille, as messages carry it, to a fraction. Invalid values yield 0. */
-export function shareOfPerMille(perMille: number): number {
+export function fractionOfPerMille(perMille: number): number {
   const isShare = Number.isFinite(perMille) && perMille >= 0 && perMille <= 1_000;
   return isShare ? perMille / 1_000 : 0;
 }
--- a/src/core/admission/holder-silence.ts
+++ b/src/core/admission/holder-contact.ts
@@ -18,7 +18,7 @@
 const INDEPENDENT_AFTER_MS = 2_500;
 
 /** One daemon's contact with the holder of one name. */
-export class HolderSilence {
+export class HolderContact {
   private lastReplyAt = -Infinity;
   /** When the first reply was requested that has not arrived; undefined if none is outstanding. */
   private waitingSince: number | undefined;
@@ -26,20 +26,20 @@
   private unacknowledgedUnits = 0;
 
   /** Records units that are reported to the holder. Returns whether to request an acknowledgment. */
-  tell(units: number, now: number): boolean {
+  recordReported(units: number, now: number): boolean {
     this.unacknowledgedUnits += units;
     const needsAcknowledgment = now - this.lastReplyAt >= ACKNOWLEDGMENT_PERIOD_MS;
-    if (needsAcknowledgment) this.ask(now);
+    if (needsAcknowledgment) this.recordReplyRequested(now);
     return needsAcknowledgment;
   }
 
   /** Records that a reply was requested from the holder. */
-  ask(now: number): void {
+  recordReplyRequested(now: number): void {
     this.waitingSince ??= now;
   }
 
   /** Records a message from a holder that has a lease. */
-  hear(now: number): void {
+  recordReply(now: number): void {
     this.lastReplyAt = now;
     this.waitingSince = undefined;
     this.unacknowledgedUnits = 0;
@@ -51,13 +51,13 @@
    * @param units - Units of the current request.
    * @param share - Maximum number of units between two replies: this daemon's equal share of the limit.
    */
-  isHeard(units: number, share: number, now: number): boolean {
+  isResponsive(units: number, share: number, now: number): boolean {
     const isOverdue = this.waitingSince !== undefined && now - this.waitingSince > REPLY_TIMEOUT_MS;
     return !isOverdue && this.unacknowledgedUnits + units <= share;
   }
 
   /** Returns whether this daemon may use its own share without the holder. */
-  mayCountAlone(now: number): boolean {
+  mayUseOwnShare(now: number): boolean {
     return this.waitingSince !== undefined && now - this.waitingSince >= INDEPENDENT_AFTER_MS;
   }
 }
--- a/src/core/admission/holder-lease.ts
+++ b/src/core/admission/holder-lease.ts
@@ -13,13 +13,13 @@
 import type { ShareMember } from './limit-shares.js';
 
 /** Duration of a lease from the sending of its request. Two consecutive renewals may go unanswered. */
-export const HOLD_MS = 1_000;
+export const LEASE_MS = 1_000;
 /** Time until the requesting daemon uses units that the holder granted at the very end of its lease. */
 const GRANT_IN_TRANSIT_MS = 200;
 /** Covers differences in clock speed and the time between the check of the lease and the grant. */
 const CLOCK_MARGIN_MS = 50;
 /** Duration for which a voter's vote binds it. It is kept short because a successor has to wait for its end. */
-export const WORD_MS = HOLD_MS + GRANT_IN_TRANSIT_MS + CLOCK_MARGIN_MS;
+export const VOTE_MS = LEASE_MS + GRANT_IN_TRANSIT_MS + CLOCK_MARGIN_MS;
 /**
  * Numbers of voters for a name, largest first; a group of six tolerates two failures. The numbers
  * are even: if two groups differ by one voter, any majority of one still shares a voter with any
@@ -30,7 +30,7 @@
 const MAX_VOTES = 10_000;
 
 /** A holder's request for a vote. */
-export interface LeaseQuestion {
+export interface LeaseRequest {
   /** Name of the leased resource. */
   readonly name: string;
   readonly holder: string;
@@ -49,23 +49,23 @@
 }
 
 /** A holder that had this voter's vote before, possibly an earlier process at the same address. */
-export interface FormerHolder {
+export interface PreviousHolder {
   readonly holder: string;
   /** Maximum number of units that it can have granted to itself, by its last request. */
   readonly ownCeiling: number;
 }
 
 /** A voter's reply to a request. */
-export interface LeaseAnswer {
+export interface LeaseVote {
   readonly isGiven: boolean;
   /** Milliseconds for which the voter has voted for no other holder. The voter knows nothing from before its own start. */
   readonly soleMs: number;
   /** The previous holder, or undefined if there was none or its record has expired. */
-  readonly former: FormerHolder | undefined;
+  readonly former: PreviousHolder | undefined;
 }
 
 /** Returns the addresses of the voters for a name, spread over as many zones as possible. */
-export function keepersOf(name: string, candidates: readonly ShareMember[]): string[] {
+export function votersOf(name: string, candidates: readonly ShareMember[]): string[] {
   const zoneOf = new Map(candidates.map(({ address, zone }) => [address, zone]));
   const ranked = rankCandidates(`keeper/${name}`, [...zoneOf.keys()]);
   const size = VOTER_COUNTS.find((count) => count <= ranked.length) ?? ranked.length;
@@ -89,14 +89,14 @@
   readonly sentAt: number;
   readonly ownCeiling: number;
   readonly voters: readonly string[];
-  readonly votes: Map<string, LeaseAnswer>;
+  readonly votes: Map<string, LeaseVote>;
 }
 
 /** What the voters report about the time before a lease. */
 export interface LeaseHistory {
   /** Milliseconds for which no other daemon can have had the lease, by the votes. */
   readonly soleMs: number;
-  readonly formers: readonly FormerHolder[];
+  readonly previousHolders: readonly PreviousHolder[];
 }
 
 /** The lease on one name, on the holder's side. */
@@ -108,10 +108,15 @@
   private majoritySequence = -Infinity;
 
   /** Records a request that is sent now. Votes on earlier requests still count, each for its own request. */
-  ask(sequence: number, ownCeiling: number, voters: readonly string[], now: number): void {
+  recordRequest(
+    sequence: number,
+    ownCeiling: number,
+    voters: readonly string[],
+    now: number,
+  ): void {
     this.lastSentAt = now;
     for (const [earlier, { sentAt }] of this.pendingRequests) {
-      if (now - sentAt > HOLD_MS) this.pendingRequests.delete(earlier);
+      if (now - sentAt > LEASE_MS) this.pendingRequests.delete(earlier);
     }
     this.pendingRequests.set(sequence, { sentAt: now, ownCeiling, voters, votes: new Map() });
   }
@@ -120,22 +125,22 @@
    * Records a voter's reply. Returns the history of the lease once a majority has voted for the same
    * request, and again with each further vote for it; before that, undefined.
    */
-  hear(voter: string, sequence: number, vote: LeaseAnswer): LeaseHistory | undefined {
+  recordVote(voter: string, sequence: number, vote: LeaseVote): LeaseHistory | undefined {
     const request = this.pendingRequests.get(sequence);
     if (request === undefined || !request.voters.includes(voter)) return undefined;
     if (!vote.isGiven) return undefined;
     request.votes.set(voter, vote);
     const votes = [...request.votes.values()];
     if (votes.length < majorityOf(request.voters.length)) return undefined;
-    this.proof.prove(request.sentAt);
+    this.proof.add(request.sentAt);
     this.majoritySequence = Math.max(this.majoritySequence, sequence);
     const formers = votes.flatMap(({ former }) => (former === undefined ? [] : [former]));
-    return { soleMs: Math.min(...votes.map(({ soleMs }) => soleMs)), formers };
+    return { soleMs: Math.min(...votes.map(({ soleMs }) => soleMs)), previousHolders: formers };
   }
 
   /** Returns whether the holder may grant units now. Call it in the same event loop turn as the grant. */
-  holds(now: number): boolean {
-    return this.ageMs(now) <= HOLD_MS;
+  isHeld(now: number): boolean {
+    return this.ageMs(now) <= LEASE_MS;
   }
 
   /** Returns the milliseconds since the newest granted request was sent; infinite if there is none. */
@@ -155,7 +160,7 @@
   }
 
   /** Returns whether a request sent within the last `withinMs` milliseconds has a ceiling of at least `units`. */
-  hasAskedFor(units: number, withinMs: number, now: number): boolean {
+  hasRequested(units: number, withinMs: number, now: number): boolean {
     const { pendingRequests } = this;
     return [...pendingRequests.values()].some(
       ({ sentAt, ownCeiling }) => now - sentAt < withinMs && ownCeiling >= units,
@@ -163,7 +168,7 @@
   }
 
   /** Returns the milliseconds since the last request was sent. */
-  sinceAskedMs(now: number): number {
+  sinceRequestMs(now: number): number {
     return now - this.lastSentAt;
   }
 
@@ -176,7 +181,7 @@
   }
 }
 
-interface RecordedVote extends LeaseQuestion {
+interface RecordedVote extends LeaseRequest {
   sequence: number;
   ownCeiling: number;
   /** When the vote was last given or renewed. */
@@ -185,11 +190,11 @@
   exclusiveSince: number;
   /** Whether the holder has given the vote back; it then no longer binds the voter. */
   isReleased: boolean;
-  former: FormerHolder | undefined;
+  former: PreviousHolder | undefined;
 }
 
 /** The votes of one voter. */
-export class LeaseKeeper {
+export class LeaseVoter {
   private readonly votes = new Map<string, RecordedVote>();
 
   /**
@@ -208,11 +213,11 @@
    * @param isOnlyVoter - Whether the holder is the only voter. An earlier process of its own has then
    *   ended, so the wait after the start is unnecessary.
    */
-  answer(request: LeaseQuestion, now: number, isOnlyVoter = false): LeaseAnswer {
+  handleRequest(request: LeaseRequest, now: number, isOnlyVoter = false): LeaseVote {
     const vote = this.votes.get(request.name);
-    const isWithinStartupWait = now - this.startedAt < WORD_MS && !isOnlyVoter;
+    const isWithinStartupWait = now - this.startedAt < VOTE_MS && !isOnlyVoter;
     const isForOtherHolder = vote !== undefined && vote.holder !== request.holder;
-    const isBinding = isForOtherHolder && !vote.isReleased && now - vote.givenAt < WORD_MS;
+    const isBinding = isForOtherHolder && !vote.isReleased && now - vote.givenAt < VOTE_MS;
     if (isWithinStartupWait || isBinding || !this.hasCapacityFor(request.name, now)) {
       return { isGiven: false, soleMs: 0, former: undefined };
     }
@@ -227,11 +232,7 @@
     vote.isReleased = true;
   }
 
-  private record(
-    request: LeaseQuestion,
-    vote: RecordedVote | undefined,
-    now: number,
-  ): RecordedVote {
+  private record(request: LeaseRequest, vote: RecordedVote | undefined, now: number): RecordedVote {
     const { holder, process, sequence, ownCeiling } = request;
     if (vote !== undefined && vote.holder === holder && vote.process === process) {
       vote.sequence = Math.max(vote.sequence, sequence);
--- a/src/core/admission/limit-ledger.ts
+++ b/src/core/admission/limit-ledger.ts
@@ -67,7 +67,7 @@
    *
    * @param unseen - Units that a previous holder admitted for itself beyond its share. No daemon reports them.
    */
-  countFrom(now: number, unseen: number): void {
+  restartFrom(now: number, unseen: number): void {
     this.startedAt = now;
     this.reported = this.admitted.total(now);
     if (unseen > 0) this.admitted.add(unseen, now);
@@ -86,7 +86,7 @@
   }
 
   /** Counts units that a daemon reports for the window that ends now. They replace assumed usage. */
-  recall(units: number, now: number): void {
+  countReported(units: number, now: number): void {
     this.admitted.add(units, now);
     this.reported += units;
   }
@@ -100,7 +100,7 @@
     const isPaced = used + units > capacity * PACING_THRESHOLD;
     // A request larger than the burst is admitted by a full bucket; otherwise it would never be admitted.
     const needed = Math.min(units, this.limit.burst * this.view.share);
-    if (isPaced && !this.bucket.holds(needed, now)) {
+    if (isPaced && !this.bucket.hasUnits(needed, now)) {
       return { type: 'over_limit', retryAfterMs: this.bucket.waitMs(now, needed) };
     }
     this.count(units, now);
@@ -108,7 +108,7 @@
   }
 
   /** Returns whether requests need the holder's decision before they are admitted. */
-  isTight(now: number): boolean {
+  requiresApproval(now: number): boolean {
     const usedFraction = this.used(now) / Math.max(1, this.capacity());
     this.isNearLimit =
       usedFraction >= (this.isNearLimit ? APPROVAL_RELEASE_THRESHOLD : APPROVAL_THRESHOLD);
@@ -145,6 +145,6 @@
 
   private waitForUnitsMs(units: number, now: number): number {
     const allowed = this.capacity() - units - this.assumedUnits(now);
-    return this.admitted.untilAtMost(Math.max(0, allowed), now);
+    return this.admitted.msUntilAtMost(Math.max(0, allowed), now);
   }
 }
--- a/src/core/admission/limit-shares.ts
+++ b/src/core/admission/limit-shares.ts
@@ -27,14 +27,14 @@
  * A daemon loses its share if it has not renewed its entry in the platform's store for this long. Some time later the other
  * daemons may divide the limits without it.
  */
-export const RENEWAL_LAPSES_MS = 1_800_000;
+export const RENEWAL_EXPIRY_MS = 1_800_000;
 /** Time from the start of a process for which the store entry of the daemon's previous process stays valid. */
-export const KEPT_ENTRY_MS = 20_000;
+export const PREVIOUS_ENTRY_VALID_MS = 20_000;
 /** Time for which a member's reply is valid at a daemon that has not read the store since its start. */
-export const MEMBER_ANSWER_MS = 1_000;
+export const MEMBER_REPLY_VALID_MS = 1_000;
 
 /** Returns whether no change of the record is in progress. */
-export function isClosed({ members, next }: ShareRecord): boolean {
+export function isSettled({ members, next }: ShareRecord): boolean {
   return sameMembers(members, next);
 }
 
@@ -68,23 +68,23 @@
   }
 
   /** Whether this process has read the store since its start, with or without a record in it. */
-  get isRead(): boolean {
+  get hasReadStore(): boolean {
     return this.hasRead;
   }
 
   /** Records a record read from the store. Returns whether it is newer than the known one. */
-  read(record: ShareRecord): boolean {
+  recordStored(record: ShareRecord): boolean {
     this.hasRead = true;
     return this.adopt(record);
   }
 
   /** Records that the store holds no record yet. */
-  readNothing(): void {
+  recordAbsent(): void {
     this.hasRead = true;
   }
 
   /** Records a record announced by another daemon. Returns whether it was accepted as newer than the known one. */
-  hear(record: ShareRecord): boolean {
+  recordAnnounced(record: ShareRecord): boolean {
     return this.hasRead && this.adopt(record);
   }
 
@@ -93,17 +93,17 @@
    * it may use the record for {@link MEMBER_REPLY_VALID_MS} from the sending of the request. Returns whether the record is newer
    * than the known one.
    */
-  hearMember(record: ShareRecord, askedAt: number): boolean {
+  recordMemberReply(record: ShareRecord, askedAt: number): boolean {
     if (this.hasRead || (this.known !== undefined && record.number < this.known.number)) {
-      return this.hear(record);
+      return this.recordAnnounced(record);
     }
-    this.memberReply.prove(askedAt);
+    this.memberReply.add(askedAt);
     return this.adopt(record);
   }
 
   /** Records that the store has acknowledged a renewal of this daemon's entry that was sent at `askedAt`. */
-  renewed(askedAt: number): void {
-    this.renewal.prove(askedAt);
+  recordRenewal(askedAt: number): void {
+    this.renewal.add(askedAt);
   }
 
   /** Gives up this daemon's share for a planned stop. */
@@ -115,30 +115,30 @@
    * Returns whether this daemon may use the record: its own share without a holder, and as a holder the shares of all daemons
    * that it sees.
    */
-  mayCount(now: number): boolean {
+  mayUseShare(now: number): boolean {
     if (this.hasLeft || !this.sharers.has(this.self)) return false;
-    if (!this.hasRead) return this.memberReply.ageMs(now) <= MEMBER_ANSWER_MS;
-    return this.renewal.ageMs(now) <= RENEWAL_LAPSES_MS;
+    if (!this.hasRead) return this.memberReply.ageMs(now) <= MEMBER_REPLY_VALID_MS;
+    return this.renewal.ageMs(now) <= RENEWAL_EXPIRY_MS;
   }
 
   /** Returns whether daemons that have not read the store may use the record from this daemon. */
-  mayTell(now: number): boolean {
-    return this.hasRead && this.mayCount(now);
+  mayAnnounce(now: number): boolean {
+    return this.hasRead && this.mayUseShare(now);
   }
 
   /** Returns the fraction of each limit that this daemon may use without a holder, from 0 to 1. */
   ownShare(now: number): number {
-    return this.mayCount(now) ? this.share : 0;
+    return this.mayUseShare(now) ? this.share : 0;
   }
 
   /** The fraction of each limit that each daemon with a share has by the record, from 0 to 1. */
-  get usualShare(): number {
+  get sharePerMember(): number {
     return this.share;
   }
 
   /** Returns the fraction of each limit that this daemon may grant on behalf of `sharers` daemons with a share, from 0 to 1. */
-  sumOf(sharers: number, now: number): number {
-    return this.mayCount(now) ? sharers * this.share : 0;
+  combinedShare(sharers: number, now: number): number {
+    return this.mayUseShare(now) ? sharers * this.share : 0;
   }
 
   /** Returns whether a daemon has a share by the record. */
--- a/src/core/admission/permit-ledger.ts
+++ b/src/core/admission/permit-ledger.ts
@@ -47,7 +47,7 @@
   }
 
   /** Empties the bucket, because the previous holder may just have granted a full burst. */
-  countFrom(now: number): void {
+  restartFrom(now: number): void {
     this.bucket.setRate(this.rate, 0, now);
     this.bucket.setRate(this.rate, this.burst, now);
   }
@@ -57,18 +57,18 @@
   }
 
   /** Does nothing: the bucket starts empty, which covers permits granted before. */
-  recall(): void {}
+  countReported(): void {}
 
   admit(units: number, now: number): LimitDecision {
     // A burst reduced to this holder's share may be smaller than one request.
-    if (this.bucket.holds(Math.min(units, this.burst), now)) {
+    if (this.bucket.hasUnits(Math.min(units, this.burst), now)) {
       this.bucket.spend(units, now);
       return { type: 'granted' };
     }
     return { type: 'over_limit', retryAfterMs: this.assignRetryDelayMs(units, now) };
   }
 
-  isTight(): boolean {
+  requiresApproval(): boolean {
     return true;
   }
 
--- a/src/core/admission/rate-ledger.ts
+++ b/src/core/admission/rate-ledger.ts
@@ -36,15 +36,15 @@
    *
    * @param unseen - Units that a previous holder admitted for itself beyond its share. No daemon reports them.
    */
-  countFrom(now: number, unseen: number): void;
+  restartFrom(now: number, unseen: number): void;
   /** Counts units that were admitted without the holder's decision. Negative units are returned ones. */
   count(units: number, now: number): void;
   /** Counts units that a daemon reports as admitted in the window that ends now. */
-  recall(units: number, now: number): void;
+  countReported(units: number, now: number): void;
   /** Admits a request, or returns a delay after which to retry. */
   admit(units: number, now: number): LimitDecision;
   /** Returns whether requests need the holder's decision before they are admitted. */
-  isTight(now: number): boolean;
+  requiresApproval(now: number): boolean;
   /** Returns the units in use, for log lines. */
   used(now: number): number;
   /** Returns the maximum number of units that the holder grants, for log lines. */
--- a/src/core/admission/share-changes.ts
+++ b/src/core/admission/share-changes.ts
@@ -4,9 +4,9 @@
  * the new share. Pure; times are milliseconds of the steady clock.
  */
 import {
-  KEPT_ENTRY_MS,
-  MEMBER_ANSWER_MS,
-  isClosed,
+  PREVIOUS_ENTRY_VALID_MS,
+  MEMBER_REPLY_VALID_MS,
+  isSettled,
   sameMembers,
   sortMembers,
 } from './limit-shares.js';
@@ -20,9 +20,9 @@
  * Delay between the last member's reply and the completion of a change. After it, no daemon uses an older record any longer
  * that a member has sent in a reply.
  */
-const COMPLETION_DELAY_MS = MEMBER_ANSWER_MS + 300;
+const COMPLETION_DELAY_MS = MEMBER_REPLY_VALID_MS + 300;
 /** The same delay if a member has stopped: it may have restarted just before under the entry of its previous process. */
-const COMPLETION_DELAY_AFTER_STOP_MS = KEPT_ENTRY_MS + 5_000;
+const COMPLETION_DELAY_AFTER_STOP_MS = PREVIOUS_ENTRY_VALID_MS + 5_000;
 
 /** The coordinator's view of the group. */
 export interface ShareChangeView {
@@ -52,14 +52,14 @@
   private allKnowSince: number | undefined;
 
   /** Records the number of the record that a member knows. The member may be this daemon. */
-  hearAnswer(from: string, number: number, now: number): void {
+  recordReply(from: string, number: number, now: number): void {
     this.replies.set(from, { number, at: now });
   }
 
   /** Returns the next step for a record, or undefined if no change is in progress and none is needed. */
-  step(record: ShareRecord, view: ShareChangeView, now: number): ShareChangeStep | undefined {
+  nextStep(record: ShareRecord, view: ShareChangeView, now: number): ShareChangeStep | undefined {
     const remaining = record.members.filter(({ address }) => !view.hasEnded(address));
-    return isClosed(record)
+    return isSettled(record)
       ? this.startChange(record, remaining, view, now)
       : this.completeChange(record, remaining, now);
   }
@@ -127,7 +127,7 @@
  * Returns the first record, with all live daemons as members, or undefined if there are none. Daemons that are not visible
  * yet join by a later change.
  */
-export function firstRecord({ live }: ShareChangeView): ShareRecord | undefined {
+export function initialRecord({ live }: ShareChangeView): ShareRecord | undefined {
   const members = sortMembers(live);
   return members.length === 0 ? undefined : { number: 1, members, next: members };
 }
--- a/src/core/admission/slot-keeping.ts
+++ b/src/core/admission/slot-allocator.ts
@@ -5,7 +5,7 @@
  */
 
 /** A request for a slot of the backend. */
-export interface SlotAsk {
+export interface SlotRequest {
   readonly daemon: string;
   /** Identifies the request among those of its daemon. */
   readonly ticket: number;
@@ -24,10 +24,10 @@
 }
 
 /** A request that a daemon sent to the backend without requesting a slot first. */
-export type SlotUse = Pick<SlotAsk, 'daemon' | 'ticket' | 'tenant' | 'work'>;
+export type SlotUse = Pick<SlotRequest, 'daemon' | 'ticket' | 'tenant' | 'work'>;
 
 /** The decision on a slot request. */
-export type SlotAnswer =
+export type SlotResponse =
   | { readonly type: 'granted' }
   /** The request is queued. A later decision grants or refuses it. */
   | { readonly type: 'queued'; readonly expectedWaitMs: number }
@@ -40,13 +40,13 @@
 export interface SlotDecision {
   readonly daemon: string;
   readonly ticket: number;
-  readonly answer: SlotAnswer;
+  readonly answer: SlotResponse;
   /** Milliseconds that the request waited in the queue; 0 if it was decided at once. */
   readonly waitedMs: number;
 }
 
 /** Load of a backend, as announced to daemons. */
-export interface SlotFigures {
+export interface SlotStatus {
   readonly slots: number;
   readonly inFlight: number;
   readonly waiting: number;
@@ -55,35 +55,35 @@
 }
 
 /** Allocates the slots of one backend. Calls return the decisions that result from them. */
-export interface SlotKeeping {
+export interface SlotAllocator {
   /** Handles a slot request. A repeated request gets the current state of the first one. */
-  ask(ask: SlotAsk, now: number): SlotDecision[];
+  request(request: SlotRequest, now: number): SlotDecision[];
   /** Records a request that was sent without requesting a slot first. */
-  take(use: SlotUse, now: number): void;
+  recordUse(use: SlotUse, now: number): void;
   /** Records that a request has ended or that a slot request is withdrawn. Ignores unknown tickets. */
   end(daemon: string, ticket: number, now: number): SlotDecision[];
   /** Drops all requests of a daemon that has stopped or failed. */
-  daemonGone(daemon: string, now: number): SlotDecision[];
+  removeDaemon(daemon: string, now: number): SlotDecision[];
   /** Handles elapsed timeouts. Call it several times a second. */
-  look(now: number): SlotDecision[];
-  figures(now: number): SlotFigures;
+  tick(now: number): SlotDecision[];
+  status(now: number): SlotStatus;
 }
 
 /** Returns whether requests need a granted slot before they are sent: if half of the slots are in use or requests wait. */
-export function isTight({ slots, inFlight, waiting }: SlotFigures): boolean {
+export function requiresGrant({ slots, inFlight, waiting }: SlotStatus): boolean {
   return waiting > 0 || inFlight * 2 >= slots;
 }
 
 /** Returns the decision on a slot request that has waited `waitedMs` milliseconds. */
 export function decisionOn(
-  { daemon, ticket }: Pick<SlotAsk, 'daemon' | 'ticket'>,
-  answer: SlotAnswer,
+  { daemon, ticket }: Pick<SlotRequest, 'daemon' | 'ticket'>,
+  answer: SlotResponse,
   waitedMs: number,
 ): SlotDecision {
   return { daemon, ticket, answer, waitedMs };
 }
 
 /** Returns a key that identifies a request among those of all daemons. */
-export function ticketKey({ daemon, ticket }: Pick<SlotAsk, 'daemon' | 'ticket'>): string {
+export function ticketKey({ daemon, ticket }: Pick<SlotRequest, 'daemon' | 'ticket'>): string {
   return `${daemon} ${ticket}`;
 }
--- a/src/core/admission/slot-queue.ts
+++ b/src/core/admission/slot-queue.ts
@@ -13,26 +13,26 @@
 import {
   decisionOn,
   ticketKey,
-  type SlotAnswer,
-  type SlotAsk,
+  type SlotResponse,
+  type SlotRequest,
   type SlotDecision,
-  type SlotFigures,
-  type SlotKeeping,
+  type SlotStatus,
+  type SlotAllocator,
   type SlotUse,
-} from './slot-keeping.js';
+} from './slot-allocator.js';
 import { SlotTimes } from './slot-times.js';
-import { shareLevel, type TenantUse } from './tenant-shares.js';
-import { ToldFailures } from './told-failures.js';
+import { maxMinShare, type TenantUse } from './tenant-shares.js';
+import { FailureRate } from './failure-rate.js';
 
 /** Waiting time that moves a request up by one step in the order. */
-export const STEP_MS = 300;
+export const AGING_STEP_MS = 300;
 /** Steps between two ranks. Rank outweighs tenant shares, and tenant shares outweigh lateness. */
 const STEPS_PER_RANK = 4;
 const STEPS_OVER_SHARE = 2;
 /** Steps by which a request that has missed its due time is placed behind those that can still meet theirs. */
 const STEPS_LATE = 1;
 /** Due-time penalty of a request of twice the mean size; it grows linearly with the size. */
-export const SIZE_HANDICAP_MS = 50;
+export const SIZE_PENALTY_MS = 50;
 /** Maximum number of waiting requests per slot. Beyond it the last in order is refused, whatever its expected wait. */
 const MAX_WAITING_PER_SLOT = 12;
 /** A ticket expires if its daemon has not listed it for this long: the message of its end was lost, or the daemon failed. */
@@ -63,7 +63,7 @@
   lastListedAt: number;
 }
 
-interface Waiter extends SlotAsk {
+interface Waiter extends SlotRequest {
   readonly size: number;
   readonly since: number;
   readonly sequence: number;
@@ -72,11 +72,11 @@
 }
 
 /** Allocates the slots of one backend in priority order. */
-export class SlotQueue implements SlotKeeping {
+export class SlotQueue implements SlotAllocator {
   private readonly holders = new Map<string, Holder>();
   private readonly waiters = new Map<string, Waiter>();
   private readonly times = new SlotTimes();
-  private readonly failures = new ToldFailures();
+  private readonly failures = new FailureRate();
   /** Expected retries of refused callers. */
   private returns: { readonly at: number; readonly rank: number }[] = [];
   private sequence = 0;
@@ -90,7 +90,7 @@
     this.slots = slots;
   }
 
-  ask(raw: SlotAsk, now: number): SlotDecision[] {
+  request(raw: SlotRequest, now: number): SlotDecision[] {
     const ask = bounded(raw, now);
     const key = ticketKey(ask);
     const holder = this.holders.get(key);
@@ -115,7 +115,7 @@
     return [...decisions, decisionOn(ask, answer, 0), ...this.refuseSurplus(now)];
   }
 
-  take(use: SlotUse, now: number): void {
+  recordUse(use: SlotUse, now: number): void {
     const key = ticketKey(use);
     this.waiters.delete(key);
     const known = this.holders.get(key);
@@ -136,8 +136,8 @@
     if (holder === undefined) return [];
     this.holders.delete(key);
     this.lastChangeAt = now;
-    this.failures.note(hasFailed, now);
-    if (holder.isStartKnown) this.times.noteHold(now - holder.since, holder.size);
+    this.failures.recordResult(hasFailed, now);
+    if (holder.isStartKnown) this.times.recordHold(now - holder.since, holder.size);
     return this.grantFreeSlots(now);
   }
 
@@ -145,7 +145,7 @@
    * Records that a refused caller was given a retry delay. It counts as a waiting request, because
    * it will be ahead of requests that arrive before its retry.
    */
-  expectReturn(rank: number, afterMs: number, now: number): void {
+  expectRetry(rank: number, afterMs: number, now: number): void {
     if (this.returns.length >= this.slots * MAX_WAITING_PER_SLOT) return;
     this.returns.push({ rank, at: now + Math.min(afterMs, MAX_STATED_MS) });
   }
@@ -155,7 +155,7 @@
    * from the list has ended and the message of its end was lost. An unknown ticket in flight began
    * before this queue existed.
    */
-  named(
+  reconcile(
     daemon: string,
     inFlight: readonly number[],
     waiting: readonly number[],
@@ -180,14 +180,14 @@
     return this.grantFreeSlots(now);
   }
 
-  daemonGone(daemon: string, now: number): SlotDecision[] {
+  removeDaemon(daemon: string, now: number): SlotDecision[] {
     for (const [key, entry] of [...this.holders, ...this.waiters]) {
       if (entry.daemon === daemon) this.drop(key);
     }
     return this.grantFreeSlots(now);
   }
 
-  look(now: number): SlotDecision[] {
+  tick(now: number): SlotDecision[] {
     for (const [key, entry] of [...this.holders, ...this.waiters]) {
       if (now - entry.lastListedAt > TICKET_EXPIRY_MS) this.drop(key);
     }
@@ -202,7 +202,7 @@
     return waiters.map((waiter) => decisionOn(waiter, { type: 'unknown' }, now - waiter.since));
   }
 
-  figures(now: number): SlotFigures {
+  status(now: number): SlotStatus {
     const { slots } = this;
     const inFlight = this.holders.size;
     const waiting = this.waiters.size;
@@ -216,7 +216,7 @@
 
   /** Returns the fraction of requests that failed at the backend recently. */
   failureShare(now: number): number {
-    return this.failures.share(now);
+    return this.failures.rate(now);
   }
 
   /** Returns the daemons that have a request here, in flight or waiting. */
@@ -237,10 +237,10 @@
   }
 
   /** Refuses a request at once if it would wait past its time limit, while a retry can still help the caller. */
-  private queueOrRefuse(waiter: Waiter, now: number): SlotAnswer {
+  private queueOrRefuse(waiter: Waiter, now: number): SlotResponse {
     const expectedWaitMs = this.expectedWait(waiter, now);
     const mayWaitMs = waiter.giveUpAt - now;
-    if (expectedWaitMs <= mayWaitMs || !this.times.isLearned)
+    if (expectedWaitMs <= mayWaitMs || !this.times.hasEnoughSamples)
       return { type: 'queued', expectedWaitMs };
     const retryAfterMs = Math.max(MIN_RETRY_MS, expectedWaitMs);
     return { type: 'refused', retryAfterMs };
@@ -266,10 +266,13 @@
     const size = this.meanSize();
     // If no request has ended for long, the backend has stalled, and waits get longer than past ones.
     const stallMs = Math.max(0, now - this.lastChangeAt) / COMMON_GAP_FACTOR;
-    const waitMs = Math.max(this.times.untilFree(ends, this.slots, size, rank), ends * stallMs);
+    const waitMs = Math.max(
+      this.times.expectedWaitMs(ends, this.slots, size, rank),
+      ends * stallMs,
+    );
     this.returns = this.returns.filter(({ at }) => at > now);
     const before = this.returns.filter((one) => one.rank <= rank && one.at < now + waitMs);
-    return waitMs + this.times.untilFree(before.length, this.slots, size, rank);
+    return waitMs + this.times.expectedWaitMs(before.length, this.slots, size, rank);
   }
 
   /** Refuses requests past their time limit, and grants free slots to the first requests in the order. */
@@ -284,7 +287,7 @@
       this.lastChangeAt = now;
       const use = { daemon, ticket, tenant, work };
       this.holders.set(key, { ...use, size, since: now, isStartKnown: true, lastListedAt: now });
-      if (announcedWaitMs > 0) this.times.noteWait(rank, announcedWaitMs, now - since);
+      if (announcedWaitMs > 0) this.times.recordWait(rank, announcedWaitMs, now - since);
       decisions.push(decisionOn(next, { type: 'granted' }, now - since));
     }
     return decisions;
@@ -311,7 +314,7 @@
     const retryAfterMs = Math.max(MIN_RETRY_MS, this.expectedWait(waiter, now));
     const { rank, announcedWaitMs, since } = waiter;
     // The actual wait would have been even longer than the time spent, so the sample is a lower bound.
-    if (now - since > announcedWaitMs) this.times.noteWait(rank, announcedWaitMs, now - since);
+    if (now - since > announcedWaitMs) this.times.recordWait(rank, announcedWaitMs, now - since);
     this.waiters.delete(ticketKey(waiter));
     return decisionOn(waiter, { type: 'refused', retryAfterMs }, now - since);
   }
@@ -332,11 +335,11 @@
   private positionOf(waiter: Waiter, usage: TenantUsage, now: number): Position {
     const { rank, dueAt, size, sequence, tenant } = waiter;
     const isOver = (usage.held.get(tenant) ?? 0) + size > usage.share && usage.held.has(tenant);
-    const aged = Math.floor((now - waiter.since + waiter.waitedMs) / STEP_MS);
+    const aged = Math.floor((now - waiter.since + waiter.waitedMs) / AGING_STEP_MS);
     const over = isOver ? STEPS_OVER_SHARE : 0;
     const late = dueAt < now ? STEPS_LATE : 0;
     const step = Math.max(0, rank * STEPS_PER_RANK + over + late - aged);
-    return { step, dueAt: dueAt + (size - 1) * SIZE_HANDICAP_MS, sequence };
+    return { step, dueAt: dueAt + (size - 1) * SIZE_PENALTY_MS, sequence };
   }
 
   private usage(): TenantUsage {
@@ -350,7 +353,7 @@
       const use = uses.get(tenant) ?? { held: 0, waiting: 0 };
       uses.set(tenant, { ...use, waiting: use.waiting + size });
     }
-    return { held, share: shareLevel(uses.values(), this.slots * this.meanSize()) };
+    return { held, share: maxMinShare(uses.values(), this.slots * this.meanSize()) };
   }
 
   private meanSize(): number {
@@ -388,7 +391,7 @@
  * Bounds the numbers of a slot request, which come from a message. A non-finite number is replaced by the least favorable
  * valid value.
  */
-function bounded(ask: SlotAsk, now: number): SlotAsk {
+function bounded(ask: SlotRequest, now: number): SlotRequest {
   const within = (value: number, least: number, most: number, otherwise: number): number =>
     Number.isFinite(value) ? Math.min(most, Math.max(least, value)) : otherwise;
   const horizon = now + MAX_STATED_MS;
--- a/src/core/admission/slot-times.ts
+++ b/src/core/admission/slot-times.ts
@@ -28,7 +28,7 @@
   private readonly ratios = new Map<number, number>();
 
   /** Whether enough requests have ended here to trust expected waits. */
-  get isLearned(): boolean {
+  get hasEnoughSamples(): boolean {
     return this.holdSamples >= MIN_HOLD_SAMPLES;
   }
 
@@ -44,14 +44,14 @@
   }
 
   /** Records that a request of a given size has held a slot for `heldMs`. */
-  noteHold(heldMs: number, size: number): void {
+  recordHold(heldMs: number, size: number): void {
     this.holdSamples += 1;
     const weight = Math.max(SAMPLE_WEIGHT, 1 / (this.holdSamples + 1));
     this.holdMs += (heldMs / size - this.holdMs) * weight;
   }
 
   /** Records a finished wait of `spentMs` that was announced as `announcedMs`. */
-  noteWait(rank: number, announcedMs: number, spentMs: number): void {
+  recordWait(rank: number, announcedMs: number, spentMs: number): void {
     const current = this.ratios.get(rank) ?? 1;
     const sample = (spentMs + MESSAGE_DELAY_MS) / (announcedMs / current + MESSAGE_DELAY_MS);
     const bounded = Math.min(MAX_RATIO, Math.max(MIN_RATIO, sample));
@@ -59,7 +59,7 @@
   }
 
   /** Returns the expected milliseconds until `ends` slots of a fully occupied backend have become free. */
-  untilFree(ends: number, slots: number, meanSize: number, rank: number): number {
+  expectedWaitMs(ends: number, slots: number, meanSize: number, rank: number): number {
     const ratio = this.ratios.get(rank) ?? 1;
     return ((ends * this.holdMs * meanSize) / Math.max(1, slots)) * ratio;
   }
--- a/src/core/admission/tenant-shares.ts
+++ b/src/core/admission/tenant-shares.ts
@@ -10,7 +10,7 @@
  * Returns the max-min fair share of `capacity`: tenants that want less than the share get all that they
  * want, and the others divide the rest equally. Infinite if there is enough for all tenants.
  */
-export function shareLevel(uses: Iterable<TenantUse>, capacity: number): number {
+export function maxMinShare(uses: Iterable<TenantUse>, capacity: number): number {
   const demands = [...uses].map(({ held, waiting }) => held + waiting).sort((a, b) => a - b);
   let remaining = capacity;
   for (const [index, demand] of demands.entries()) {
--- a/src/core/declared-leavings.ts
+++ b/src/core/announced-shutdowns.ts
@@ -15,12 +15,12 @@
 }
 
 /** Extracts the process identity from a record or another object that contains it. */
-export function processOf({ id, start }: BackendProcess): BackendProcess {
+export function backendProcessOf({ id, start }: BackendProcess): BackendProcess {
   return { id, ...(start === undefined ? {} : { start }) };
 }
 
 /** The processes that one daemon knows to be shutting down. */
-export class DeclaredLeavings {
+export class AnnouncedShutdowns {
   /** Starts by backend id; the empty string stands for an unknown start. */
   private readonly starts = new Map<string, Set<string>>();
 
@@ -29,7 +29,7 @@
   }
 
   /** Records that a process is shutting down. Returns false if that was already recorded. */
-  note({ id, start = '' }: BackendProcess): boolean {
+  add({ id, start = '' }: BackendProcess): boolean {
     const leavingStarts = this.starts.get(id) ?? new Set();
     if (leavingStarts.has(start)) return false;
     this.starts.delete(id);
--- a/src/core/answer-budget.ts
+++ b/src/core/answer-budget.ts
@@ -13,7 +13,7 @@
 const MAX_HEALTHY_UNREAD_BYTES = 16 * 1024;
 
 /** Limits, in bytes, on buffered data. */
-export interface AnswerRoom {
+export interface AnswerMemoryLimits {
   /** Limit for one streamed answer. */
   readonly requestBytes: number;
   /** Limit for all answers and request bodies of the daemon together. */
@@ -60,7 +60,7 @@
   /** Bytes of request bodies, and of answers that are buffered until they are complete. */
   private bufferedBytes = 0;
 
-  constructor(private readonly limits: AnswerRoom) {}
+  constructor(private readonly limits: AnswerMemoryLimits) {}
 
   /** All bytes that the daemon buffers. */
   get heldBytes(): number {
@@ -75,12 +75,12 @@
   }
 
   /** Adds bytes of a request body or a buffered answer; a negative number releases bytes. */
-  hold(bytes: number): void {
+  addBuffered(bytes: number): void {
     this.bufferedBytes += bytes;
   }
 
   /** Records a caller's progress. Returns false if reading from its backend should pause. */
-  note(id: number, progress: CallerProgress, now: number): boolean {
+  recordProgress(id: number, progress: CallerProgress, now: number): boolean {
     const known = this.accounts.get(id);
     this.totalUnreadBytes += progress.unreadBytes - (known?.unreadBytes ?? 0);
     this.accounts.set(id, updatedAccount(known, progress, now));
@@ -97,7 +97,7 @@
   }
 
   /** Removes the callers to disconnect now from the budget and returns them, slowest first. */
-  takeTooSlow(now: number): SlowCaller[] {
+  removeSlowCallers(now: number): SlowCaller[] {
     const slowestFirst = [...this.accounts].sort(
       (a, b) => remainingReadMs(b[1], now) - remainingReadMs(a[1], now),
     );
@@ -178,7 +178,7 @@
 const MEGABYTE = 1024 * 1024;
 
 /** Computes the limits for a process that may use `memoryMegabytes` of memory, in units of 1,024 x 1,024 bytes. */
-export function answerRoomOf(memoryMegabytes: number): AnswerRoom {
+export function answerMemoryLimitsFor(memoryMegabytes: number): AnswerMemoryLimits {
   const daemonBytes = memoryMegabytes * MEGABYTE * DAEMON_MEMORY_SHARE;
   return { daemonBytes, requestBytes: daemonBytes * REQUEST_MEMORY_SHARE };
 }
--- a/src/core/arrival-history.ts
+++ b/src/core/arrival-history.ts
@@ -28,7 +28,7 @@
   private readonly entries = new Map<string, DecayingCount>();
 
   /** Counts one request that arrived at `now`. */
-  note(reference: ModelReference, goalMs: number, now: number): void {
+  record(reference: ModelReference, goalMs: number, now: number): void {
     const key = adapterKey(reference);
     const entry = this.entries.get(key);
     if (entry === undefined) {
--- a/src/core/attempt-policy.ts
+++ b/src/core/attempt-policy.ts
@@ -42,7 +42,7 @@
 const MIN_STALL_TIMEOUT_MS = 600;
 
 /** Decides the next step after a failed attempt; `history` includes that attempt. */
-export function afterFailure(
+export function nextStepAfterFailure(
   route: Route,
   attempt: FailedAttempt,
   history: AttemptHistory,
@@ -61,7 +61,7 @@
  *
  * @param runs - Number of backends at which the request ran before or may have run.
  */
-export function silentAfterMs(route: Route, runs: number): number {
+export function firstByteTimeoutMs(route: Route, runs: number): number {
   if (!mayRepeat(route) || runs + 1 >= route.maxAttempts) return Infinity;
   return Math.max(MIN_FIRST_BYTE_TIMEOUT_MS, route.goalMs * FIRST_BYTE_TIMEOUT_GOALS);
 }
@@ -70,7 +70,7 @@
  * Timeout between two bytes of a stream in milliseconds, after which the stream resumes at another backend; infinite
  * if it may not resume.
  */
-export function stalledAfterMs(route: Route, runs: number): number {
+export function stallTimeoutMs(route: Route, runs: number): number {
   if (route.repeatability !== 'resumable_stream') return Infinity;
   if (runs + 1 >= route.maxAttempts) return Infinity;
   return Math.max(MIN_STALL_TIMEOUT_MS, route.pauseGoalMs * STALL_TIMEOUT_PAUSE_GOALS);
--- a/src/core/backend-backoffs.ts
+++ b/src/core/backend-backoffs.ts
@@ -5,7 +5,7 @@
  */
 import { readDecimal } from '../common/decimal.js';
 import { startKey } from './backend-starts.js';
-import type { BackendProcess } from './declared-leavings.js';
+import type { BackendProcess } from './announced-shutdowns.js';
 
 /** Maximum backoff per refusal. A backoff of days is most likely a mistake; if not, the backend requests it again. */
 const MAX_BACKOFF_MS = 3_600_000;
@@ -16,7 +16,7 @@
   private readonly ends = new Map<string, number>();
 
   /** Records a requested backoff; it never shortens a running one. Returns the remaining milliseconds. */
-  note(backend: BackendProcess, backoffMs: number, now: number): number {
+  recordBackoff(backend: BackendProcess, backoffMs: number, now: number): number {
     this.removeExpired(now);
     const until = now + Math.min(backoffMs, MAX_BACKOFF_MS);
     const end = Math.max(until, this.ends.get(startKey(backend)) ?? 0);
--- a/src/core/backend-directory.ts
+++ b/src/core/backend-directory.ts
@@ -10,10 +10,10 @@
   type EndedBackend,
   type PresenceChanges,
 } from './backend-presence.js';
-import { DeclaredLeavings, type BackendProcess } from './declared-leavings.js';
+import { AnnouncedShutdowns, type BackendProcess } from './announced-shutdowns.js';
 import { BackendStarts, type BackendRestart } from './backend-starts.js';
-import { EVEN_CAPACITY, type CapacityView } from './capacity/capacity-view.js';
-import { HeardCapacity } from './capacity/heard-capacity.js';
+import { UNIFORM_CAPACITY, type CapacityView } from './capacity/capacity-view.js';
+import { ReceivedCapacity } from './capacity/received-capacity.js';
 import type { PlacedModel, PlacementUpdate } from './placement-update.js';
 import type { BackendRecord, HeldModel, ModelReference } from './service-configuration.js';
 
@@ -43,13 +43,13 @@
   readonly forecasts: Map<string, number>;
   /** Requests in flight at each backend, summed over all daemons. */
   readonly loads: Map<string, number>;
-  readonly capacity: HeardCapacity;
+  readonly capacity: ReceivedCapacity;
   /** Maximum number of concurrent loads from the weight store, as learned by the owner; 0 if unknown. */
   storeLoadLimit: number;
 }
 
 /** Result of applying an owner's placement update. */
-export type UpdateOutcome =
+export type PlacementUpdateOutcome =
   | 'applied'
   | 'outdated'
   /** An earlier update was missed: the owner must send its full state. */
@@ -66,13 +66,13 @@
   private readonly placements = new Map<string, ReceivedPlacement>();
   private readonly missingModels = new Map<string, number>();
   private readonly starts = new BackendStarts();
-  private readonly announcedShutdowns = new DeclaredLeavings();
+  private readonly announcedShutdowns = new AnnouncedShutdowns();
   private restarts: BackendRestart[] = [];
 
   /** Replaces the platform's list. A process listed as leaving never serves again, whatever later lists show. */
   setBackends(list: BackendList, now: number): PresenceChanges {
-    for (const record of list.backends) if (record.leaving) this.announcedShutdowns.note(record);
-    const changes = this.presence.take(list, now);
+    for (const record of list.backends) if (record.leaving) this.announcedShutdowns.add(record);
+    const changes = this.presence.applyList(list, now);
     for (const record of this.presence.all()) this.recordStart(record);
     return changes;
   }
@@ -85,7 +85,7 @@
   }
 
   private recordStart(record: BackendRecord): void {
-    const restart = this.starts.note(record);
+    const restart = this.starts.recordStart(record);
     if (restart === undefined) return;
     this.restarts.push(restart);
     this.discardPreviousStart(record);
@@ -118,18 +118,18 @@
   }
 
   /** Records that a backend is leaving or has ended. Returns false if that was already known. */
-  noteEnded(end: EndedBackend): boolean {
-    return this.presence.noteEnded(end);
+  markEnded(end: EndedBackend): boolean {
+    return this.presence.markEnded(end);
   }
 
   /** Records that a backend's process announced its own shutdown. Returns false if that was already known. */
-  noteLeaving(process: BackendProcess): boolean {
-    return this.announcedShutdowns.note(process);
+  markLeaving(process: BackendProcess): boolean {
+    return this.announcedShutdowns.add(process);
   }
 
   /** Records a backend that a peer reported and that this daemon's list may not show yet. Returns false if it was already known. */
-  noteStarted(record: BackendRecord, now: number): boolean {
-    const isNew = this.presence.noteStarted(record, now);
+  addAnnounced(record: BackendRecord, now: number): boolean {
+    const isNew = this.presence.addAnnounced(record, now);
     const known = this.presence.get(record.id);
     if (isNew && known !== undefined) this.recordStart(known);
     return isNew;
@@ -141,7 +141,7 @@
   }
 
   /** Returns the backend with an id if it takes new requests. */
-  servingOne(id: string): BackendRecord | undefined {
+  getServing(id: string): BackendRecord | undefined {
     const record = this.presence.get(id);
     return record !== undefined && this.isServing(record) ? record : undefined;
   }
@@ -156,7 +156,7 @@
   }
 
   /** Returns the backends of a service that take new requests. */
-  serving(service: string): BackendRecord[] {
+  servingBackends(service: string): BackendRecord[] {
     return this.all().filter((backend) => backend.service === service && this.isServing(backend));
   }
 
@@ -169,7 +169,7 @@
    * Applies an owner's placement update. An incremental update is applied only to exactly the version
    * that it was computed from, so that this daemon never holds a state that no owner had.
    */
-  hearPlacement(update: PlacementUpdate, now: number): UpdateOutcome {
+  applyPlacementUpdate(update: PlacementUpdate, now: number): PlacementUpdateOutcome {
     const known = this.placements.get(update.service);
     const epoch = known?.epoch ?? 0;
     if (update.epoch < epoch) return 'outdated';
@@ -177,7 +177,9 @@
     if (update.baseVersion === undefined) {
       if (!isNewEpoch && update.version < known.version) return 'outdated';
       const previousCapacity = known?.capacity;
-      const capacity = isNewEpoch ? new HeardCapacity(previousCapacity) : known.capacity.emptied();
+      const capacity = isNewEpoch
+        ? new ReceivedCapacity(previousCapacity)
+        : known.capacity.cleared();
       this.placements.set(update.service, emptyPlacement(update.epoch, capacity));
     } else {
       if (isNewEpoch) return 'gap';
@@ -203,7 +205,7 @@
     for (const [model, readyInMs] of update.forecasts)
       placement.forecasts.set(model, now + readyInMs);
     for (const [backend, inFlight] of update.loads) placement.loads.set(backend, inFlight);
-    placement.capacity.take(update.capacity, now);
+    placement.capacity.applyUpdate(update.capacity, now);
     for (const backend of update.removedBackends) {
       placement.backends.delete(backend);
       placement.loads.delete(backend);
@@ -224,7 +226,7 @@
   }
 
   /** The model that the backend is loading according to the owner, and when the load is expected to finish. */
-  loadingAt(backend: BackendRecord, now: number): ExpectedLoad | undefined {
+  expectedLoadAt(backend: BackendRecord, now: number): ExpectedLoad | undefined {
     const models = this.freshPlacement(backend.service, now)?.backends.get(backend.id) ?? [];
     const loading = models.find((model) => model.readyAt > now && !model.unloading);
     return loading && { model: loading.name, expectedEnd: loading.readyAt };
@@ -236,17 +238,17 @@
   }
 
   /** Requests in flight at a backend over all daemons, as the owner last reported; 0 if unknown. */
-  loadOf(backend: BackendRecord, now: number): number {
+  inFlightAt(backend: BackendRecord, now: number): number {
     return this.freshPlacement(backend.service, now)?.loads.get(backend.id) ?? 0;
   }
 
   /** Capacity estimates of the service's owner; all backends count as equal if there are none. */
   capacityOf(service: string, now: number): CapacityView {
-    return this.placements.get(service)?.capacity.view(now) ?? EVEN_CAPACITY;
+    return this.placements.get(service)?.capacity.view(now) ?? UNIFORM_CAPACITY;
   }
 
   /** Records that a backend refused a request because it lacks the model. */
-  noteAbsence(backend: string, reference: ModelReference, now: number): void {
+  markModelMissing(backend: string, reference: ModelReference, now: number): void {
     this.missingModels.set(missingModelKey(backend, reference), now + MISSING_MODEL_LIFETIME_MS);
   }
 
@@ -304,7 +306,7 @@
   }
 }
 
-function emptyPlacement(epoch: number, capacity: HeardCapacity): ReceivedPlacement {
+function emptyPlacement(epoch: number, capacity: ReceivedCapacity): ReceivedPlacement {
   return {
     epoch,
     version: 0,
--- a/src/core/backend-health.ts
+++ b/src/core/backend-health.ts
@@ -29,7 +29,7 @@
   private readonly backends = new Map<string, Health>();
 
   /** Records a complete response that the backend itself produced. */
-  answered(backend: string): void {
+  recordSuccess(backend: string): void {
     const health = this.healthOf(backend);
     health.consecutiveUnanswered = 0;
     health.ejectedUntil = 0;
@@ -37,23 +37,23 @@
   }
 
   /** Records an error response, or a response that the backend broke off. */
-  failed(backend: string): void {
+  recordFailure(backend: string): void {
     const health = this.healthOf(backend);
     health.failureShare += FAILURE_SMOOTHING * (1 - health.failureShare);
   }
 
   /** Records that the backend could not be reached or did not respond in time. */
-  silent(backend: string, now: number): void {
+  recordNoResponse(backend: string, now: number): void {
     this.recordUnanswered(backend, INITIAL_EJECTION_MS, now);
   }
 
   /** Records that the backend accepted a request and the connection broke before the response began. */
-  broke(backend: string, now: number): void {
+  recordDisconnect(backend: string, now: number): void {
     this.recordUnanswered(backend, INITIAL_DISCONNECT_EJECTION_MS, now);
   }
 
   private recordUnanswered(backend: string, initialEjectionMs: number, now: number): void {
-    this.failed(backend);
+    this.recordFailure(backend);
     const health = this.healthOf(backend);
     const ejectionMs = Math.min(
       MAX_EJECTION_MS,
@@ -65,22 +65,22 @@
   }
 
   /** Backends that recently left several consecutive requests without a response. */
-  failing(now: number): string[] {
-    const failing: string[] = [];
+  failingBackends(now: number): string[] {
+    const failingBackends: string[] = [];
     for (const [backend, { consecutiveUnanswered, lastUnansweredAt }] of this.backends) {
       const isRecent = now - lastUnansweredAt <= FAILING_REPORT_MS;
-      if (consecutiveUnanswered >= FAILING_THRESHOLD && isRecent) failing.push(backend);
+      if (consecutiveUnanswered >= FAILING_THRESHOLD && isRecent) failingBackends.push(backend);
     }
-    return failing;
+    return failingBackends;
   }
 
   /** Whether the backend is currently ejected. */
-  isAvoided(backend: string, now: number): boolean {
-    return this.avoidedUntil(backend) > now;
+  isEjected(backend: string, now: number): boolean {
+    return this.ejectedUntil(backend) > now;
   }
 
   /** Time at which the ejection ends; 0 after a complete response, or if no request to the backend has gone without a response. */
-  avoidedUntil(backend: string): number {
+  ejectedUntil(backend: string): number {
     return this.backends.get(backend)?.ejectedUntil ?? 0;
   }
 
--- a/src/core/backend-ledger.ts
+++ b/src/core/backend-ledger.ts
@@ -65,13 +65,13 @@
   private sentExpectedEnd = 0;
   /** The model order in progress. Adapter orders are tracked separately because they do not block other orders. */
   running: RunningOrder | undefined;
-  readonly comingAdapters = new Map<string, RunningOrder>();
+  readonly loadingAdapters = new Map<string, RunningOrder>();
   inMemory: ReadonlySet<string> = new Set();
   onDisk: ReadonlySet<string> = new Set();
   /** Period during which all reports showed the same sequence number and no order in progress. */
   private idlePeriod: { readonly sequence: number; readonly since: number } | undefined;
   /** The backend did not respond to the last query, so its models are not offered to callers. */
-  isSilent = false;
+  isUnresponsive = false;
   /** Unanswered orders to the current process. The backend rejects them by their sequence number once it has accepted a later order. */
   private unanswered: UnansweredOrder[] = [];
   /**
@@ -96,12 +96,12 @@
   }
 
   /** Reserves memory for unanswered orders to the backend's previous process. */
-  awaitLateOrders(orders: readonly UnansweredOrder[]): void {
+  reserveForLateOrders(orders: readonly UnansweredOrder[]): void {
     this.lateOrders = orders;
   }
 
   /** Releases the memory reserved for orders that can no longer be accepted. */
-  forgetLateOrders(now: number): void {
+  releaseExpiredOrders(now: number): void {
     const mayArrive = (late: UnansweredOrder): boolean => late.until > now;
     this.unanswered = this.unanswered.filter(mayArrive);
     this.lateOrders = this.lateOrders.filter(mayArrive);
@@ -124,12 +124,12 @@
   }
 
   /** Whether a model order may be sent now. */
-  get takesModelOrder(): boolean {
-    return this.phase === 'ready' && this.running === undefined && this.comingAdapters.size === 0;
+  get canSendModelOrder(): boolean {
+    return this.phase === 'ready' && this.running === undefined && this.loadingAdapters.size === 0;
   }
 
   /** Whether an adapter order may be sent now. */
-  get takesAdapterOrder(): boolean {
+  get canSendAdapterOrder(): boolean {
     return this.phase === 'ready' && this.running === undefined;
   }
 
@@ -137,7 +137,7 @@
    * Applies a report. Returns false if the report is outdated or does not yet show the whole state: a
    * report may show that an order has finished before its model list shows the effect.
    */
-  adopt(report: BackendReport, now: number): boolean {
+  applyReport(report: BackendReport, now: number): boolean {
     if (report.sequence < this.sequence) return false;
     const isSettled = this.isSettled(report, now);
     if (!isSettled && !this.showsEffect(report)) return false;
@@ -174,17 +174,17 @@
 
   /** Drops pending adapters that are loaded, or that are overdue and no longer loading and so must have failed. */
   private dropFinishedAdapters(report: BackendReport, now: number): void {
-    for (const [key, pending] of this.comingAdapters) {
+    for (const [key, pending] of this.loadingAdapters) {
       const { model, adapter = '' } = pending.order;
       const isListed = this.models.get(model)?.adapters.has(adapter) === true;
       const isLoading = report.coming.some((reference) => adapterKey(reference) === key);
       const isOverdue = now - pending.expectedEnd >= REPORT_SETTLE_MS;
-      if (isListed || (!isLoading && isOverdue)) this.comingAdapters.delete(key);
+      if (isListed || (!isLoading && isOverdue)) this.loadingAdapters.delete(key);
     }
   }
 
   /** Completes the order in progress if the platform's list shows its effect; returns false otherwise. */
-  observe(record: BackendRecord, now: number): boolean {
+  applyListing(record: BackendRecord, now: number): boolean {
     const running = this.running;
     if (running === undefined || this.phase !== 'ready') return false;
     if (record.sequence < running.sequence) return false;
@@ -198,7 +198,7 @@
   }
 
   /** Fills in the platform's list until a report has been applied. No order is based on it. */
-  assume(record: BackendRecord): void {
+  seedFromListing(record: BackendRecord): void {
     for (const { name, adapters } of record.models) {
       this.models.set(name, { adapters: new Set(adapters), loadedAt: -Infinity });
     }
@@ -206,7 +206,7 @@
   }
 
   /** Fills in the previous owner's load in progress until a report has been applied. No order is based on it. */
-  assumeLoading(model: string, expectedEnd: number): void {
+  seedLoad(model: string, expectedEnd: number): void {
     if (this.phase !== 'unsynchronized' || this.models.has(model)) return;
     const order: ModelOrder = { operation: 'load', model, adapter: undefined };
     this.running = { order, expectedEnd, sequence: this.sequence };
@@ -219,14 +219,14 @@
   }
 
   /** Records that an order is being sent. @param expectedEnd - Expected completion time. */
-  send(order: ModelOrder, expectedEnd = 0): void {
+  recordSent(order: ModelOrder, expectedEnd = 0): void {
     this.phase = 'ordering';
     this.sent = order;
     this.sentExpectedEnd = expectedEnd;
   }
 
   /** Records the result of an order call. */
-  settle(order: ModelOrder, outcome: OrderOutcome, now: number, durationMs: number): void {
+  recordOutcome(order: ModelOrder, outcome: OrderOutcome, now: number, durationMs: number): void {
     this.sent = undefined;
     switch (outcome.type) {
       case 'accepted':
@@ -258,7 +258,7 @@
       used += spec?.megabytes ?? host.megabytes;
       used += model.adapters.size * (spec?.adapterMegabytes ?? 0);
     }
-    for (const pending of this.comingAdapters.values()) {
+    for (const pending of this.loadingAdapters.values()) {
       used += modelSpec(host, pending.order.model)?.adapterMegabytes ?? 0;
     }
     const loading = this.running?.order;
@@ -269,7 +269,7 @@
 
   /** Number of adapter slots in use, including loads in progress and orders that may still be accepted. */
   usedAdapterSlots(): number {
-    let used = this.comingAdapters.size;
+    let used = this.loadingAdapters.size;
     used += this.lateLoads().filter(({ adapter }) => adapter !== undefined).length;
     for (const model of this.models.values()) used += model.adapters.size;
     return used;
@@ -280,7 +280,7 @@
     if (order.adapter === undefined) {
       this.running = running;
     } else if (order.operation === 'load') {
-      this.comingAdapters.set(adapterKey(order), running);
+      this.loadingAdapters.set(adapterKey(order), running);
     } else {
       this.models.get(order.model)?.adapters.delete(order.adapter);
     }
--- a/src/core/backend-presence.ts
+++ b/src/core/backend-presence.ts
@@ -4,7 +4,7 @@
  * record of it that is not newer. No I/O; times are milliseconds of a monotonic clock.
  */
 import murmurhash from 'murmurhash';
-import { isAnotherStart, startKey } from './backend-starts.js';
+import { isDifferentStart, startKey } from './backend-starts.js';
 import type { BackendRecord } from './service-configuration.js';
 
 /** All backends as the platform lists them at one revision of its store. */
@@ -95,7 +95,7 @@
   }
 
   /** Replaces the platform's list and returns what it changed. */
-  take(list: BackendList, now: number): PresenceChanges {
+  applyList(list: BackendList, now: number): PresenceChanges {
     const wasServing = (id: string): boolean => {
       const record = before.get(id);
       return record !== undefined && this.isServing(record);
@@ -110,12 +110,12 @@
     const ended: EndedBackend[] = leaving.map(({ id, revision }) => ({ id, revision }));
     ended.push(...this.reconcileUnlisted(before, list, now));
     const started = listed.filter((record) => {
-      const isAnother = isAnotherStart(before.get(record.id), record);
+      const isAnother = isDifferentStart(before.get(record.id), record);
       return this.isServing(record) && (isAnother || !wasServing(record.id));
     });
     const isFirst = !this.hasList;
     this.hasList = true;
-    return { ended: ended.filter((end) => this.noteEnded(end)), started: isFirst ? [] : started };
+    return { ended: ended.filter((end) => this.markEnded(end)), started: isFirst ? [] : started };
   }
 
   /** Keeps each previously known backend that the list lacks for a grace period, or returns it as ended. */
@@ -169,13 +169,13 @@
       if (now < graceEndsAt) continue;
       this.missing.delete(id);
       this.records.delete(id);
-      if (this.noteEnded({ id, revision })) ended.push({ id, revision });
+      if (this.markEnded({ id, revision })) ended.push({ id, revision });
     }
     return ended;
   }
 
   /** Records that a backend is leaving or has ended as of a revision. Returns false if that was already known. */
-  noteEnded({ id, revision }: EndedBackend): boolean {
+  markEnded({ id, revision }: EndedBackend): boolean {
     if ((this.endRevisions.get(id) ?? -1) >= revision) return false;
     this.digest = undefined;
     this.endRevisions.delete(id);
@@ -188,7 +188,7 @@
   }
 
   /** Records a backend that a peer announced and that this daemon's list may not show yet. Returns whether it was new. */
-  noteStarted(record: BackendRecord, now: number): boolean {
+  addAnnounced(record: BackendRecord, now: number): boolean {
     const known = this.records.get(record.id);
     if (known !== undefined && known.revision >= record.revision) return false;
     if (!this.isServing(record)) return false;
@@ -213,7 +213,7 @@
 
 /** Takes the location from an announcement, but the models from the last list if both are of the same process. */
 function mergeAnnouncement(known: BackendRecord, announcement: BackendRecord): BackendRecord {
-  if (isAnotherStart(known, announcement)) return announcement;
+  if (isDifferentStart(known, announcement)) return announcement;
   const { models, sequence, inMemory, onDisk } = known;
   const start = announcement.start ?? known.start;
   return {
--- a/src/core/backend-rate-limits.ts
+++ b/src/core/backend-rate-limits.ts
@@ -7,7 +7,7 @@
 import murmurhash from 'murmurhash';
 import { readDecimal } from '../common/decimal.js';
 import { startKey } from './backend-starts.js';
-import type { BackendProcess } from './declared-leavings.js';
+import type { BackendProcess } from './announced-shutdowns.js';
 
 /** Maximum number of backend processes with a recorded limit. */
 const MAX_REMEMBERED = 2_000;
@@ -20,7 +20,7 @@
   | { readonly type: 'unreadable' };
 
 /** The recorded rate limit of one backend process. */
-export interface BelievedRateLimit {
+export interface RecordedRateLimit {
   readonly backend: BackendProcess;
   /** Increases with each later value. */
   readonly generation: number;
@@ -40,14 +40,14 @@
 /** The rate limits that one daemon has recorded. */
 export class BackendRateLimits {
   /** Limits by {@link startKey}, least recently changed first. */
-  private readonly known = new Map<string, BelievedRateLimit>();
+  private readonly known = new Map<string, RecordedRateLimit>();
   private cachedDigest: number | undefined = 0;
 
   /**
    * Returns the recorded limit of a process. If the process has a known start but no limit of its own, the limit
    * recorded before the start was known applies.
    */
-  of(backend: BackendProcess): BelievedRateLimit | undefined {
+  limitOf(backend: BackendProcess): RecordedRateLimit | undefined {
     // This runs for each backend with each request, and usually no backend has announced a limit.
     if (this.known.size === 0) return undefined;
     return this.known.get(startKey(backend)) ?? this.known.get(backend.id);
@@ -64,13 +64,13 @@
    * @param limitAtSend - The recorded limit at the time the request was sent.
    * @returns The new recorded limit; undefined if nothing changes.
    */
-  noteAnswer(
+  recordAnswer(
     backend: BackendProcess,
     notice: RateLimitNotice,
-    limitAtSend: BelievedRateLimit | undefined,
-  ): BelievedRateLimit | undefined {
+    limitAtSend: RecordedRateLimit | undefined,
+  ): RecordedRateLimit | undefined {
     if (notice.type === 'unreadable') return undefined;
-    const current = this.of(backend);
+    const current = this.limitOf(backend);
     const perSecond = notice.type === 'limited' ? notice.perSecond : undefined;
     if (comparableRate(perSecond) === comparableRate(current?.perSecond)) return undefined;
     const isStricter = comparableRate(perSecond) < comparableRate(current?.perSecond);
@@ -82,7 +82,7 @@
   }
 
   /** Merges limits recorded by another daemon; returns those that were newer. */
-  hear(receivedLimits: readonly BelievedRateLimit[]): BelievedRateLimit[] {
+  merge(receivedLimits: readonly RecordedRateLimit[]): RecordedRateLimit[] {
     const newerLimits = receivedLimits.filter((received) =>
       isNewer(received, this.known.get(startKey(received.backend))),
     );
@@ -91,7 +91,7 @@
   }
 
   /** All recorded limits, for other daemons to merge. */
-  all(): BelievedRateLimit[] {
+  all(): RecordedRateLimit[] {
     return [...this.known.values()];
   }
 
@@ -103,20 +103,20 @@
     return this.cachedDigest;
   }
 
-  private store(limit: BelievedRateLimit): void {
+  private store(limit: RecordedRateLimit): void {
     const key = startKey(limit.backend);
     this.known.delete(key);
     this.known.set(key, limit);
     this.cachedDigest = undefined;
     if (this.known.size <= MAX_REMEMBERED) return;
-    const hasNoLimit = ([, { perSecond }]: [string, BelievedRateLimit]): boolean =>
+    const hasNoLimit = ([, { perSecond }]: [string, RecordedRateLimit]): boolean =>
       perSecond === undefined;
     const [oldest] = [...this.known].find(hasNoLimit) ?? [...this.known][0] ?? [];
     if (oldest !== undefined) this.known.delete(oldest);
   }
 }
 
-function isNewer(received: BelievedRateLimit, current: BelievedRateLimit | undefined): boolean {
+function isNewer(received: RecordedRateLimit, current: RecordedRateLimit | undefined): boolean {
   if (current === undefined || received.generation > current.generation) return true;
   return (
     received.generation === current.generation &&
--- a/src/core/backend-starts.ts
+++ b/src/core/backend-starts.ts
@@ -28,7 +28,7 @@
 }
 
 /** Whether two records of one backend belong to different starts. A record without a start counts as the same start. */
-export function isAnotherStart(one: Start | undefined, other: Start | undefined): boolean {
+export function isDifferentStart(one: Start | undefined, other: Start | undefined): boolean {
   if (one?.start === undefined || other?.start === undefined) return false;
   return one.start !== other.start;
 }
@@ -44,7 +44,7 @@
   private readonly known = new Map<string, KnownStart>();
 
   /** Records a backend record; returns the restart that it shows, if any. Ignores a record older than the known one. */
-  note(backend: BackendRecord): BackendRestart | undefined {
+  recordStart(backend: BackendRecord): BackendRestart | undefined {
     const { id, start, address, revision } = backend;
     if (start === undefined) return undefined;
     const known = this.known.get(id);
--- a/src/core/caller-deadlines.ts
+++ b/src/core/caller-deadlines.ts
@@ -17,13 +17,13 @@
   private nextIndex = 0;
 
   /** Records the time in milliseconds until a caller's deadline, at the arrival of its request. */
-  note(deadlineMs: number): void {
+  recordDeadline(deadlineMs: number): void {
     this.newest[this.nextIndex] = deadlineMs;
     this.nextIndex = (this.nextIndex + 1) % MAX_REMEMBERED_DEADLINES;
   }
 
   /** Whether a caller with `deadlineMs` left has most likely been refused before. */
-  hasComeBack(deadlineMs: number): boolean {
+  isLikelyRetry(deadlineMs: number): boolean {
     const usual = Math.max(...this.newest);
     const agreeing = this.newest.filter((deadline) => usual - deadline < MAX_CONNECTION_MS);
     if (agreeing.length < this.newest.length * MIN_AGREEING_SHARE) return false;
--- a/src/core/capacity/capacity-news.ts
+++ b/src/core/capacity/capacity-changes.ts
@@ -1,14 +1,14 @@
 /** Tracks which capacity figures an owner has sent to the daemons, so that it sends only changes. No I/O. */
-import type { LearnedFigures } from './learned-capacity.js';
+import type { CapacityFigures } from './learned-capacity.js';
 
 /** Figures that were sent during one ownership epoch. */
-export class CapacityNews {
+export class CapacityChanges {
   private readonly speeds = new Map<string, number>();
   private readonly gaps = new Map<string, number>();
   private pauseShares: readonly number[] = [];
 
   /** Returns the changes since the last call, or undefined if there are none. A removed backend is reset to speed 1. */
-  take(figures: LearnedFigures | undefined): LearnedFigures | undefined {
+  takeChanges(figures: CapacityFigures | undefined): CapacityFigures | undefined {
     if (figures === undefined) return undefined;
     const speeds = takeChangedEntries(this.speeds, figures.speeds);
     for (const backend of this.speeds.keys()) {
@@ -24,7 +24,7 @@
   }
 
   /** Returns all figures sent so far, or undefined if there are none. */
-  everything(): LearnedFigures | undefined {
+  snapshot(): CapacityFigures | undefined {
     const { speeds, gaps, pauseShares } = this;
     if (speeds.size === 0 && gaps.size === 0 && pauseShares.length === 0) return undefined;
     return { speeds: new Map(speeds), gaps: new Map(gaps), pauseShares };
--- a/src/core/capacity/capacity-estimate.ts
+++ b/src/core/capacity/capacity-estimate.ts
@@ -10,7 +10,7 @@
  * milliseconds of a monotonic clock.
  */
 import type { GapReport, GapSample } from './gap-samples.js';
-import { isCredibleGap, LearnedCapacity, type LearnedFigures } from './learned-capacity.js';
+import { isPlausibleGap, LearnedCapacity, type CapacityFigures } from './learned-capacity.js';
 import { PauseStatistics } from './pause-statistics.js';
 
 /** Half-life of the statistics: a speed lasts as long as its process, but other load on the machine changes within minutes. */
@@ -121,7 +121,7 @@
   private pauseShares: readonly number[] = [];
 
   /** Adds a daemon's report. Returns the number of entries that were dropped as invalid or beyond the limits. */
-  hear(daemon: string, report: GapReport, now: number): number {
+  addReport(daemon: string, report: GapReport, now: number): number {
     let dropped = 0;
     for (const sample of report.samples) {
       if (isInvalid(sample) || this.exceedsModelLimit(sample)) dropped += 1;
@@ -139,7 +139,7 @@
   }
 
   /** Recomputes the estimates. Returns the changes of published speeds, temporary slowness left out. */
-  settle(now: number): SpeedChange[] {
+  recompute(now: number): SpeedChange[] {
     for (const backend of this.backends.values()) decay(backend, now);
     for (let iteration = 0; iteration < FIT_ITERATIONS; iteration++) this.fit();
     this.center();
@@ -151,7 +151,7 @@
   }
 
   /** The published estimates that are sent to the daemons. */
-  get figures(): LearnedFigures {
+  get figures(): CapacityFigures {
     const { speeds, gaps, pauseShares } = this;
     return { speeds, gaps, pauseShares };
   }
@@ -336,5 +336,5 @@
 
 function isInvalid({ gaps, logSum, pauseGoalMs }: GapSample): boolean {
   const isCounted = Number.isFinite(gaps) && gaps > 0 && Number.isFinite(logSum);
-  return !isCounted || !isCredibleGap(Math.exp(logSum / gaps)) || !(pauseGoalMs > 0);
+  return !isCounted || !isPlausibleGap(Math.exp(logSum / gaps)) || !(pauseGoalMs > 0);
 }
--- a/src/core/capacity/capacity-view.ts
+++ b/src/core/capacity/capacity-view.ts
@@ -25,7 +25,7 @@
 }
 
 /** View without any estimates: all backends count as equal. */
-export const EVEN_CAPACITY: CapacityView = {
+export const UNIFORM_CAPACITY: CapacityView = {
   speedOf: () => 1,
   eventGapMs: () => undefined,
   pauseRisk: () => 0,
--- a/src/core/capacity/copy-quality.ts
+++ b/src/core/capacity/copy-quality.ts
@@ -7,7 +7,7 @@
 import type { CapacityView } from './capacity-view.js';
 
 /** Capacity estimates for the placement planner. */
-export interface PlannedCapacity {
+export interface PlanningCapacity {
   readonly view: CapacityView;
   /** The longest pause that callers of a model accept, in milliseconds; infinite if unknown. */
   pauseGoalMs(model: string): number;
@@ -52,13 +52,13 @@
 
   /** @param capacity - Undefined if all backends count as equal. */
   constructor(
-    private readonly capacity: PlannedCapacity | undefined,
+    private readonly capacity: PlanningCapacity | undefined,
     private readonly backends: readonly BackendLedger[],
     private readonly now: number,
   ) {}
 
   /** Quality of a backend for a model relative to the best backend, from {@link MIN_QUALITY} to 1. */
-  ofPlace(backend: string, model: string): number {
+  backendQuality(backend: string, model: string): number {
     if (this.isGoodAnywhere(model)) return 1;
     const { bestOnTimeShare, qualities } = this.qualityOfModel(model);
     const quality = qualities.get(backend) ?? this.computeQuality(backend, model, bestOnTimeShare);
@@ -75,15 +75,15 @@
   }
 
   /** Quality of an existing copy; 1 for a newly loaded one. */
-  ofCopy(ledger: BackendLedger, model: string): number {
+  copyQuality(ledger: BackendLedger, model: string): number {
     const loadedAt = ledger.models.get(model)?.loadedAt ?? this.now;
     const isNew = this.now - loadedAt < NEW_COPY_PERIOD_MS;
-    return isNew ? 1 : this.ofPlace(ledger.id, model);
+    return isNew ? 1 : this.backendQuality(ledger.id, model);
   }
 
   /** Whether a copy at the backend counts as good as at the best backend. */
-  isGood(backend: string, model: string): boolean {
-    return this.ofPlace(backend, model) >= GOOD_QUALITY;
+  isGoodBackend(backend: string, model: string): boolean {
+    return this.backendQuality(backend, model) >= GOOD_QUALITY;
   }
 
   /**
@@ -91,8 +91,8 @@
    *
    * @param urgentRate - Urgent requests per second for the model.
    */
-  lateMs(backend: string, model: string, urgentRate: number): number {
-    const qualityLoss = 1 - this.ofPlace(backend, model);
+  latenessCostMs(backend: string, model: string, urgentRate: number): number {
+    const qualityLoss = 1 - this.backendQuality(backend, model);
     if (qualityLoss === 0) return 0;
     return Math.min(
       MAX_LATENESS_COST_MS,
--- a/src/core/capacity/ejection-floor.ts
+++ b/src/core/capacity/ejection-limit.ts
@@ -5,10 +5,10 @@
  */
 
 /** Largest share of a service's backends that a daemon ejects, because the others must carry the whole load. */
-export const MOST_EJECTED_SHARE = 0.5;
+export const MAX_EJECTED_SHARE = 0.5;
 
 /** A backend that the daemon would eject. */
-export interface AvoidedBackend {
+export interface EjectedBackend {
   readonly id: string;
   /** When the ejection would end, in milliseconds of a monotonic clock. */
   readonly until: number;
@@ -20,8 +20,11 @@
  *
  * @param serving - Backends of the service that take requests.
  */
-export function sparedBackends(avoided: readonly AvoidedBackend[], serving: number): Set<string> {
-  const maxEjected = Math.max(1, Math.floor(serving * MOST_EJECTED_SHARE));
+export function backendsExemptFromEjection(
+  avoided: readonly EjectedBackend[],
+  serving: number,
+): Set<string> {
+  const maxEjected = Math.max(1, Math.floor(serving * MAX_EJECTED_SHARE));
   const longestEjectedFirst = [...avoided].sort((a, b) => b.until - a.until);
   return new Set(longestEjectedFirst.slice(maxEjected).map(({ id }) => id));
 }
--- a/src/core/capacity/gap-samples.ts
+++ b/src/core/capacity/gap-samples.ts
@@ -3,7 +3,7 @@
  * owner of the service. Gaps are summed as logarithms, so that slow periods and single stalls have little
  * weight. No I/O; times are milliseconds of a monotonic clock.
  */
-import { ratioClass, RATIO_CLASSES } from './pause-shares.js';
+import { pauseRatioClass, PAUSE_RATIO_CLASSES } from './pause-shares.js';
 
 /** Observed gaps of one model's streams at one backend. */
 export interface GapSample {
@@ -54,7 +54,7 @@
 /** Collects the gaps of one service's streams. */
 export class GapSamples {
   private readonly collected = new Map<string, CollectedGaps>();
-  private pauseClasses = RATIO_CLASSES.map(() => 0);
+  private pauseClasses = PAUSE_RATIO_CLASSES.map(() => 0);
   private streams = 0;
   private reportedAt = -Infinity;
 
@@ -65,7 +65,7 @@
   }
 
   /** Starts to measure a stream. */
-  watch(backend: string, model: string, pauseGoalMs: number): StreamGaps {
+  measureStream(backend: string, model: string, pauseGoalMs: number): StreamGaps {
     return new StreamGaps(this, backend, model, pauseGoalMs);
   }
 
@@ -82,19 +82,19 @@
   }
 
   /** Counts a finished stream by the ratio of its longest pause to its usual gap. */
-  addPause(ratio: number): void {
-    const index = ratioClass(ratio);
+  addPauseRatio(ratio: number): void {
+    const index = pauseRatioClass(ratio);
     this.pauseClasses[index] = (this.pauseClasses[index] ?? 0) + 1;
     this.streams += 1;
   }
 
   /** Returns and removes the data for a report, starting with the pairs that were collected first. */
-  take(now: number): GapReport {
+  takeReport(now: number): GapReport {
     this.reportedAt = now;
     const samples = [...this.collected.values()].slice(0, MAX_REPORT_SAMPLES);
     for (const { backend, model } of samples) this.collected.delete(`${backend} ${model}`);
     const { pauseClasses } = this;
-    this.pauseClasses = RATIO_CLASSES.map(() => 0);
+    this.pauseClasses = PAUSE_RATIO_CLASSES.map(() => 0);
     this.streams = 0;
     return { samples, pauseClasses };
   }
@@ -118,7 +118,7 @@
   ) {}
 
   /** Records complete events that arrived from the backend in one read. */
-  noteRead(events: number, now: number): void {
+  recordRead(events: number, now: number): void {
     if (events === 0) return;
     const sinceMs = now - (this.lastReadAt ?? -Infinity);
     if (sinceMs < BURST_GAP_MS) {
@@ -144,7 +144,7 @@
     const usualMs = Math.exp(this.logSum / this.gaps);
     this.gaps = 0;
     if (this.pauseGoalMs > usualMs * MAX_GOAL_RATIO) return;
-    this.samples.addPause(this.longestMs / usualMs);
+    this.samples.addPauseRatio(this.longestMs / usualMs);
   }
 
   private countPendingGap(): void {
--- a/src/core/capacity/learned-capacity.ts
+++ b/src/core/capacity/learned-capacity.ts
@@ -1,9 +1,9 @@
 /** Capacity figures that an owner sends to the daemons, and the capacity view computed from them. No I/O. */
 import type { CapacityView } from './capacity-view.js';
-import { shareBeyond, USUAL_PAUSE_SHARES } from './pause-shares.js';
+import { shareBeyond, DEFAULT_PAUSE_SHARES } from './pause-shares.js';
 
 /** Figures that an owner has learned; there is no estimate for a missing entry. */
-export interface LearnedFigures {
+export interface CapacityFigures {
   /** Speeds of backends relative to the usual speed in the service. */
   readonly speeds: ReadonlyMap<string, number>;
   /** Usual milliseconds between two events of a model's streams at a backend of speed 1. */
@@ -14,7 +14,7 @@
 
 /** Capacity view computed from an owner's figures. */
 export class LearnedCapacity implements CapacityView {
-  constructor(private readonly figures: LearnedFigures) {}
+  constructor(private readonly figures: CapacityFigures) {}
 
   speedOf(backend: string): number {
     return this.figures.speeds.get(backend) ?? 1;
@@ -29,30 +29,30 @@
     const gap = this.eventGapMs(backend, model);
     if (gap === undefined) return 0;
     const { pauseShares } = this.figures;
-    const shares = pauseShares.length > 0 ? pauseShares : USUAL_PAUSE_SHARES;
+    const shares = pauseShares.length > 0 ? pauseShares : DEFAULT_PAUSE_SHARES;
     return shareBeyond(pauseGoalMs / gap, shares);
   }
 }
 
 /** Range of plausible speeds. */
-export const SLOWEST_SPEED = 0.1;
-export const FASTEST_SPEED = 10;
+export const MIN_PLAUSIBLE_SPEED = 0.1;
+export const MAX_PLAUSIBLE_SPEED = 10;
 /** Range of plausible usual gaps, in milliseconds. */
-export const SHORTEST_GAP_MS = 0.5;
-export const LONGEST_GAP_MS = 60_000;
+export const MIN_PLAUSIBLE_GAP_MS = 0.5;
+export const MAX_PLAUSIBLE_GAP_MS = 60_000;
 
 /** Whether a reported speed is plausible. */
-export function isCredibleSpeed(speed: number): boolean {
-  return speed >= SLOWEST_SPEED && speed <= FASTEST_SPEED;
+export function isPlausibleSpeed(speed: number): boolean {
+  return speed >= MIN_PLAUSIBLE_SPEED && speed <= MAX_PLAUSIBLE_SPEED;
 }
 
 /** Whether a gap between events is plausible. */
-export function isCredibleGap(milliseconds: number): boolean {
-  return milliseconds >= SHORTEST_GAP_MS && milliseconds <= LONGEST_GAP_MS;
+export function isPlausibleGap(milliseconds: number): boolean {
+  return milliseconds >= MIN_PLAUSIBLE_GAP_MS && milliseconds <= MAX_PLAUSIBLE_GAP_MS;
 }
 
 /** Whether shares of streams are valid: empty, or one per ratio class and all between 0 and 1. */
-export function areCredibleShares(shares: readonly number[]): boolean {
-  const hasValidLength = shares.length === 0 || shares.length === USUAL_PAUSE_SHARES.length;
+export function areValidShares(shares: readonly number[]): boolean {
+  const hasValidLength = shares.length === 0 || shares.length === DEFAULT_PAUSE_SHARES.length;
   return hasValidLength && shares.every((share) => share >= 0 && share <= 1);
 }
--- a/src/core/capacity/pause-shares.ts
+++ b/src/core/capacity/pause-shares.ts
@@ -4,15 +4,15 @@
  */
 
 /** Lower bounds of the ratio classes; the first class also takes all smaller ratios. */
-export const RATIO_CLASSES: readonly number[] = [1, 1.25, 1.5, 2, 2.5, 3, 4, 6];
+export const PAUSE_RATIO_CLASSES: readonly number[] = [1, 1.25, 1.5, 2, 2.5, 3, 4, 6];
 
 /** Default shares of streams whose longest pause reaches each class, until shares are learned: those of undisturbed backends. */
-export const USUAL_PAUSE_SHARES: readonly number[] = [1, 0.7, 0.4, 0.2, 0.12, 0.08, 0.04, 0.02];
+export const DEFAULT_PAUSE_SHARES: readonly number[] = [1, 0.7, 0.4, 0.2, 0.12, 0.08, 0.04, 0.02];
 
 /** Returns the index of a ratio's class. */
-export function ratioClass(ratio: number): number {
+export function pauseRatioClass(ratio: number): number {
   let classIndex = 0;
-  for (const [index, from] of RATIO_CLASSES.entries()) if (ratio >= from) classIndex = index;
+  for (const [index, from] of PAUSE_RATIO_CLASSES.entries()) if (ratio >= from) classIndex = index;
   return classIndex;
 }
 
@@ -24,9 +24,9 @@
  */
 export function shareBeyond(ratio: number, shares: readonly number[]): number {
   if (ratio <= 1) return 1;
-  const upper = RATIO_CLASSES.findIndex((from) => ratio < from);
+  const upper = PAUSE_RATIO_CLASSES.findIndex((from) => ratio < from);
   if (upper < 0) return shares.at(-1) ?? 0;
-  const [from, to] = [RATIO_CLASSES[upper - 1] ?? 1, RATIO_CLASSES[upper] ?? 1];
+  const [from, to] = [PAUSE_RATIO_CLASSES[upper - 1] ?? 1, PAUSE_RATIO_CLASSES[upper] ?? 1];
   const [high, low] = [shares[upper - 1] ?? 1, shares[upper] ?? 0];
   const part = Math.log(ratio / from) / Math.log(to / from);
   return high + (low - high) * part;
--- a/src/core/capacity/pause-statistics.ts
+++ b/src/core/capacity/pause-statistics.ts
@@ -1,5 +1,5 @@
 /** Learns, over one service, how the longest pauses of streams relate to their usual gaps. No I/O. */
-import { RATIO_CLASSES, USUAL_PAUSE_SHARES } from './pause-shares.js';
+import { PAUSE_RATIO_CLASSES, DEFAULT_PAUSE_SHARES } from './pause-shares.js';
 
 /** Half-life of the counts: the load and its disturbances change within minutes. */
 const HALF_LIFE_MS = 120_000;
@@ -12,14 +12,14 @@
 
 /** Exponentially decaying counts of streams; times are milliseconds of a monotonic clock. */
 export class PauseStatistics {
-  private counts = RATIO_CLASSES.map(() => 0);
+  private counts = PAUSE_RATIO_CLASSES.map(() => 0);
   private updatedAt = 0;
 
   /** Adds a report's counts. Returns false if they are invalid. */
   add(counts: readonly number[], now: number): boolean {
     if (counts.length === 0) return true;
     const areValidCounts = counts.every((count) => count >= 0 && count <= MAX_STREAMS_PER_CLASS);
-    if (!areValidCounts || counts.length !== RATIO_CLASSES.length) return false;
+    if (!areValidCounts || counts.length !== PAUSE_RATIO_CLASSES.length) return false;
     this.decay(now);
     this.counts = this.counts.map((count, index) => count + (counts[index] ?? 0));
     return true;
@@ -32,7 +32,7 @@
     if (streams < 1) return previous;
     let beyond = streams;
     const shares = this.counts.map((count, index) => {
-      const priorStreams = PRIOR_STREAMS * (USUAL_PAUSE_SHARES[index] ?? 0);
+      const priorStreams = PRIOR_STREAMS * (DEFAULT_PAUSE_SHARES[index] ?? 0);
       const share = (beyond + priorStreams) / (streams + PRIOR_STREAMS);
       beyond -= count;
       return share;
--- a/src/core/capacity/heard-capacity.ts
+++ b/src/core/capacity/received-capacity.ts
@@ -1,11 +1,11 @@
 /** Capacity figures that a daemon has received from the owner of a service. No I/O. */
-import { EVEN_CAPACITY, type CapacityView } from './capacity-view.js';
+import { UNIFORM_CAPACITY, type CapacityView } from './capacity-view.js';
 import {
-  areCredibleShares,
-  isCredibleGap,
-  isCredibleSpeed,
+  areValidShares,
+  isPlausibleGap,
+  isPlausibleSpeed,
   LearnedCapacity,
-  type LearnedFigures,
+  type CapacityFigures,
 } from './learned-capacity.js';
 
 /**
@@ -18,7 +18,7 @@
 const LEARNING_PERIOD_MS = 3_000;
 
 /** Figures of one service, accumulated from the owner's changes. */
-export class HeardCapacity {
+export class ReceivedCapacity {
   private readonly speeds = new Map<string, number>();
   private readonly gaps = new Map<string, number>();
   private pauseShares: readonly number[] = [];
@@ -26,27 +26,27 @@
   private firstUpdateAt: number | undefined;
 
   /** @param predecessor - Figures from the previous owner; undefined if there was none. */
-  constructor(private predecessor?: HeardCapacity) {}
+  constructor(private predecessor?: ReceivedCapacity) {}
 
   /** Returns empty figures for the same owner, which sends its full state again. The predecessor's figures apply for as long as before. */
-  emptied(): HeardCapacity {
-    const cleared = new HeardCapacity(this.predecessor);
+  cleared(): ReceivedCapacity {
+    const cleared = new ReceivedCapacity(this.predecessor);
     cleared.firstUpdateAt = this.firstUpdateAt;
     return cleared;
   }
 
   /** Records that the owner is alive and applies its changes. Implausible values are ignored. */
-  take(figures: LearnedFigures | undefined, now: number): void {
+  applyUpdate(figures: CapacityFigures | undefined, now: number): void {
     this.lastUpdateAt = now;
     this.firstUpdateAt ??= now;
     if (!this.isLearning(now)) this.predecessor = undefined;
     if (figures === undefined) return;
     for (const [backend, speed] of figures.speeds) {
-      if (isCredibleSpeed(speed)) this.speeds.set(backend, speed);
+      if (isPlausibleSpeed(speed)) this.speeds.set(backend, speed);
     }
-    for (const [model, gap] of figures.gaps) if (isCredibleGap(gap)) this.gaps.set(model, gap);
+    for (const [model, gap] of figures.gaps) if (isPlausibleGap(gap)) this.gaps.set(model, gap);
     const { pauseShares } = figures;
-    if (pauseShares.length > 0 && areCredibleShares(pauseShares)) this.pauseShares = pauseShares;
+    if (pauseShares.length > 0 && areValidShares(pauseShares)) this.pauseShares = pauseShares;
   }
 
   /** Removes a backend that the owner no longer reports. */
@@ -58,7 +58,7 @@
   /** Returns the capacity view that follows from the owner's figures, or from its predecessor's while it is learning. */
   view(now: number): CapacityView {
     if (this.predecessor !== undefined && this.isLearning(now)) return this.predecessor.view(now);
-    if (now - this.lastUpdateAt > FIGURES_LIFETIME_MS) return EVEN_CAPACITY;
+    if (now - this.lastUpdateAt > FIGURES_LIFETIME_MS) return UNIFORM_CAPACITY;
     const { speeds, gaps, pauseShares } = this;
     return new LearnedCapacity({ speeds, gaps, pauseShares });
   }
--- a/src/core/claim-table.ts
+++ b/src/core/claim-table.ts
@@ -33,7 +33,7 @@
   constructor(private readonly startedAt: number) {}
 
   /** Whether unexpired claims may be missing from the table, because the process has restarted. */
-  isYoung(now: number): boolean {
+  mayLackClaims(now: number): boolean {
     return !this.isComplete && now - this.startedAt < CLAIM_LIFETIME_MS;
   }
 
@@ -42,7 +42,7 @@
    * voters, whose tables were complete, after the end of every round that could
    * still count a vote of this voter's previous process.
    */
-  markInformed(): void {
+  markComplete(): void {
     this.isComplete = true;
   }
 
@@ -65,7 +65,7 @@
    * Merges claims of another voter. If the two tables hold a key for different
    * requests, either request may have its quorum, so the key is refused to both.
    */
-  adopt(claims: readonly KeyClaim[], now: number): void {
+  merge(claims: readonly KeyClaim[], now: number): void {
     for (const claim of claims) {
       if (claim.expiresAt <= now) continue;
       const id = claimId(claim.tenant, claim.key);
@@ -76,7 +76,7 @@
   }
 
   /** Deletes expired claims. */
-  expire(now: number): void {
+  deleteExpired(now: number): void {
     for (const [id, claim] of this.claims) if (claim.expiresAt <= now) this.claims.delete(id);
   }
 
--- a/src/core/configuration-lease.ts
+++ b/src/core/configuration-lease.ts
@@ -12,7 +12,7 @@
 import { NewestProof } from './newest-proof.js';
 
 /** States that at `provenAt` the platform had accepted no configuration newer than `version`. */
-export interface CurrencyProof {
+export interface ConfigurationProof {
   readonly version: number;
   /** Milliseconds of the lease clock of the daemon that holds the proof. */
   readonly provenAt: number;
@@ -23,21 +23,21 @@
   private readonly proof = new NewestProof();
   private version = 0;
   /** The newest proof for a configuration that this daemon has not received yet. */
-  private pending: CurrencyProof | undefined;
+  private pending: ConfigurationProof | undefined;
 
   /** Records that a configuration is in force, and applies the pending proof if it is for this version or an older one. */
-  configured(version: number): void {
+  setVersion(version: number): void {
     this.version = Math.max(this.version, version);
     const { pending } = this;
     if (pending === undefined || pending.version > this.version) return;
     this.pending = undefined;
-    this.proof.prove(pending.provenAt);
+    this.proof.add(pending.provenAt);
   }
 
   /** Adds a proof. A proof for a newer configuration stays pending until that configuration is in force. */
-  prove(proof: CurrencyProof): void {
+  addProof(proof: ConfigurationProof): void {
     if (proof.version <= this.version) {
-      this.proof.prove(proof.provenAt);
+      this.proof.add(proof.provenAt);
     } else if (this.pending === undefined || proof.provenAt > this.pending.provenAt) {
       this.pending = proof;
     }
--- a/src/core/crash-records.ts
+++ b/src/core/crash-records.ts
@@ -60,25 +60,25 @@
   }
 
   /** Records a crash of a backend start that was running the request. Returns the record to send to other daemons if it is new. */
-  noteCrash(digest: string, start: string, now: number): CrashRecord | undefined {
+  recordCrash(digest: string, start: string, now: number): CrashRecord | undefined {
     return this.merge({ digest, starts: [start], excused: [], ageMs: 0 }, now);
   }
 
   /** Records that the request was answered, so it did not cause the earlier crashes. Returns the record to send to other daemons if it is new. */
-  noteAnswer(digest: string, now: number): CrashRecord | undefined {
+  recordAnswer(digest: string, now: number): CrashRecord | undefined {
     const known = this.known.get(digest);
     if (known === undefined || attributedStarts(known).length === 0) return undefined;
     return this.merge({ digest, starts: [], excused: known.starts, ageMs: 0 }, now);
   }
 
   /** Records that a caller has repeated the request, which extends the time for which its record is kept. */
-  noteRepeat(digest: string, now: number): void {
+  recordRepeat(digest: string, now: number): void {
     const known = this.known.get(digest);
     if (known !== undefined) known.lastSeenAt = now;
   }
 
   /** Merges records of another daemon. Returns those that contained something new. */
-  hear(records: readonly CrashRecord[], now: number): CrashRecord[] {
+  mergeAll(records: readonly CrashRecord[], now: number): CrashRecord[] {
     const unexpired = records.filter((record) => record.ageMs < RETENTION_MS);
     return unexpired.filter((record) => this.merge(record, now) !== undefined);
   }
@@ -89,7 +89,7 @@
   }
 
   verdict(digest: string): CrashVerdict {
-    const crashes = this.crashesOf(digest);
+    const crashes = this.attributedCrashes(digest);
     if (crashes >= CONDEMNED_MIN_CRASHES) return 'condemned';
     return crashes >= SUSPECT_MIN_CRASHES ? 'suspect' : 'sound';
   }
@@ -98,7 +98,7 @@
    * Number of crashes attributed to a request. If several requests were running at a crashed backend, the crash is attributed to
    * the one with the most crashes, so that a request that only ran beside the cause is not blamed.
    */
-  crashesOf(digest: string): number {
+  attributedCrashes(digest: string): number {
     const known = this.known.get(digest);
     if (known === undefined) return 0;
     const attributed = attributedStarts(known);
@@ -108,7 +108,7 @@
   }
 
   /** Digests of the requests that are refused. */
-  condemned(): string[] {
+  condemnedDigests(): string[] {
     return [...this.known.keys()].filter((digest) => this.verdict(digest) === 'condemned');
   }
 
@@ -128,7 +128,7 @@
   }
 
   /** Deletes records that have expired. */
-  forgetOld(now: number): void {
+  deleteExpired(now: number): void {
     for (const [digest, known] of this.known) {
       const hasAttributedCrashes = attributedStarts(known).length > 0;
       if (now - known.lastSeenAt < (hasAttributedCrashes ? RETENTION_MS : ANSWERED_RETENTION_MS))
--- a/src/core/duties.ts
+++ b/src/core/duties.ts
@@ -36,17 +36,20 @@
  * of the daemons that the platform lists there. Otherwise a partitioned daemon
  * would take pools from owners that are still running.
  */
-export function seesEnough(
+export function reachesHalfOfSite(
   pool: DutyPool,
   members: readonly DutyMember[],
   listed: readonly DutyMember[],
 ): boolean {
   const isInSite = (member: DutyMember): boolean => member.site === pool.site;
-  return seesHalf(members.filter(isInSite), listed.filter(isInSite));
+  return reachesHalf(members.filter(isInSite), listed.filter(isInSite));
 }
 
 /** Whether the live members are at least half of those that the platform lists. */
-export function seesHalf(members: readonly DutyMember[], listed: readonly DutyMember[]): boolean {
+export function reachesHalf(
+  members: readonly DutyMember[],
+  listed: readonly DutyMember[],
+): boolean {
   return members.length * 2 >= listed.length;
 }
 
@@ -57,7 +60,7 @@
  * The daemons on the most powerful machines. If machines differ, duties whose load
  * grows with the size of the system go to these while at least one is live.
  */
-export function ablestOf<Member extends { readonly capacity: number }>(
+export function highCapacityMembers<Member extends { readonly capacity: number }>(
   members: readonly Member[],
 ): Member[] {
   const largest = members.reduce((most, member) => Math.max(most, member.capacity), 0);
@@ -95,12 +98,12 @@
 }
 
 /** The quota partition of a tenant. */
-export function quotaPart(tenant: string): number {
+export function quotaPartition(tenant: string): number {
   return rendezvousWeight('quota', tenant) % QUOTA_PARTITIONS;
 }
 
 /** The quota partitions for which `self` is responsible. */
-export function quotaPartsOf(self: string, members: readonly DutyMember[]): Set<number> {
+export function quotaPartitionsOf(self: string, members: readonly DutyMember[]): Set<number> {
   const addresses = addressesOf(members);
   const parts = new Set<number>();
   for (let part = 0; part < QUOTA_PARTITIONS; part++) {
--- a/src/core/engine-ledger.ts
+++ b/src/core/engine-ledger.ts
@@ -31,11 +31,11 @@
 }
 
 /** Changes that a report reveals. */
-export interface ReportNews {
+export interface ReportChanges {
   /** Replicas that have become loaded. */
   readonly loaded: CountedReplica[];
   /** Tenants that are used again after an idle time. */
-  readonly woken: { readonly tenant: string; readonly idleMs: number }[];
+  readonly reactivated: { readonly tenant: string; readonly idleMs: number }[];
 }
 
 /** The owner's view of one engine. */
@@ -147,8 +147,8 @@
    * with an older number is ignored, and a replica missing from the report is removed
    * only if the engine had already processed the last order for it.
    */
-  adopt(report: EngineReport, now: number): ReportNews {
-    const changes: ReportNews = { loaded: [], woken: [] };
+  applyReport(report: EngineReport, now: number): ReportChanges {
+    const changes: ReportChanges = { loaded: [], reactivated: [] };
     if (report.incarnation !== this.incarnation || report.number <= this.lastReport) return changes;
     this.lastReport = report.number;
     this.capacityBytes = report.capacityBytes;
@@ -169,13 +169,13 @@
     holding: Holding,
     reportSequence: number,
     now: number,
-    changes: ReportNews,
+    changes: ReportChanges,
   ): void {
     const tenant = holding.replica.tenant;
     const known =
       this.replicas.get(tenant) ?? this.addReportedReplica(holding, reportSequence, now);
     if (known.inFlight === 0 && holding.inFlight > 0) {
-      changes.woken.push({ tenant, idleMs: now - known.lastUsedAt });
+      changes.reactivated.push({ tenant, idleMs: now - known.lastUsedAt });
     }
     known.inFlight = holding.inFlight;
     known.lastUsedAt = Math.max(known.lastUsedAt, now - holding.idleMs);
--- a/src/core/event-stream.ts
+++ b/src/core/event-stream.ts
@@ -36,7 +36,7 @@
   }
 
   /** Number of buffered bytes that belong to an incomplete event. */
-  get incomplete(): number {
+  get incompleteBytes(): number {
     return this.buffered.length;
   }
 }
--- a/src/core/exchange-schedule.ts
+++ b/src/core/exchange-schedule.ts
@@ -24,7 +24,7 @@
   constructor(private readonly self: string) {}
 
   /** Shortens the period after an exchange brought new members, or when members are known to be missing. */
-  noteLearned(now: number): void {
+  recordNewMembers(now: number): void {
     this.hasNewMembers = true;
     if (this.periodMs === MIN_PERIOD_MS) return;
     this.periodMs = MIN_PERIOD_MS;
--- a/src/core/hold-policy-expected-service.ts
+++ b/src/core/hold-policy-expected-service.ts
@@ -6,7 +6,7 @@
  * not served in the end. Pure.
  */
 import {
-  comeBackAfterMs,
+  retryAfterFor,
   FIRST_PART_MS,
   type HeldRequest,
   type HoldDecision,
@@ -34,16 +34,14 @@
     const { readyInMs } = request;
     const mayWait =
       readyInMs === undefined ? mayGetForecast(request) : this.isLikely(request, readyInMs);
-    return mayWait
-      ? { type: 'hold' }
-      : { type: 'refuse', retryAfterMs: comeBackAfterMs(readyInMs) };
+    return mayWait ? { type: 'hold' } : { type: 'refuse', retryAfterMs: retryAfterFor(readyInMs) };
   }
 
   /**
    * Records the ratio of actual to forecast wait. For a request that ended unsent, the time spent is only a lower bound
    * of the wait, so it counts only if it exceeds the forecast.
    */
-  noteWait({ toldMs, spentMs, wasSent }: ObservedWait): void {
+  recordWait({ forecastMs: toldMs, spentMs, wasSent }: ObservedWait): void {
     if (!wasSent && spentMs <= toldMs) return;
     this.ratios[this.nextIndex] = (spentMs + ROUND_MS) / (toldMs + ROUND_MS);
     this.nextIndex = (this.nextIndex + 1) % MAX_REMEMBERED_RATIOS;
--- a/src/core/hold-policy-goal-windows.ts
+++ b/src/core/hold-policy-goal-windows.ts
@@ -4,7 +4,7 @@
  * refusal is held while it can still be served. Pure.
  */
 import {
-  comeBackAfterMs,
+  retryAfterFor,
   FIRST_PART_MS,
   type HeldRequest,
   type HoldDecision,
@@ -30,8 +30,8 @@
 
 function holdOrRefuse(request: HeldRequest): HoldDecision {
   const { goalMs, waitedMs, remainingMs, readyInMs } = request;
-  const retryAfterMs = comeBackAfterMs(readyInMs);
-  if (request.hasComeBack) {
+  const retryAfterMs = retryAfterFor(readyInMs);
+  if (request.isRetry) {
     return canMeetDeadline(request) ? { type: 'hold' } : { type: 'refuse', retryAfterMs };
   }
   if (readyInMs === undefined) {
@@ -50,7 +50,7 @@
     return holdOrRefuse(request);
   }
 
-  noteWait(): void {
+  recordWait(): void {
     // The windows are fixed, so observed waits are ignored.
   }
 }
--- a/src/core/hold-policy.ts
+++ b/src/core/hold-policy.ts
@@ -15,7 +15,7 @@
   /** Expected time until a backend can take the request; undefined without a forecast. */
   readonly readyInMs: number | undefined;
   /** Whether the caller was refused before; it will not try a third time. */
-  readonly hasComeBack: boolean;
+  readonly isRetry: boolean;
 }
 
 /** Whether the request is held or refused. */
@@ -25,7 +25,7 @@
 /** The forecast and the actual duration of a wait. */
 export interface ObservedWait {
   /** The first forecast of the time until a backend could take the request. */
-  readonly toldMs: number;
+  readonly forecastMs: number;
   /** Time until a backend took the request, or until the request ended unsent. */
   readonly spentMs: number;
   readonly wasSent: boolean;
@@ -36,7 +36,7 @@
   /** Returns whether the request waits or is refused now. */
   decide(request: HeldRequest): HoldDecision;
   /** Records the wait of a held request that was sent or ended unsent. */
-  noteWait(wait: ObservedWait): void;
+  recordWait(wait: ObservedWait): void;
 }
 
 /** Time that a backend needs to produce the first part of an answer. */
@@ -47,6 +47,6 @@
 const RETRY_MARGIN_MS = 150;
 
 /** The time in milliseconds after which a refused caller should retry. */
-export function comeBackAfterMs(readyInMs: number | undefined): number {
+export function retryAfterFor(readyInMs: number | undefined): number {
   return (readyInMs ?? DEFAULT_READY_MS) + RETRY_MARGIN_MS;
 }
--- a/src/core/keep-alive-adaptive.ts
+++ b/src/core/keep-alive-adaptive.ts
@@ -57,7 +57,7 @@
     // Without observations, keeping the replica for the worth of a cold start costs at most twice the optimum.
     if (source === undefined || source.times.length < MIN_IDLE_TIMES)
       return Math.min(coldStartWorthMs, maxKeepMs);
-    source.cheapestMs ??= cheapestStay(source.times, coldStartWorthMs);
+    source.cheapestMs ??= cheapestKeepAliveMs(source.times, coldStartWorthMs);
     return Math.min(source.cheapestMs, maxKeepMs);
   }
 }
@@ -79,7 +79,7 @@
  * Returns the keep-alive duration in milliseconds with the lowest total cost of idle time and cold starts; the candidates
  * are the observed idle times.
  */
-export function cheapestStay(times: readonly number[], coldStartWorthMs: number): number {
+export function cheapestKeepAliveMs(times: readonly number[], coldStartWorthMs: number): number {
   const sorted = [...times].sort((a, b) => a - b);
   let bestMs = 0;
   let bestCost = sorted.length * coldStartWorthMs;
--- a/src/core/load-place.ts
+++ b/src/core/load-candidates.ts
@@ -4,8 +4,12 @@
  */
 import { modelSpec, type BackendLedger } from './backend-ledger.js';
 import type { ModelWorth } from './model-worth.js';
-import { ExpectedCallersCost, FreeOrderChannel, type OrderChannelCost } from './order-channel.js';
-import type { CopyPlace, PlanningInput } from './planning.js';
+import {
+  ExpectedDelayCost,
+  ZeroOrderChannelCost,
+  type OrderChannelCost,
+} from './order-channel-cost.js';
+import type { WeightsLocation, PlanningInput } from './planning.js';
 import type { ModelSpec } from './service-configuration.js';
 
 /**
@@ -15,10 +19,10 @@
 const STORE_LOAD_COST_MS = 600;
 
 /** A backend that could load the model, with the cost of the load there. */
-export interface LoadPlace {
+export interface LoadCandidate {
   readonly ledger: BackendLedger;
   /** Whether the load, or the unload that must come first, can be ordered now. */
-  readonly isFree: boolean;
+  readonly canStartNow: boolean;
   /**
    * Total cost in milliseconds: the time until the model is loaded, the worth of evicted models and
    * any surcharges.
@@ -28,7 +32,7 @@
   readonly readyInMs: number;
   /** Milliseconds that the load itself takes. */
   readonly loadMs: number;
-  readonly copy: CopyPlace;
+  readonly copy: WeightsLocation;
   /** Models to unload first, in this order. */
   readonly victims: readonly string[];
   /** Total worth of the victims, in milliseconds. */
@@ -56,7 +60,7 @@
 }
 
 /** Computes the load candidates of one planning round. */
-export class LoadPlaces {
+export class LoadCandidates {
   private readonly reserved = new Set<string>();
   /** Work queued for each backend, in milliseconds. */
   private readonly queuedMs = new Map<string, number>();
@@ -80,19 +84,19 @@
     private readonly worth: ModelWorth,
   ) {
     this.channelPricing = input.policies.orderChannelCost
-      ? new ExpectedCallersCost(input)
-      : new FreeOrderChannel();
+      ? new ExpectedDelayCost(input)
+      : new ZeroOrderChannelCost();
     this.storeLoads = input.storeLoads;
-    this.storeSlotWaitsMs = [...input.storePlaceWaits];
+    this.storeSlotWaitsMs = [...input.storeSlotWaitsMs];
   }
 
   /** Whether any backend can be given a model order now. */
-  hasFree(): boolean {
+  hasAvailableBackend(): boolean {
     return this.input.backends.some((ledger) => this.isFree(ledger));
   }
 
   private isFree(ledger: BackendLedger): boolean {
-    return ledger.takesModelOrder && !this.reserved.has(ledger.id);
+    return ledger.canSendModelOrder && !this.reserved.has(ledger.id);
   }
 
   /** Excludes the backend from further orders in this round. */
@@ -105,12 +109,12 @@
   }
 
   /** Counts a load from the weight store that starts now. */
-  useStore(candidate: LoadPlace): void {
+  startStoreLoad(candidate: LoadCandidate): void {
     this.storeLoads -= 1;
     this.occupyStoreSlot(candidate);
   }
 
-  private occupyStoreSlot(candidate: LoadPlace): void {
+  private occupyStoreSlot(candidate: LoadCandidate): void {
     const waits = this.storeSlotWaitsMs;
     waits[waits.indexOf(Math.min(...waits))] = candidate.readyInMs;
   }
@@ -121,7 +125,7 @@
   }
 
   /** Records that a backend will load a model for which memory is being freed. */
-  expect(ledger: BackendLedger, spec: ModelSpec): void {
+  addReservedLoad(ledger: BackendLedger, spec: ModelSpec): void {
     this.addWork(ledger.id, 1000 * loadSeconds(spec, nearestCopy(ledger, spec.name)));
     this.modelsToLoad.set(ledger.id, spec);
     this.occupancies.delete(ledger.id);
@@ -131,7 +135,7 @@
    * Queues a load that cannot start now. With `forecastAll`, a load that waits for the weight
    * store does not occupy the backend: loads from its disk or host memory go first.
    */
-  queue(candidate: LoadPlace): void {
+  queueLoad(candidate: LoadCandidate): void {
     const isFromStore = candidate.copy === 'store';
     const occupiesBackend = !isFromStore || !this.input.policies.forecastAll;
     if (occupiesBackend) this.addWork(candidate.ledger.id, candidate.loadMs);
@@ -145,11 +149,11 @@
   cheapest(
     spec: ModelSpec,
     suits: (backend: string) => boolean = () => true,
-  ): LoadPlace | undefined {
-    let best: LoadPlace | undefined;
+  ): LoadCandidate | undefined {
+    let best: LoadCandidate | undefined;
     for (const ledger of this.input.backends) {
       if (ledger.models.has(spec.name) || !suits(ledger.id)) continue;
-      const candidate = this.at(ledger, spec);
+      const candidate = this.candidateAt(ledger, spec);
       if (candidate !== undefined && (best === undefined || candidate.cost < best.cost))
         best = candidate;
     }
@@ -159,7 +163,7 @@
   /**
    * Returns the candidate for a load at the given backend; undefined if the model cannot fit there.
    */
-  at(ledger: BackendLedger, spec: ModelSpec): LoadPlace | undefined {
+  candidateAt(ledger: BackendLedger, spec: ModelSpec): LoadCandidate | undefined {
     const copy = nearestCopy(ledger, spec.name);
     const isFromStore = copy === 'store';
     const storeWaitMs = isFromStore ? Math.min(...this.storeSlotWaitsMs) : 0;
@@ -172,11 +176,20 @@
     const displacedWorth = sumOver(victims, (victim) => victim.worth);
     const readyInMs = Math.max(this.waitMs(ledger) + unloadMs, storeWaitMs) + loadMs;
     const storeCost = isFromStore ? STORE_LOAD_COST_MS : 0;
-    const channelCost = this.channelPricing.ofOrder(ledger, loadMs);
+    const channelCost = this.channelPricing.orderCostMs(ledger, loadMs);
     const lateCost = this.lateCost(ledger, spec);
     const cost = readyInMs + displacedWorth + storeCost + channelCost + lateCost;
     const names = victims.map((victim) => victim.name);
-    return { ledger, isFree, cost, readyInMs, loadMs, copy, victims: names, displacedWorth };
+    return {
+      ledger,
+      canStartNow: isFree,
+      cost,
+      readyInMs,
+      loadMs,
+      copy,
+      victims: names,
+      displacedWorth,
+    };
   }
 
   /**
@@ -185,7 +198,7 @@
   private lateCost(ledger: BackendLedger, { name }: ModelSpec): number {
     const { quality } = this.worth;
     if (quality.isGoodAnywhere(name)) return 0;
-    return quality.lateMs(ledger.id, name, this.worth.urgentRate(name));
+    return quality.latenessCostMs(ledger.id, name, this.worth.urgentRate(name));
   }
 
   /** Milliseconds until the backend has finished its current order and its queued work. */
@@ -250,7 +263,7 @@
     const spec = modelSpec(this.input.host, name);
     const adapters = ledger.models.get(name)?.adapters.size ?? 0;
     const megabytes = (spec?.megabytes ?? 0) + adapters * (spec?.adapterMegabytes ?? 0);
-    const worth = this.worth.ofCopy(ledger, name);
+    const worth = this.worth.copyWorth(ledger, name);
     return { name, megabytes, worth, unloadMs: this.worth.unloadMs(ledger, name) };
   }
 }
@@ -278,12 +291,12 @@
 }
 
 /** Returns the nearest location of a model's weights for a backend. */
-function nearestCopy(ledger: BackendLedger, model: string): CopyPlace {
+function nearestCopy(ledger: BackendLedger, model: string): WeightsLocation {
   if (ledger.inMemory.has(model)) return 'memory';
   return ledger.onDisk.has(model) ? 'disk' : 'store';
 }
 
-function loadSeconds(spec: ModelSpec, copy: CopyPlace): number {
+function loadSeconds(spec: ModelSpec, copy: WeightsLocation): number {
   if (copy === 'memory') return spec.memoryLoadSeconds;
   return copy === 'disk' ? spec.diskLoadSeconds : spec.storeLoadSeconds;
 }
--- a/src/core/load-times.ts
+++ b/src/core/load-time-estimator.ts
@@ -14,7 +14,7 @@
 };
 
 /** Learns, for each checkpoint tier, the ratio of observed load times to the initial estimate. */
-export class LoadTimes {
+export class LoadTimeEstimator {
   private readonly factors = new Map<CheckpointTier, number>();
 
   /** Expected milliseconds of a load. */
--- a/src/core/location-publisher.ts
+++ b/src/core/location-publisher.ts
@@ -25,7 +25,7 @@
   }
 
   /** Deletes the state of routers that are no longer subscribed. */
-  keepOnly(isSubscribed: (router: string, tenant: string) => boolean): void {
+  retainSubscribed(isSubscribed: (router: string, tenant: string) => boolean): void {
     for (const key of this.sentSignatures.keys()) {
       const [router = '', tenant = ''] = key.split('\n');
       if (!isSubscribed(router, tenant)) this.sentSignatures.delete(key);
--- a/src/core/member-entries.ts
+++ b/src/core/member-entries.ts
@@ -2,11 +2,11 @@
  * Detects from the entries in the platform's list of daemons which daemons have ended. Each daemon renews its entry
  * periodically and removes it on a planned stop. Performs no I/O; times are milliseconds of the steady clock.
  */
-import { RENEWAL_LAPSES_MS } from './admission/limit-shares.js';
+import { RENEWAL_EXPIRY_MS } from './admission/limit-shares.js';
 import type { StorePosition } from './store-position.js';
 
 /** A daemon whose entry has been unchanged for this time has expired by its own clock too, since lists can be some seconds old. */
-const UNCHANGED_TIMEOUT_MS = RENEWAL_LAPSES_MS + 60_000;
+const UNCHANGED_TIMEOUT_MS = RENEWAL_EXPIRY_MS + 60_000;
 /** A daemon whose entry has been missing for this time has removed it. A store restored from a backup lacks entries for a shorter time, until daemons write them again. */
 const MISSING_TIMEOUT_MS = 90_000;
 
--- a/src/core/membership-news.ts
+++ b/src/core/membership-updates.ts
@@ -9,7 +9,7 @@
 const FIXED_UPDATE_BYTES = 28;
 
 /** Updates that still have to be sent. */
-export class MembershipNews {
+export class MembershipUpdates {
   /** Addresses of members with updates, and how often each still has to be sent. */
   private readonly remainingSends = new Map<string, number>();
 
@@ -19,7 +19,7 @@
   }
 
   /** Removes the update about a member. */
-  drop(address: string): void {
+  remove(address: string): void {
     this.remainingSends.delete(address);
   }
 
--- a/src/core/membership.ts
+++ b/src/core/membership.ts
@@ -14,10 +14,10 @@
   ProbeMessage,
   StateMessage,
 } from './membership-messages.js';
-import { MembershipNews } from './membership-news.js';
+import { MembershipUpdates } from './membership-updates.js';
 
 /** Timing parameters of the protocol, in milliseconds. */
-export interface MembershipTimes {
+export interface MembershipTimings {
   /** Time between two probes sent by a daemon. Default 300. */
   readonly probePeriodMs: number;
   /** Timeout of a direct probe. Default 120. */
@@ -27,16 +27,16 @@
   /** Time after which an unrefuted suspect counts as dead. Default 900. */
   readonly suspicionMs: number;
   /** Time for which a dead member is remembered. Default 60,000. */
-  readonly rememberDeadMs: number;
+  readonly deadRetentionMs: number;
 }
 
 /** Default timing parameters. */
-export const DEFAULT_MEMBERSHIP_TIMES: MembershipTimes = {
+export const DEFAULT_MEMBERSHIP_TIMINGS: MembershipTimings = {
   probePeriodMs: 300,
   directTimeoutMs: 120,
   indirectTimeoutMs: 280,
   suspicionMs: 900,
-  rememberDeadMs: 60_000,
+  deadRetentionMs: 60_000,
 };
 
 /** Number of other daemons that send an indirect probe. */
@@ -63,7 +63,7 @@
 export class Membership {
   private readonly members = new Map<string, MemberEntry>();
   private readonly probes = new Map<number, Probe>();
-  private readonly pendingUpdates = new MembershipNews();
+  private readonly pendingUpdates = new MembershipUpdates();
   private readonly exchanges: ExchangeSchedule;
   private exchangeCount = 0;
   private seeds: readonly string[] = [];
@@ -77,13 +77,13 @@
 
   constructor(
     private self: MemberView,
-    private readonly times: MembershipTimes = DEFAULT_MEMBERSHIP_TIMES,
+    private readonly times: MembershipTimings = DEFAULT_MEMBERSHIP_TIMINGS,
   ) {
     this.exchanges = new ExchangeSchedule(self.address);
   }
 
   /** The view of itself that this daemon sends to others. */
-  get own(): MemberView {
+  get ownView(): MemberView {
     return this.self;
   }
 
@@ -150,7 +150,7 @@
     this.seeds = addresses;
     const isNew = (address: string): boolean =>
       !known.has(address) && this.isUnknownOrDead(address);
-    if (addresses.some(isNew)) this.exchanges.noteLearned(now);
+    if (addresses.some(isNew)) this.exchanges.recordNewMembers(now);
   }
 
   /** Exchanges the full state with one other daemon, alternating between unknown seeds and known members. */
@@ -177,7 +177,7 @@
       this.applyUpdate(view, now, 'told');
       foundMembers ||= !wasLive && this.isLive(view.address);
     }
-    if (foundMembers) this.exchanges.noteLearned(now);
+    if (foundMembers) this.exchanges.recordNewMembers(now);
   }
 
   /** Sends a member the views that it lacks or holds in an older version. */
@@ -271,9 +271,9 @@
         this.queueUpdate(address);
         this.notifyImmediately(address);
       }
-      if (entry.view.state === 'dead' && age >= this.times.rememberDeadMs) {
+      if (entry.view.state === 'dead' && age >= this.times.deadRetentionMs) {
         this.members.delete(address);
-        this.pendingUpdates.drop(address);
+        this.pendingUpdates.remove(address);
       }
     }
   }
@@ -332,7 +332,7 @@
     if (known !== undefined && !supersedes(update, known)) return;
     this.setMember(update, now);
     if (origin === 'news') this.queueUpdate(update.address);
-    else this.pendingUpdates.drop(update.address);
+    else this.pendingUpdates.remove(update.address);
   }
 
   /** Refutes a report that this daemon is suspect or dead, by a higher incarnation. */
--- a/src/core/model-demand.ts
+++ b/src/core/model-demand.ts
@@ -5,7 +5,7 @@
 import { adapterKey } from './backend-ledger.js';
 import type { ModelReference } from './service-configuration.js';
 import type { DemandReport, DemandSample } from './demand-report.js';
-import { earliestDueFirst, type WaitingOrder } from './waiting-order.js';
+import { earliestDueFirst, type WaitingModelComparator } from './waiting-model-comparators.js';
 
 /** Time in which a rate falls to half its value without requests. */
 export const RATE_HALF_LIFE_MS = 8_000;
@@ -60,10 +60,10 @@
   /** Cached result of {@link waiting} for one moment; cleared by the next report. */
   private ranked: { readonly at: number; readonly samples: readonly DemandSample[] } | undefined;
 
-  constructor(private readonly order: WaitingOrder = earliestDueFirst) {}
+  constructor(private readonly order: WaitingModelComparator = earliestDueFirst) {}
 
   /** Applies a daemon's report, replacing its previous one. */
-  hear(report: DemandReport, now: number): void {
+  applyReport(report: DemandReport, now: number): void {
     this.removeReport(report.daemon);
     this.reports.set(report.daemon, { report, receivedAt: now });
     this.addUse(report, 1);
@@ -82,7 +82,7 @@
    * Removes a restarted backend from the reports: the requests in flight there ended with its
    * previous process.
    */
-  forgetBackend(backend: string): void {
+  removeBackend(backend: string): void {
     for (const [daemon, { report, receivedAt }] of this.reports) {
       const ended = report.use.filter((use) => use.backend === backend);
       if (ended.length === 0 && !report.failing.includes(backend)) continue;
@@ -124,7 +124,7 @@
       this.waitingSince.set(key, since);
       const rate = Math.max(MIN_RATE_PER_SECOND, this.rateOf(sample, now));
       const nextDueInMs = 1_000 / rate + sample.goalMs;
-      return { sample, since, waitedMs: now - since, nextDueInMs };
+      return { sample, waitingSince: since, waitedMs: now - since, nextDueInMs };
     });
     return waitingModels.sort(this.order).map(({ sample }) => sample);
   }
@@ -133,7 +133,7 @@
    * Models for which requests have been waiting for at least `milliseconds`, whether or not a
    * backend has them loaded.
    */
-  awaitedFor(milliseconds: number, now: number): Set<string> {
+  modelsWaitingFor(milliseconds: number, now: number): Set<string> {
     const models = this.waiting(now).filter((sample) => {
       const since = this.waitingSince.get(adapterKey(sample)) ?? now;
       return now - since >= milliseconds;
@@ -189,7 +189,7 @@
 
   /** Smoothed rate of all requests per second. */
   rateOf(reference: ModelReference, now: number): number {
-    return this.urgentRate(reference, now) + this.patientRate(reference, now);
+    return this.urgentRate(reference, now) + this.delayTolerantRate(reference, now);
   }
 
   /** Smoothed rate of requests per second for the adapters of each model. */
@@ -212,7 +212,7 @@
   }
 
   /** Smoothed rate of requests per second whose latency goal leaves time for a load. */
-  patientRate(reference: ModelReference, now: number): number {
+  delayTolerantRate(reference: ModelReference, now: number): number {
     return this.decayed(reference, now)?.delayTolerant ?? 0;
   }
 
@@ -220,7 +220,7 @@
    * Shortest latency goal that leaves time for a load, in milliseconds; undefined if there was no
    * such request.
    */
-  patientGoalMs(reference: ModelReference): number | undefined {
+  delayTolerantGoalMs(reference: ModelReference): number | undefined {
     return this.rates.get(adapterKey(reference))?.delayTolerantGoalMs;
   }
 
--- a/src/core/model-worth.ts
+++ b/src/core/model-worth.ts
@@ -42,7 +42,7 @@
     this.quality = new CopyQuality(input.capacity, input.backends, input.now);
     this.copyCounts = countCopies(input.backends, () => 1);
     this.effectiveCounts = countCopies(input.backends, (ledger, model) =>
-      this.quality.ofCopy(ledger, model),
+      this.quality.copyQuality(ledger, model),
     );
   }
 
@@ -54,14 +54,14 @@
   /**
    * Like {@link copies}, but a copy at a backend that suits the model badly counts only in part.
    */
-  fullCopies(model: string): number {
+  effectiveCopies(model: string): number {
     return this.effectiveCounts.get(model) ?? 0;
   }
 
   /** Counts a copy whose load was ordered in this round. */
-  noteLoad(model: string): void {
+  recordLoad(model: string): void {
     this.copyCounts.set(model, this.copies(model) + 1);
-    this.effectiveCounts.set(model, this.fullCopies(model) + 1);
+    this.effectiveCounts.set(model, this.effectiveCopies(model) + 1);
   }
 
   /**
@@ -69,7 +69,7 @@
    * part of the callers.
    */
   isCrowded(model: string): boolean {
-    return this.wouldCrowd(model, this.fullCopies(model));
+    return this.wouldCrowd(model, this.effectiveCopies(model));
   }
 
   private wouldCrowd(model: string, copies: number): boolean {
@@ -88,10 +88,10 @@
   }
 
   /** Cost of losing the copy at a backend, in milliseconds. */
-  ofCopy(ledger: BackendLedger, model: string): number {
+  copyWorth(ledger: BackendLedger, model: string): number {
     const { demand, now } = this.input;
     const tolerantWorth =
-      demand.patientRate(reference(model), now) * this.delayTolerantWorth(model);
+      demand.delayTolerantRate(reference(model), now) * this.delayTolerantWorth(model);
     const listedWorth = WORTH_OF_FIRST_LISTED / (1 + modelRank(this.input.host, model));
     const lastingWorth =
       this.urgentRate(model) * WORTH_PER_URGENT_RATE + tolerantWorth + listedWorth;
@@ -108,8 +108,8 @@
    * two equally good copies.
    */
   private shareOf(ledger: BackendLedger, model: string): number {
-    const copies = this.fullCopies(model);
-    const quality = this.quality.ofCopy(ledger, model);
+    const copies = this.effectiveCopies(model);
+    const quality = this.quality.copyQuality(ledger, model);
     const share = copies === 0 ? 1 : quality / copies;
     return this.isNeeded(model, copies - quality) ? share : share / Math.max(1, copies);
   }
@@ -122,7 +122,7 @@
   private delayTolerantWorth(model: string): number {
     const { demand, host, policies, unloadTimes } = this.input;
     if (!policies.copyWorthByCallers) return WORTH_PER_DELAY_TOLERANT_RATE;
-    const goalMs = demand.patientGoalMs(reference(model));
+    const goalMs = demand.delayTolerantGoalMs(reference(model));
     const spec = modelSpec(host, model);
     if (goalMs === undefined || spec === undefined) return WORTH_PER_DELAY_TOLERANT_RATE;
     const reloadMs = 1_000 * spec.diskLoadSeconds + unloadTimes.expected(true);
@@ -133,8 +133,8 @@
    * Worth of one more copy: the cost of losing it once it is loaded, so that no copy is moved back
    * and forth.
    */
-  ofFurtherCopy(model: string): number {
-    const copies = this.fullCopies(model);
+  furtherCopyWorth(model: string): number {
+    const copies = this.effectiveCopies(model);
     const divisor = this.isNeeded(model, copies) ? copies + 1 : (copies + 1) ** 2;
     return (this.urgentRate(model) * WORTH_PER_URGENT_RATE) / divisor;
   }
--- a/src/core/newest-proof.ts
+++ b/src/core/newest-proof.ts
@@ -5,7 +5,7 @@
   private provenAt = -Infinity;
 
   /** Adds a proof. A proof older than the current one is ignored. */
-  prove(requestedAt: number): void {
+  add(requestedAt: number): void {
     this.provenAt = Math.max(this.provenAt, requestedAt);
   }
 
--- a/src/core/order-channel.ts
+++ b/src/core/order-channel-cost.ts
@@ -12,12 +12,12 @@
    * Expected total waiting time of callers, in milliseconds, caused by an order that takes
    * `durationMs`.
    */
-  ofOrder(ledger: BackendLedger, durationMs: number): number;
+  orderCostMs(ledger: BackendLedger, durationMs: number): number;
 }
 
 /** Assigns no cost to occupying a backend. */
-export class FreeOrderChannel implements OrderChannelCost {
-  ofOrder(): number {
+export class ZeroOrderChannelCost implements OrderChannelCost {
+  orderCostMs(): number {
     return 0;
   }
 }
@@ -27,7 +27,7 @@
  * disk or in its host memory and are loaded at no backend, and for adapters of the models that
  * it has loaded: none of these can be loaded there during the order. Valid for one planning round.
  */
-export class ExpectedCallersCost implements OrderChannelCost {
+export class ExpectedDelayCost implements OrderChannelCost {
   /**
    * Requests per second that need an order at the backend to be served soon, by backend; computed
    * on first use.
@@ -36,7 +36,7 @@
 
   constructor(private readonly input: PlanningInput) {}
 
-  ofOrder(ledger: BackendLedger, durationMs: number): number {
+  orderCostMs(ledger: BackendLedger, durationMs: number): number {
     this.rates ??= this.computeRates();
     const callers = ((this.rates.get(ledger.id) ?? 0) * durationMs) / 1_000;
     // Callers arrive evenly over the order's duration, so each waits half of it on average.
--- a/src/core/ownership-lease.ts
+++ b/src/core/ownership-lease.ts
@@ -10,14 +10,14 @@
 import { NewestProof } from './newest-proof.js';
 
 /** Time for which a proof allows orders after its request was sent, in milliseconds; long enough for two requests to go unanswered. */
-export const HOLD_MS = 1_500;
+export const ORDER_LEASE_MS = 1_500;
 /** An order without an answer is abandoned, and its connection reset, within this time after it was sent. */
 const ORDER_IN_FLIGHT_MS = 800;
 /** Delay before a new owner's first order, in milliseconds: a former owner may have sent an order at the end of its lease. */
-export const HAND_OVER_MS = HOLD_MS + ORDER_IN_FLIGHT_MS;
+export const TAKEOVER_DELAY_MS = ORDER_LEASE_MS + ORDER_IN_FLIGHT_MS;
 
 /** A successful claim of a service. */
-export interface WonClaim {
+export interface SuccessfulClaim {
   /** Time at which the claim was sent, by the lease clock. */
   readonly askedAt: number;
   /** Time at which the response arrived, by the steady clock. */
@@ -32,16 +32,16 @@
   private ordersAllowedAt = Infinity;
 
   /** Starts a lease after a successful claim. */
-  begin(claim: WonClaim): void {
+  begin(claim: SuccessfulClaim): void {
     this.proof = new NewestProof();
-    this.proof.prove(claim.askedAt);
+    this.proof.add(claim.askedAt);
     this.ordersAllowedAt =
-      claim.answeredAt + (claim.isHandedOver ? ORDER_IN_FLIGHT_MS : HAND_OVER_MS);
+      claim.answeredAt + (claim.isHandedOver ? ORDER_IN_FLIGHT_MS : TAKEOVER_DELAY_MS);
   }
 
   /** Adds a proof that no other daemon had claimed the service after this owner at `askedAt`. */
-  prove(askedAt: number): void {
-    this.proof.prove(askedAt);
+  addProof(askedAt: number): void {
+    this.proof.add(askedAt);
   }
 
   /** Milliseconds since the request of the newest proof was sent; infinite without a proof. */
@@ -50,14 +50,14 @@
   }
 
   /** Milliseconds until an order may be sent; 0 if it may be sent now, infinite without a recent proof. */
-  delayMs(leaseNow: number, steadyNow: number): number {
-    return this.ageMs(leaseNow) > HOLD_MS
+  orderDelayMs(leaseNow: number, steadyNow: number): number {
+    return this.ageMs(leaseNow) > ORDER_LEASE_MS
       ? Infinity
       : Math.max(0, this.ordersAllowedAt - steadyNow);
   }
 
   /** Whether an order may be sent now. */
-  holds(leaseNow: number, steadyNow: number): boolean {
-    return this.delayMs(leaseNow, steadyNow) === 0;
+  allowsOrder(leaseNow: number, steadyNow: number): boolean {
+    return this.orderDelayMs(leaseNow, steadyNow) === 0;
   }
 }
--- a/src/core/placement-planner.ts
+++ b/src/core/placement-planner.ts
@@ -5,7 +5,7 @@
  */
 import { AdapterPlan } from './adapter-plan.js';
 import { adapterKey, modelSpec, type BackendLedger } from './backend-ledger.js';
-import { LoadPlaces, type LoadPlace } from './load-place.js';
+import { LoadCandidates, type LoadCandidate } from './load-candidates.js';
 import type { DemandSample } from './demand-report.js';
 import type { ModelOrder } from './model-order.js';
 import { ModelWorth } from './model-worth.js';
@@ -62,7 +62,7 @@
     round.startReservedLoads();
     round.relieveCrowded();
     for (const sample of input.demand.waiting(input.now)) {
-      if (!round.candidates.hasFree()) break;
+      if (!round.candidates.hasAvailableBackend()) break;
       if (sample.adapter === undefined) round.planLoad(sample);
       else round.planAdapterLoad(sample);
     }
@@ -93,14 +93,14 @@
 class PlanningRound {
   readonly orders: PlannedOrder[] = [];
   readonly worth: ModelWorth;
-  readonly candidates: LoadPlaces;
+  readonly candidates: LoadCandidates;
 
   constructor(
     private readonly input: PlanningInput,
     private readonly reservations: Map<string, Reservation>,
   ) {
     this.worth = new ModelWorth(input);
-    this.candidates = new LoadPlaces(input, this.worth);
+    this.candidates = new LoadCandidates(input, this.worth);
   }
 
   /** Starts the loads for which memory was reserved. */
@@ -114,11 +114,11 @@
         continue;
       }
       const { ledger, spec } = resolved;
-      const candidate = this.candidates.at(ledger, spec);
+      const candidate = this.candidates.candidateAt(ledger, spec);
       // The backend is still freeing memory, or the weight store allows no further load now.
-      if (candidate !== undefined && !candidate.isFree) {
+      if (candidate !== undefined && !candidate.canStartNow) {
         this.candidates.reserve(ledger.id);
-        this.candidates.expect(ledger, spec);
+        this.candidates.addReservedLoad(ledger, spec);
         continue;
       }
       this.reservations.delete(model);
@@ -151,7 +151,7 @@
     for (const [model, { backend }] of this.reservations) {
       const resolved = this.resolveReservation(model, backend);
       if (resolved === undefined) continue;
-      this.candidates.expect(resolved.ledger, resolved.spec);
+      this.candidates.addReservedLoad(resolved.ledger, resolved.spec);
       times.set(model, Math.round(this.candidates.waitMs(resolved.ledger)));
     }
     return times;
@@ -173,17 +173,17 @@
     if (spec === undefined || this.isLoadedOrLoading(sample.model)) return;
     const candidate = this.candidates.cheapest(spec);
     if (candidate === undefined) return;
-    if (candidate.isFree) this.addLoad(spec, candidate, 'waiting requests');
-    else this.candidates.queue(candidate);
+    if (candidate.canStartNow) this.addLoad(spec, candidate, 'waiting requests');
+    else this.candidates.queueLoad(candidate);
   }
 
   /** Orders the load of an adapter at a backend that has its model loaded. */
   planAdapterLoad(sample: DemandSample): void {
     const plan = new AdapterPlan(this.input, this.candidates);
-    if (plan.isHeldOrComing(sample)) return;
+    if (plan.isLoadedOrLoading(sample)) return;
     const holders = plan.holders(sample.model);
     if (holders.length === 0) return this.planLoad({ ...sample, adapter: undefined });
-    const planned = plan.next(sample, holders);
+    const planned = plan.nextOrder(sample, holders);
     if (planned !== undefined) this.addOrder(planned);
   }
 
@@ -197,7 +197,7 @@
     const candidate = this.candidates.cheapest(spec);
     if (candidate === undefined) return;
     times.set(model, Math.round(candidate.readyInMs));
-    this.candidates.queue(candidate);
+    this.candidates.queueLoad(candidate);
   }
 
   /**
@@ -208,7 +208,7 @@
     const plan = new AdapterPlan(this.input, this.candidates);
     const holders = plan.holders(sample.model);
     if (holders.length === 0) return this.forecast(sample.model, times);
-    if (!plan.isHeldOrComing(sample)) {
+    if (!plan.isLoadedOrLoading(sample)) {
       times.set(adapterKey(sample), Math.round(plan.readyInMs(holders)));
     }
   }
@@ -240,7 +240,7 @@
     const copies = this.worth.copies(model);
     if (copies === 0) return false;
     const wanted = this.copiesWanted(model);
-    return this.worth.fullCopies(model) < wanted && copies < 2 * wanted;
+    return this.worth.effectiveCopies(model) < wanted && copies < 2 * wanted;
   }
 
   /**
@@ -259,7 +259,7 @@
       const { name } = spec;
       if (storedModels.has(name) || fetched.has(name) || this.isLoadedOrLoading(name)) continue;
       const candidate = this.candidates.cheapest(spec);
-      if (candidate === undefined || !candidate.isFree) return;
+      if (candidate === undefined || !candidate.canStartNow) return;
       if (!candidate.victims.every((victim) => storedModels.has(victim))) continue;
       fetched.add(name);
       this.addLoad(spec, candidate, 'on no disk');
@@ -275,10 +275,10 @@
     if (spec === undefined || this.reservations.has(model)) return false;
     // A copy beyond the wanted number replaces one at a slow backend, so it must go to a good one.
     const isExtra = this.worth.copies(model) >= this.copiesWanted(model);
-    const suits = (backend: string): boolean => this.worth.quality.isGood(backend, model);
+    const suits = (backend: string): boolean => this.worth.quality.isGoodBackend(backend, model);
     const candidate = this.candidates.cheapest(spec, isExtra ? suits : undefined);
-    if (candidate === undefined || !candidate.isFree) return false;
-    if (candidate.displacedWorth * FURTHER_COPY_WORTH_RATIO > this.worth.ofFurtherCopy(model))
+    if (candidate === undefined || !candidate.canStartNow) return false;
+    if (candidate.displacedWorth * FURTHER_COPY_WORTH_RATIO > this.worth.furtherCopyWorth(model))
       return false;
     this.addLoad(spec, candidate, reason);
     return true;
@@ -300,7 +300,7 @@
     return this.reservations.has(model) || this.worth.copies(model) > 0;
   }
 
-  private addLoad(spec: ModelSpec, candidate: LoadPlace, reason: string): void {
+  private addLoad(spec: ModelSpec, candidate: LoadCandidate, reason: string): void {
     const { now } = this.input;
     const backend = candidate.ledger.id;
     const [victim] = candidate.victims;
@@ -314,12 +314,12 @@
       });
       const order: ModelOrder = { operation: 'unload', model: victim, adapter: undefined };
       const durationMs = this.worth.unloadMs(candidate.ledger, victim);
-      this.candidates.expect(candidate.ledger, spec);
+      this.candidates.addReservedLoad(candidate.ledger, spec);
       const unloadReason = `room for ${spec.name}: ${reason}`;
       return this.addOrder({ backend, order, durationMs, copy: undefined, reason: unloadReason });
     }
-    if (candidate.copy === 'store') this.candidates.useStore(candidate);
-    this.worth.noteLoad(spec.name);
+    if (candidate.copy === 'store') this.candidates.startStoreLoad(candidate);
+    this.worth.recordLoad(spec.name);
     const order: ModelOrder = { operation: 'load', model: spec.name, adapter: undefined };
     const { copy, loadMs } = candidate;
     this.addOrder({ backend, order, durationMs: loadMs, copy, reason });
--- a/src/core/placement-publisher.ts
+++ b/src/core/placement-publisher.ts
@@ -3,8 +3,8 @@
  * last update, or a full update for a daemon that missed one.
  * Pure; times are milliseconds of the owner's monotonic clock.
  */
-import { CapacityNews } from './capacity/capacity-news.js';
-import type { LearnedFigures } from './capacity/learned-capacity.js';
+import { CapacityChanges } from './capacity/capacity-changes.js';
+import type { CapacityFigures } from './capacity/learned-capacity.js';
 import type { PlacedModel, PlacementUpdate } from './placement-update.js';
 
 /** A model at a backend, in the owner's state. */
@@ -31,7 +31,7 @@
    */
   readonly loadTolerance: number;
   /** Estimated speeds of the backends; absent if they are not learned. */
-  readonly capacity?: LearnedFigures | undefined;
+  readonly capacity?: CapacityFigures | undefined;
 }
 
 /** A forecast is published again only if it moves by at least this much. */
@@ -50,7 +50,7 @@
   private forecasts = new Map<string, number>();
   private loads = new Map<string, number>();
   private storeLoadLimit = 0;
-  private readonly capacity = new CapacityNews();
+  private readonly capacity = new CapacityChanges();
 
   constructor(
     private readonly service: string,
@@ -66,14 +66,14 @@
    * Returns the next update; the first one is a full update. Without changes, it only shows that
    * the owner is alive.
    */
-  update(state: PlacementState, now: number): PlacementUpdate {
+  nextUpdate(state: PlacementState, now: number): PlacementUpdate {
     this.storeLoadLimit = state.storeLoadLimit;
     const changedBackends = this.applyBackends(state);
     const removedBackends = removeMissing(this.backends, state.backends);
     const changedForecasts = this.applyForecasts(state, now);
     const removedForecasts = removeMissing(this.forecasts, state.forecasts);
     const changedLoads = this.applyLoads(state);
-    const capacity = this.capacity.take(state.capacity);
+    const capacity = this.capacity.takeChanges(state.capacity);
     const changes = [
       changedLoads,
       changedBackends,
@@ -90,7 +90,7 @@
   }
 
   /** Returns a full update, for a daemon that missed an update. */
-  everything(now: number): PlacementUpdate {
+  fullUpdate(now: number): PlacementUpdate {
     const { backends, forecasts, loads } = this;
     const content = this.contentOf(
       [...backends.keys()],
@@ -98,7 +98,7 @@
       [...loads.keys()],
       now,
     );
-    const capacity = this.capacity.everything();
+    const capacity = this.capacity.snapshot();
     return {
       ...content,
       baseVersion: undefined,
@@ -110,7 +110,7 @@
 
   private firstUpdate(now: number): PlacementUpdate {
     this.version = 1;
-    return this.everything(now);
+    return this.fullUpdate(now);
   }
 
   private applyBackends(state: PlacementState): string[] {
--- a/src/core/placement-update.ts
+++ b/src/core/placement-update.ts
@@ -2,7 +2,7 @@
  * Update on the placement of a service's models that the owner sends to the daemons: the full state
  * once, then only changes. Types only; times are relative, because the daemons' clocks differ.
  */
-import type { LearnedFigures } from './capacity/learned-capacity.js';
+import type { CapacityFigures } from './capacity/learned-capacity.js';
 import type { HeldModel } from './service-configuration.js';
 
 /** A model at a backend, as the service's owner reports it. */
@@ -39,5 +39,5 @@
    */
   readonly loads: ReadonlyMap<string, number>;
   /** Changed speeds and gaps, and all shares if any share changed; absent if nothing changed. */
-  readonly capacity?: LearnedFigures | undefined;
+  readonly capacity?: CapacityFigures | undefined;
 }
--- a/src/core/planning.ts
+++ b/src/core/planning.ts
@@ -1,14 +1,14 @@
 /** Input and results of a planning round. Types only. */
 import type { BackendLedger } from './backend-ledger.js';
-import type { PlannedCapacity } from './capacity/copy-quality.js';
+import type { PlanningCapacity } from './capacity/copy-quality.js';
 import type { ModelDemand } from './model-demand.js';
 import type { ModelOrder } from './model-order.js';
 import type { Policies } from './policies.js';
 import type { ModelHostSpec } from './service-configuration.js';
-import type { UnloadTimes } from './unload-times.js';
+import type { UnloadTimeEstimator } from './unload-time-estimator.js';
 
 /** Location of a copy of a model's weights, nearest first. */
-export type CopyPlace = 'memory' | 'disk' | 'store';
+export type WeightsLocation = 'memory' | 'disk' | 'store';
 
 /** An order to give. */
 export interface PlannedOrder {
@@ -17,7 +17,7 @@
   /** Expected milliseconds until the order is carried out. */
   readonly durationMs: number;
   /** Location from which a model is loaded; undefined for other orders. */
-  readonly copy: CopyPlace | undefined;
+  readonly copy: WeightsLocation | undefined;
   /** Reason for the order, for the log. */
   readonly reason: string;
 }
@@ -36,10 +36,10 @@
    * Milliseconds until each slot for a load from the weight store is free, one per allowed
    * concurrent load.
    */
-  readonly storePlaceWaits: readonly number[];
-  readonly unloadTimes: UnloadTimes;
+  readonly storeSlotWaitsMs: readonly number[];
+  readonly unloadTimes: UnloadTimeEstimator;
   /** Speeds of the backends; absent if all are treated as equal. */
-  readonly capacity?: PlannedCapacity | undefined;
+  readonly capacity?: PlanningCapacity | undefined;
 }
 
 /** Plans orders and forecasts; implemented by each planning strategy. */
--- a/src/core/policies.ts
+++ b/src/core/policies.ts
@@ -89,10 +89,10 @@
 ]);
 
 /** Values of policies that the settings do not name. */
-export const DEFAULT_POLICIES: Policies = policiesOf((name) => !OFF_BY_DEFAULT.has(name));
+export const DEFAULT_POLICIES: Policies = createPolicies((name) => !OFF_BY_DEFAULT.has(name));
 
 /** Creates a record with one value for each policy. */
-export function policiesOf(value: (name: PolicyName) => boolean): Policies {
+export function createPolicies(value: (name: PolicyName) => boolean): Policies {
   const entries = POLICY_NAMES.map((name) => [name, value(name)] as const);
   return Object.fromEntries(entries) as Record<PolicyName, boolean>;
 }
--- a/src/core/pool-locator.ts
+++ b/src/core/pool-locator.ts
@@ -1,8 +1,8 @@
 /** Computes the locations of a pool's tenants that the owner sends to routers. Pure. */
-import type { Demand } from './demand.js';
+import type { TenantDemand } from './tenant-demand.js';
 import type { TenantSpec } from './documents.js';
 import type { EngineLedger } from './engine-ledger.js';
-import type { LoadTimes } from './load-times.js';
+import type { LoadTimeEstimator } from './load-time-estimator.js';
 import type { TenantLocation } from './pool-messages.js';
 import { replicaSpecOf } from './replica-spec.js';
 
@@ -22,11 +22,11 @@
   readonly pool: string;
   readonly epoch: number;
   readonly engines: ReadonlyMap<string, EngineLedger>;
-  readonly loadTimes: LoadTimes;
+  readonly loadTimes: LoadTimeEstimator;
   failure(tenant: string): LoadFailure | undefined;
   specOf(tenant: string): TenantSpec | undefined;
   /** Maximum number of replicas of the tenant in this pool. */
-  allowed(tenant: string): number;
+  replicaLimit(tenant: string): number;
   countReplicas(tenant: string): number;
 }
 
@@ -35,9 +35,9 @@
   constructor(private readonly pool: LocatedPool) {}
 
   /** Returns where a tenant runs, or when it is expected to run. */
-  locate(name: string, demand: Demand, now: number): TenantLocation {
+  locate(name: string, demand: TenantDemand, now: number): TenantLocation {
     const { pool, epoch } = this.pool;
-    const routers = Math.max(1, demand.size);
+    const routers = Math.max(1, demand.routerCount);
     const base = { pool, epoch, version: 0, tenant: name, routers, retryAfterMs: 0, readyInMs: 0 };
     const replicas = [...this.pool.engines.values()].flatMap((engine) => {
       const replica = engine.replicas.get(name);
@@ -69,11 +69,11 @@
   }
 
   /** Whether waiting requests cannot be served now because the pool may not or cannot load another replica. */
-  private lacksCapacity(name: string, demand: Demand, now: number): boolean {
+  private lacksCapacity(name: string, demand: TenantDemand, now: number): boolean {
     const tenant = this.pool.specOf(name);
-    if (tenant === undefined || this.pool.allowed(name) === 0) return true;
+    if (tenant === undefined || this.pool.replicaLimit(name) === 0) return true;
     if (demand.waiting(now) === 0 || this.isFreeingCapacity()) return false;
-    if (this.pool.countReplicas(name) >= this.pool.allowed(name)) return false;
+    if (this.pool.countReplicas(name) >= this.pool.replicaLimit(name)) return false;
     const spec = replicaSpecOf(tenant);
     return ![...this.pool.engines.values()].some(
       (engine) => engine.takesLoads() && engine.usedBytesWith(spec) <= engine.capacityBytes,
--- a/src/core/pool-messages.ts
+++ b/src/core/pool-messages.ts
@@ -48,9 +48,9 @@
   /** Undefined once the tenant is deleted, until the pool has unloaded its replicas. */
   readonly spec: TenantSpec | undefined;
   /** Maximum number of replicas that this pool may hold now. */
-  readonly allowed: number;
+  readonly replicaLimit: number;
   /** Target replica count; set until the pool has shrunk to it and confirmed that. */
-  readonly shrinkTo?: number;
+  readonly shrinkTarget?: number;
   /** Version of the quota record that these values come from. */
   readonly quotaVersion: number;
 }
--- a/src/core/pool-owner.ts
+++ b/src/core/pool-owner.ts
@@ -15,10 +15,10 @@
   ReplicaSpec,
 } from '../engines/engine-client.js';
 import { priorityNumber, type TenantSpec } from './documents.js';
-import { Demand } from './demand.js';
+import { TenantDemand } from './tenant-demand.js';
 import { EngineLedger, type CountedReplica } from './engine-ledger.js';
 import type { KeepAlivePolicy } from './keep-alive.js';
-import { LoadTimes } from './load-times.js';
+import { LoadTimeEstimator } from './load-time-estimator.js';
 import { LocationPublisher } from './location-publisher.js';
 import type { PlacementPolicy } from './placement.js';
 import { PoolLocator, type LoadFailure } from './pool-locator.js';
@@ -48,7 +48,7 @@
 export class PoolOwner {
   readonly engines = new Map<string, EngineLedger>();
   private readonly tenants = new Map<string, PooledTenant>();
-  private readonly demands = new Map<string, Demand>();
+  private readonly demands = new Map<string, TenantDemand>();
   /** Last use, in Unix milliseconds, of tenants whose replica this pool unloaded. */
   private readonly lastUses = new Map<string, number>();
   private readonly failures = new Map<string, LoadFailure>();
@@ -58,7 +58,7 @@
   private readonly shrinking = new Set<string>();
   /** Tenants whose location may have changed since the last push to routers. */
   private readonly dirtyTenants = new Set<string>();
-  private readonly loadTimes = new LoadTimes();
+  private readonly loadTimes = new LoadTimeEstimator();
   private effects: PoolEffect[] = [];
   private readonly publisher = new LocationPublisher();
   private readonly locator: PoolLocator;
@@ -73,7 +73,7 @@
       loadTimes: this.loadTimes,
       failure: (tenant) => this.failures.get(tenant),
       specOf: (tenant) => this.specOf(tenant),
-      allowed: (tenant) => this.replicaLimit(tenant),
+      replicaLimit: (tenant) => this.replicaLimit(tenant),
       countReplicas: (tenant) => this.countReplicas(tenant),
     });
   }
@@ -187,12 +187,12 @@
   private changeTenant(name: string, tenant: PooledTenant | undefined): void {
     if (tenant === undefined) this.tenants.delete(name);
     else this.tenants.set(name, tenant);
-    if (tenant?.shrinkTo === undefined) this.shrinking.delete(name);
+    if (tenant?.shrinkTarget === undefined) this.shrinking.delete(name);
     else this.shrinking.add(name);
   }
 
   private addWake(wake: WakeRequest, now: number): void {
-    const demand = this.demands.get(wake.tenant) ?? new Demand();
+    const demand = this.demands.get(wake.tenant) ?? new TenantDemand();
     this.demands.set(wake.tenant, demand);
     demand.add(wake, now);
     // The router may have missed the last push, so the location is sent to it again.
@@ -202,9 +202,9 @@
   private expireDemands(now: number): void {
     for (const [tenant, demand] of this.demands) {
       if (!demand.expire(now)) continue;
-      if (demand.size === 0) this.demands.delete(tenant);
+      if (demand.routerCount === 0) this.demands.delete(tenant);
     }
-    this.publisher.keepOnly((router, tenant) =>
+    this.publisher.retainSubscribed((router, tenant) =>
       (this.demands.get(tenant)?.subscribers() ?? []).includes(router),
     );
   }
@@ -262,7 +262,7 @@
 
   private adoptReport(
     engine: EngineLedger,
-    report: Parameters<EngineLedger['adopt']>[0],
+    report: Parameters<EngineLedger['applyReport']>[0],
     now: number,
   ): void {
     engine.reachable = true;
@@ -272,9 +272,10 @@
     if (report.epoch > this.options.epoch)
       return this.loseOwnership(`engine ${engine.address} has a newer epoch`);
     if (!engine.sealed || report.epoch !== this.options.epoch) return;
-    const news = engine.adopt(report, now);
+    const news = engine.applyReport(report, now);
     for (const loaded of news.loaded) this.loadFinished(loaded, now);
-    for (const { tenant, idleMs } of news.woken) this.options.keepAlive.observeIdle(tenant, idleMs);
+    for (const { tenant, idleMs } of news.reactivated)
+      this.options.keepAlive.observeIdle(tenant, idleMs);
     for (const replica of engine.replicas.values()) {
       if (replica.state === 'failed') this.loadFailed(engine, replica, now);
     }
@@ -332,7 +333,7 @@
       if (!engine.sealed) continue;
       for (const [name, replica] of engine.replicas) {
         if (replica.state !== 'loaded' || replica.inFlight > 0) continue;
-        if ((this.demands.get(name)?.total(now) ?? 0) > 0) continue;
+        if ((this.demands.get(name)?.waitingAndInFlight(now) ?? 0) > 0) continue;
         const spec = this.specOf(name);
         const keepMs = spec === undefined ? 0 : this.options.keepAlive.keepMs(spec);
         if (now - replica.lastUsedAt >= keepMs) this.unload(engine, name);
@@ -359,8 +360,8 @@
   private acknowledgeShrinks(): void {
     for (const name of this.shrinking) {
       const tenant = this.tenants.get(name);
-      if (tenant?.shrinkTo === undefined) continue;
-      if (this.countReplicas(name) > tenant.shrinkTo) continue;
+      if (tenant?.shrinkTarget === undefined) continue;
+      if (this.countReplicas(name) > tenant.shrinkTarget) continue;
       if (this.acknowledged.get(name) === tenant.quotaVersion) continue;
       this.acknowledged.set(name, tenant.quotaVersion);
       const { quotaVersion } = tenant;
@@ -378,7 +379,7 @@
   }
 
   private replicaLimit(name: string): number {
-    return this.tenants.get(name)?.allowed ?? 0;
+    return this.tenants.get(name)?.replicaLimit ?? 0;
   }
 
   /** Number of a tenant's replicas that are not unloading. */
@@ -416,11 +417,11 @@
     return tenants.map((entry) => entry.name);
   }
 
-  private needsReplica(name: string, demand: Demand, now: number): boolean {
+  private needsReplica(name: string, demand: TenantDemand, now: number): boolean {
     const spec = this.specOf(name);
     if (spec === undefined || demand.waiting(now) === 0) return false;
     if ((this.failures.get(name)?.until ?? 0) > now) return false;
-    const desired = Math.ceil(demand.total(now) / spec.slots);
+    const desired = Math.ceil(demand.waitingAndInFlight(now) / spec.slots);
     const limit = this.replicaLimit(name);
     if (this.countUsable(name) >= Math.min(desired, limit)) return false;
     return this.countReplicas(name) < limit;
--- a/src/core/quota.ts
+++ b/src/core/quota.ts
@@ -10,13 +10,13 @@
 import type { QuotaRecord, QuotaShare } from './records.js';
 
 /** A pool that can hold replicas. */
-export interface PoolPlace {
+export interface QuotaPool {
   readonly pool: string;
   readonly site: string;
 }
 
 /** The tenant settings that the split depends on. */
-export interface QuotaWish {
+export interface QuotaSpec {
   readonly tenant: string;
   readonly maxReplicas: number;
   readonly sites: readonly SiteWeight[];
@@ -29,8 +29,8 @@
 
 /** Returns the record that should replace `record`, or undefined if nothing has to change. */
 export function reconcileQuota(
-  spec: QuotaWish,
-  pools: readonly PoolPlace[],
+  spec: QuotaSpec,
+  pools: readonly QuotaPool[],
   record: QuotaRecord | undefined,
 ): QuotaRecord | undefined {
   const targets = splitIntoTargets(spec, pools);
@@ -50,7 +50,7 @@
 }
 
 /** Targets by pool, in the tenant's ranking of pools; the first pool is the one in which the tenant is woken. */
-function splitIntoTargets(spec: QuotaWish, pools: readonly PoolPlace[]): QuotaShare[] {
+function splitIntoTargets(spec: QuotaSpec, pools: readonly QuotaPool[]): QuotaShare[] {
   const sites = [...new Set(pools.map((pool) => pool.site))].sort();
   const counts = splitBySite(spec, sites);
   const targets: QuotaShare[] = [];
@@ -62,7 +62,7 @@
 }
 
 /** Whole replicas per site in proportion to the weights, by the largest remainder method. */
-function splitBySite(spec: QuotaWish, sites: readonly string[]): Map<string, number> {
+function splitBySite(spec: QuotaSpec, sites: readonly string[]): Map<string, number> {
   const weightOf = (site: string): number => {
     if (spec.sites.length === 0) return 1;
     return spec.sites.find((entry) => entry.site === site)?.weight ?? 0;
--- a/src/core/recent-changes.ts
+++ b/src/core/recent-changes.ts
@@ -20,7 +20,7 @@
 export class RecentChanges {
   private retained: TimedChanges[] = [];
 
-  note({ ended, started }: PresenceChanges, now: number): void {
+  add({ ended, started }: PresenceChanges, now: number): void {
     this.deleteExpired(now);
     if (ended.length + started.length > 0) this.retained.push({ at: now, ended, started });
   }
--- a/src/core/request-queue.ts
+++ b/src/core/request-queue.ts
@@ -1,7 +1,7 @@
 /** A bounded queue of waiting requests, ordered by priority, then deadline, then arrival. Pure. */
 
 /** The fields that determine a request's position. */
-export interface Queued {
+export interface QueuedRequest {
   readonly id: string;
   /** Lower is more urgent. */
   readonly priority: number;
@@ -9,13 +9,13 @@
   readonly deadline: number;
 }
 
-interface QueueEntry<Item extends Queued> {
+interface QueueEntry<Item extends QueuedRequest> {
   readonly item: Item;
   readonly arrival: number;
 }
 
 /** The waiting requests of one tenant at one router. */
-export class RequestQueue<Item extends Queued> {
+export class RequestQueue<Item extends QueuedRequest> {
   private readonly entries: QueueEntry<Item>[] = [];
   private arrivals = 0;
 
@@ -68,7 +68,10 @@
   }
 }
 
-function comesBefore<Item extends Queued>(a: QueueEntry<Item>, b: QueueEntry<Item>): boolean {
+function comesBefore<Item extends QueuedRequest>(
+  a: QueueEntry<Item>,
+  b: QueueEntry<Item>,
+): boolean {
   if (a.item.priority !== b.item.priority) return a.item.priority < b.item.priority;
   if (a.item.deadline !== b.item.deadline) return a.item.deadline < b.item.deadline;
   return a.arrival < b.arrival;
--- a/src/core/router.ts
+++ b/src/core/router.ts
@@ -167,7 +167,7 @@
         reason: `${allowed} requests are already running or waiting`,
       };
     }
-    const retryAfterMs = route.takeRate(spec, now);
+    const retryAfterMs = route.takeRateToken(spec, now);
     if (retryAfterMs === 0) return undefined;
     return {
       kind: 'rate_limited',
@@ -468,7 +468,7 @@
 
   private configurationChanged(now: number): void {
     for (const [tenant, route] of this.routes) {
-      route.keepPools(this.options.directory.routes(tenant));
+      route.retainPools(this.options.directory.routes(tenant));
       if (this.options.directory.tenant(tenant) !== undefined) continue;
       for (const request of route.queue.items()) {
         const state = this.requests.get(request.id);
--- a/src/core/routing-table.ts
+++ b/src/core/routing-table.ts
@@ -4,7 +4,7 @@
  * targets are unchanged, so that unrelated changes do not disturb their shares.
  */
 import type { Route, RouteTarget, Service, ServiceConfiguration } from './service-configuration.js';
-import { WeightedChoice } from './weighted-choice.js';
+import { WeightedRoundRobin } from './weighted-round-robin.js';
 
 /** A route with the service chosen for one request. */
 export interface RouteMatch {
@@ -17,7 +17,7 @@
   /** Routes by host, longest path prefix first. */
   private readonly routesByHost = new Map<string, Route[]>();
   private readonly services: ReadonlyMap<string, Service>;
-  private readonly choices = new Map<string, WeightedChoice<RouteTarget>>();
+  private readonly choices = new Map<string, WeightedRoundRobin<RouteTarget>>();
 
   constructor(
     readonly configuration: ServiceConfiguration,
@@ -59,10 +59,10 @@
 
 function choiceFor(
   route: Route,
-  previous: WeightedChoice<RouteTarget> | undefined,
-): WeightedChoice<RouteTarget> {
-  if (previous?.isSame(route.targets, sameTarget) === true) return previous;
-  return new WeightedChoice(route.targets);
+  previous: WeightedRoundRobin<RouteTarget> | undefined,
+): WeightedRoundRobin<RouteTarget> {
+  if (previous?.hasSameOptions(route.targets, sameTarget) === true) return previous;
+  return new WeightedRoundRobin(route.targets);
 }
 
 function sameTarget(a: RouteTarget, b: RouteTarget): boolean {
--- a/src/core/service-configuration.ts
+++ b/src/core/service-configuration.ts
@@ -41,7 +41,7 @@
   /** Target for the longest pause between two events, in milliseconds. */
   readonly pauseGoalMs: number;
   /** Time without data after which callers disconnect, in milliseconds; infinite if they wait until their deadline. */
-  readonly patienceMs: number;
+  readonly callerTimeoutMs: number;
   /** Whether callers of this route need no key, even if tenants are configured. */
   readonly isPublic: boolean;
 }
@@ -57,7 +57,7 @@
   /** Units that may be used at once in excess of the rate. */
   readonly burst: number;
   /** Units charged for a request that does not state its size. */
-  readonly plainCharge: number;
+  readonly defaultCharge: number;
 }
 
 /** A group of callers that share keys, a limit and a priority. */
--- a/src/core/sliding-sum.ts
+++ b/src/core/sliding-sum.ts
@@ -29,14 +29,14 @@
   }
 
   /** Returns the sum and resets it. */
-  take(now: number): number {
+  takeTotal(now: number): number {
     const total = this.total(now);
     this.buckets.length = 0;
     return total;
   }
 
   /** Milliseconds until the sum is at most `limit` if nothing is added. */
-  untilAtMost(limit: number, now: number): number {
+  msUntilAtMost(limit: number, now: number): number {
     let sum = this.total(now);
     if (sum <= limit) return 0;
     for (const bucket of this.buckets) {
--- a/src/core/store-load-ceiling.ts
+++ b/src/core/store-load-ceiling.ts
@@ -21,7 +21,7 @@
   constructor(private readonly ceiling: StoreLoadCeiling) {}
 
   /** Returns the number of loads that may start now. */
-  room(now: number): number {
+  available(now: number): number {
     this.startTimes = this.startTimes.filter((time) => time > now - this.ceiling.windowMs);
     return Math.max(0, Math.floor(this.ceiling.loads / OWNERS_PER_WINDOW) - this.startTimes.length);
   }
--- a/src/core/store-load-limit.ts
+++ b/src/core/store-load-limit.ts
@@ -11,13 +11,13 @@
 /** Limits the loads from the weight store that run at the same time. */
 export interface StoreLoadLimit {
   /** Maximum number of concurrent loads. */
-  readonly most: number;
+  readonly maxConcurrent: number;
   /** Records that a load was started at a backend. At full speed it takes `fullSpeedMs`. */
   begin(backend: string, fullSpeedMs: number, now: number): void;
   /** Records that the load at a backend has ended. `completed` tells whether the model was loaded. */
   end(backend: string, completed: boolean, now: number): void;
   /** Returns the number of loads that are running. */
-  running(): number;
+  runningCount(): number;
   /** Checks for overdue loads and adapts the limit to them. */
   observe(now: number): void;
 }
@@ -65,11 +65,11 @@
     this.estimate = Math.max(1, initialLimit);
   }
 
-  get most(): number {
+  get maxConcurrent(): number {
     return Math.max(1, Math.round(this.estimate));
   }
 
-  running(): number {
+  runningCount(): number {
     return this.loads.size;
   }
 
@@ -77,7 +77,7 @@
     this.integrate(now);
     const integralAtStart = this.integral;
     this.loads.set(backend, { startedAt: now, fullSpeedMs, integralAtStart, reachedLimit: false });
-    if (this.loads.size < this.most) return;
+    if (this.loads.size < this.maxConcurrent) return;
     for (const load of this.loads.values()) load.reachedLimit = true;
   }
 
@@ -89,7 +89,7 @@
     if (this.wasSlowedByOthers(load, now)) return this.recordSlowdown(load, now);
     if (takesLonger(load, SLOWED_FACTOR, now)) return;
     this.recordProof(this.meanConcurrency(load, now), now);
-    if (load.reachedLimit) this.estimate += this.hasSaturated ? 1 / this.most : 1;
+    if (load.reachedLimit) this.estimate += this.hasSaturated ? 1 / this.maxConcurrent : 1;
   }
 
   /** Lowers the limit when overdue loads show that the store is slow, before these loads have ended. */
@@ -175,7 +175,7 @@
  * Returns the initial limit: lower where loads take long, and no higher than the concurrency that
  * the host's load rate ceiling allows at full speed.
  */
-export function firstStoreLoadLimit(host: ModelHostSpec): number {
+export function initialStoreLoadLimit(host: ModelHostSpec): number {
   const seconds = host.models.map((model) => model.storeLoadSeconds);
   const meanSeconds = seconds.reduce((sum, value) => sum + value, 0) / Math.max(1, seconds.length);
   const withinTime = Math.floor(MAX_INITIAL_LOAD_SECONDS / Math.max(1, meanSeconds));
@@ -184,7 +184,7 @@
 
 /** Counts the loads without limiting them. */
 export class UnlimitedStoreLoads implements StoreLoadLimit {
-  readonly most = Infinity;
+  readonly maxConcurrent = Infinity;
   private readonly backends = new Set<string>();
 
   begin(backend: string): void {
@@ -195,7 +195,7 @@
     this.backends.delete(backend);
   }
 
-  running(): number {
+  runningCount(): number {
     return this.backends.size;
   }
 
--- a/src/core/store-position.ts
+++ b/src/core/store-position.ts
@@ -30,7 +30,7 @@
 }
 
 /** Parses an era from a header; undefined if the header is missing or invalid. */
-export function readEra(header: string | undefined): number | undefined {
+export function parseEra(header: string | undefined): number | undefined {
   const text = header?.trim() ?? '';
   const era = INTEGER_PATTERN.test(text) ? Number(text) : NaN;
   return era <= MAX_ERA ? era : undefined;
--- a/src/core/demand.ts
+++ b/src/core/tenant-demand.ts
@@ -12,7 +12,7 @@
 }
 
 /** Aggregated demand for one tenant. */
-export class Demand {
+export class TenantDemand {
   private readonly routers = new Map<string, RouterDemand>();
 
   /** Records a router's wake request, replacing its previous one. */
@@ -35,7 +35,7 @@
   }
 
   /** Number of routers that use the tenant. */
-  get size(): number {
+  get routerCount(): number {
     return this.routers.size;
   }
 
@@ -45,7 +45,7 @@
   }
 
   /** Number of requests waiting or in flight at all routers. */
-  total(now: number): number {
+  waitingAndInFlight(now: number): number {
     return this.currentWakes(now).reduce((sum, wake) => sum + wake.waiting + wake.inFlight, 0);
   }
 
--- a/src/core/tenant-route.ts
+++ b/src/core/tenant-route.ts
@@ -42,7 +42,7 @@
   }
 
   /** Takes one request from this router's share of the tenant's rate. Returns 0 if allowed, else the milliseconds to wait. */
-  takeRate(spec: TenantSpec, now: number): number {
+  takeRateToken(spec: TenantSpec, now: number): number {
     const routers = this.routers();
     this.bucket.setRate(spec.limits.requestsPerSecond / routers, burstOf(spec, routers), now);
     return this.bucket.take(now) ? 0 : Math.max(1, this.bucket.waitMs(now));
@@ -62,7 +62,7 @@
   }
 
   /** Deletes the locations of pools that no longer have a share of the tenant. */
-  keepPools(routes: readonly PoolRoute[]): void {
+  retainPools(routes: readonly PoolRoute[]): void {
     const names = new Set(routes.map((route) => route.pool));
     for (const pool of this.locations.keys()) if (!names.has(pool)) this.locations.delete(pool);
   }
--- a/src/core/token-bucket.ts
+++ b/src/core/token-bucket.ts
@@ -24,13 +24,13 @@
 
   /** Takes one unit; returns false if none is available. */
   take(now: number): boolean {
-    if (!this.holds(1, now)) return false;
+    if (!this.hasUnits(1, now)) return false;
     this.spend(1, now);
     return true;
   }
 
   /** Whether at least `units` are available. */
-  holds(units: number, now: number): boolean {
+  hasUnits(units: number, now: number): boolean {
     this.refill(now);
     return this.tokens >= units;
   }
--- a/src/core/unload-times.ts
+++ b/src/core/unload-time-estimator.ts
@@ -11,7 +11,7 @@
 const NEWEST_WEIGHT = 0.15;
 
 /** Estimates how long unloads take. */
-export class UnloadTimes {
+export class UnloadTimeEstimator {
   private inUseMs = INITIAL_IN_USE_MS;
 
   /** Expected milliseconds of an unload; `inUse` is whether requests for the model are running. */
--- a/src/core/weighted-choice.ts
+++ b/src/core/weighted-round-robin.ts
@@ -5,7 +5,7 @@
 }
 
 /** Chooses among options deterministically, in proportion to their weights. */
-export class WeightedChoice<Option extends Weighted> {
+export class WeightedRoundRobin<Option extends Weighted> {
   private readonly credit: number[];
   private readonly total: number;
 
@@ -29,7 +29,7 @@
   }
 
   /** Whether the given options equal the current ones, in the same order. */
-  isSame(options: readonly Option[], same: (a: Option, b: Option) => boolean): boolean {
+  hasSameOptions(options: readonly Option[], same: (a: Option, b: Option) => boolean): boolean {
     if (options.length !== this.options.length) return false;
     return options.every((option, index) => {
       const current = this.options[index];
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -7,7 +7,7 @@
 import { LinkFaults } from '../common/link-faults.js';
 import { faultText, type Logger } from '../common/logger.js';
 import { startTicker, type Ticker } from '../common/process.js';
-import { seesHalf } from '../core/duties.js';
+import { reachesHalf } from '../core/duties.js';
 import { AdaptiveKeepAlive } from '../core/keep-alive-adaptive.js';
 import { Membership } from '../core/membership.js';
 import type { MembershipEvent } from '../core/membership-messages.js';
@@ -126,7 +126,7 @@
     const listed = (): Machine[] => this.listedDaemons();
     this.keyClaims = new KeyClaims({ clock, membership, listed, send });
     const mayWrite = (): boolean =>
-      this.configuration.isCurrent() && seesHalf(membership.live(), listed());
+      this.configuration.isCurrent() && reachesHalf(membership.live(), listed());
     this.quotas = new QuotaReconciler({ self, membership, platform, directory, logger, mayWrite });
     this.requests = new RequestService({
       self,
--- a/src/daemon/directory.ts
+++ b/src/daemon/directory.ts
@@ -103,9 +103,9 @@
     const shrinks = share.target < share.granted;
     return {
       spec: this.tenant(tenant),
-      allowed: allowedReplicas(share),
+      replicaLimit: allowedReplicas(share),
       quotaVersion: this.version('quota', tenant),
-      ...(shrinks ? { shrinkTo: share.target } : {}),
+      ...(shrinks ? { shrinkTarget: share.target } : {}),
     };
   }
 
--- a/src/daemon/key-claims.ts
+++ b/src/daemon/key-claims.ts
@@ -146,7 +146,7 @@
     const now = this.options.clock.now();
     const { tenant, key, request } = message;
     const granted = this.table.claim(tenant, key, request, now);
-    const young = this.table.isYoung(now);
+    const young = this.table.mayLackClaims(now);
     const value = create(ClaimKeyAnswerSchema, { tenant, key, request, granted, young });
     this.options.send(from, { case: 'claimKeyAnswer', value });
   }
@@ -179,20 +179,20 @@
       request,
       expiresAt,
     }));
-    this.table.adopt(claims, this.options.clock.now());
+    this.table.merge(claims, this.options.clock.now());
     if (message.token !== this.pullToken || message.young) return;
     this.pulledFrom.add(from);
     const others = this.otherMembers();
     const isMajority = this.pulledFrom.size + 1 > this.options.listed().length / 2;
     const haveAll = others.every((address) => this.pulledFrom.has(address));
-    if (isMajority && haveAll) this.table.markInformed();
+    if (isMajority && haveAll) this.table.markComplete();
   }
 
   /** Answers a new voter. */
   handlePull(from: string, message: ClaimPull): void {
     const now = this.options.clock.now();
     const claims = this.table.all().map((claim) => ({ ...claim }));
-    const young = this.table.isYoung(now);
+    const young = this.table.mayLackClaims(now);
     const value = create(ClaimTransferSchema, { claims, token: message.token, young });
     this.options.send(from, { case: 'claimTransfer', value });
   }
@@ -200,7 +200,7 @@
   /** While this voter is young: asks all others for their claims. */
   pull(): void {
     const now = this.options.clock.now();
-    if (!this.table.isYoung(now) || now - this.startedAt < PULL_AFTER_MS) return;
+    if (!this.table.mayLackClaims(now) || now - this.startedAt < PULL_AFTER_MS) return;
     if (now - this.lastPullAt < this.pullPeriodMs) return;
     this.lastPullAt = now;
     this.pullPeriodMs = Math.min(this.pullPeriodMs * 2, LONGEST_PULL_PERIOD_MS);
@@ -214,12 +214,12 @@
   private otherMembers(): string[] {
     const { membership } = this.options;
     const addresses = membership.live().map((member) => member.address);
-    return addresses.filter((address) => address !== membership.own.address);
+    return addresses.filter((address) => address !== membership.ownView.address);
   }
 
   /** Hands this daemon's claims to those who vote once it is gone. */
   handOver(): void {
-    const self = this.options.membership.own.address;
+    const self = this.options.membership.ownView.address;
     const staying = this.options.listed().filter((member) => member.address !== self);
     const byVoter = new Map<string, KeyClaim[]>();
     for (const claim of this.table.all()) {
@@ -235,6 +235,6 @@
 
   /** Drops what has expired. */
   expire(): void {
-    this.table.expire(this.options.clock.now());
+    this.table.deleteExpired(this.options.clock.now());
   }
 }
--- a/src/daemon/pool-claims.ts
+++ b/src/daemon/pool-claims.ts
@@ -5,7 +5,12 @@
 import { randomUUID } from 'node:crypto';
 import type { Clock } from '../common/clock.js';
 import type { Logger } from '../common/logger.js';
-import { preferredOwner, seesEnough, type DutyMember, type DutyPool } from '../core/duties.js';
+import {
+  preferredOwner,
+  reachesHalfOfSite,
+  type DutyMember,
+  type DutyPool,
+} from '../core/duties.js';
 import type { Membership } from '../core/membership.js';
 import type { PoolRecord, RegisteredEngine } from '../core/records.js';
 import type { EngineClient } from '../engines/engine-client.js';
@@ -88,7 +93,7 @@
     if ((this.retryAt.get(pool.pool) ?? 0) > clock.now()) return false;
     const live = membership.live();
     if (preferredOwner(pool, live) !== self) return false;
-    if (!seesEnough(pool, live, this.options.listed())) return false;
+    if (!reachesHalfOfSite(pool, live, this.options.listed())) return false;
     const owner = directory.pool(pool.pool)?.owner ?? '';
     return owner === '' || owner === self || !membership.isLive(owner);
   }
--- a/src/daemon/quota-reconciler.ts
+++ b/src/daemon/quota-reconciler.ts
@@ -6,9 +6,9 @@
 import type { Logger } from '../common/logger.js';
 import { faultText } from '../common/logger.js';
 import { Mailbox, sleep, startSerialWorker } from '../common/process.js';
-import { quotaPart, quotaPartsOf } from '../core/duties.js';
+import { quotaPartition, quotaPartitionsOf } from '../core/duties.js';
 import type { Membership } from '../core/membership.js';
-import { reconcileQuota, type PoolPlace } from '../core/quota.js';
+import { reconcileQuota, type QuotaPool } from '../core/quota.js';
 import type { PlatformClient } from '../platform/platform-client.js';
 import type { Directory } from './directory.js';
 
@@ -84,7 +84,7 @@
   /** Looks at all tenants if more of them are this daemon's now. */
   private refreshParts(): void {
     const before = this.parts;
-    this.parts = quotaPartsOf(this.options.self, this.options.membership.live());
+    this.parts = quotaPartitionsOf(this.options.self, this.options.membership.live());
     if ([...this.parts].some((part) => !before.has(part))) this.checkAllSoon();
   }
 
@@ -104,7 +104,7 @@
   }
 
   private isOurs(tenant: string): boolean {
-    return this.parts.has(quotaPart(tenant));
+    return this.parts.has(quotaPartition(tenant));
   }
 
   private async reconcile(tenant: string): Promise<void> {
@@ -136,7 +136,7 @@
     await sleep(WRITE_PAUSE_MS);
   }
 
-  private places(): PoolPlace[] {
+  private places(): QuotaPool[] {
     return this.options.directory.pools().map(({ pool, site }) => ({ pool, site }));
   }
 }
--- a/src/gateway/answer-buffer.ts
+++ b/src/gateway/answer-buffer.ts
@@ -4,7 +4,7 @@
  */
 import type http from 'node:http';
 import type { Logger } from '../common/logger.js';
-import { AnswerBudget, type AnswerRoom, type SlowCaller } from '../core/answer-budget.js';
+import { AnswerBudget, type AnswerMemoryLimits, type SlowCaller } from '../core/answer-budget.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
 import { steadyNow } from './steady-clock.js';
 
@@ -13,7 +13,7 @@
 
 /** Options of {@link AnswerBuffer}. */
 export interface AnswerBufferOptions {
-  readonly room: AnswerRoom;
+  readonly room: AnswerMemoryLimits;
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
 }
@@ -55,7 +55,7 @@
 
   /** Holds further bytes of a body or of an answer that is not whole yet; fewer if negative. */
   hold(bytes: number): void {
-    this.budget.hold(bytes);
+    this.budget.addBuffered(bytes);
   }
 
   /** Begins to count what is written for a caller, until it has read it or has gone. */
@@ -83,7 +83,7 @@
     const { response, writtenBytes, isStream } = answer;
     // The head and the frames of chunks are held with the answer's own bytes.
     const unreadBytes = Math.min(response.writableLength, writtenBytes);
-    return this.budget.note(id, { writtenBytes, unreadBytes, isStream }, now);
+    return this.budget.recordProgress(id, { writtenBytes, unreadBytes, isStream }, now);
   }
 
   private noteAll(now: number): void {
@@ -107,7 +107,8 @@
     this.noteAll(now);
     const { daemonBytes } = this.options.room;
     const heldBytes = this.budget.heldBytes;
-    for (const caller of this.budget.takeTooSlow(now)) this.end(caller, heldBytes, daemonBytes);
+    for (const caller of this.budget.removeSlowCallers(now))
+      this.end(caller, heldBytes, daemonBytes);
     if (this.budget.unreadCallers > 0) this.lookSoon();
   }
 
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -217,7 +217,7 @@
     }
     if (!this.isPaused) this.watch(this.options.stalledAfterMs);
     const events = this.parser.push(chunk);
-    this.options.gaps?.noteRead(events.length, steadyNow());
+    this.options.gaps?.recordRead(events.length, steadyNow());
     for (const event of events) this.passOn(event);
   }
 
@@ -284,7 +284,7 @@
 
   private endStream(status: number): void {
     const { answer } = this.options;
-    if (this.parser.incomplete > 0 || !answer.hasBegun) {
+    if (this.parser.incompleteBytes > 0 || !answer.hasBegun) {
       return this.fail('unknown', 'the stream ended within an event', {});
     }
     this.end({ type: 'done', status }, () => answer.endStream());
--- a/src/gateway/backend-permits.ts
+++ b/src/gateway/backend-permits.ts
@@ -7,11 +7,11 @@
 import { permitLimit } from '../core/admission/permit-ledger.js';
 import {
   BackendRateLimits,
-  type BelievedRateLimit,
+  type RecordedRateLimit,
   type RateLimitNotice,
 } from '../core/backend-rate-limits.js';
 import { startKey } from '../core/backend-starts.js';
-import { processOf, type BackendProcess } from '../core/declared-leavings.js';
+import { backendProcessOf, type BackendProcess } from '../core/announced-shutdowns.js';
 import type { BackendRecord } from '../core/service-configuration.js';
 import type { PeerBody } from '../daemon/peer-transport.js';
 import type { BackendRateLimits as RateLimitNews } from '../proto/gen/internal_pb.js';
@@ -77,7 +77,7 @@
 /** One daemon's part. */
 export class BackendPermits {
   private readonly rates = new BackendRateLimits();
-  private readonly gossip: DigestGossip<BelievedRateLimit>;
+  private readonly gossip: DigestGossip<RecordedRateLimit>;
   /** Steady times until which no permit is expected, by the name of the limit. */
   private readonly exhaustedUntil = new Map<string, number>();
 
@@ -92,18 +92,18 @@
   }
 
   /** What is believed of a backend's limit; to be kept with a request that is sent. */
-  believed(backend: BackendProcess): BelievedRateLimit | undefined {
-    return this.rates.of(backend);
+  believed(backend: BackendProcess): RecordedRateLimit | undefined {
+    return this.rates.limitOf(backend);
   }
 
   /** Requests a second that a backend takes from all daemons; undefined if it names no limit. */
   perSecond(backend: BackendProcess): number | undefined {
-    return this.rates.of(backend)?.perSecond;
+    return this.rates.limitOf(backend)?.perSecond;
   }
 
   /** Whether no permit is expected now, so that a request that can goes elsewhere. */
   isExhausted(backend: BackendProcess, now: number): boolean {
-    const believed = this.rates.of(backend);
+    const believed = this.rates.limitOf(backend);
     if (believed?.perSecond === undefined) return false;
     return (this.exhaustedUntil.get(startKey(believed.backend)) ?? 0) > now;
   }
@@ -118,11 +118,11 @@
   answered(
     backend: BackendRecord,
     notice: RateLimitNotice,
-    sentUnder: BelievedRateLimit | undefined,
+    sentUnder: RecordedRateLimit | undefined,
     request: string | undefined,
   ): void {
     const former = this.perSecond(backend);
-    const belief = this.rates.noteAnswer(processOf(backend), notice, sentUnder);
+    const belief = this.rates.recordAnswer(backendProcessOf(backend), notice, sentUnder);
     if (belief === undefined) return;
     this.log(belief, former, { source: 'answer', request });
     this.gossip.tell(belief);
@@ -135,7 +135,7 @@
     request: string | undefined,
     onDecision: (decision: PermitDecision) => void,
   ): BackendPermit {
-    const name = startKey(this.rates.of(backend)?.backend ?? backend);
+    const name = startKey(this.rates.limitOf(backend)?.backend ?? backend);
     const { limits } = this.options;
     const permit = new BackendPermit(name, limits);
     // The decision comes in a later turn: the caller has the permit object by then.
@@ -167,7 +167,7 @@
     const former = new Map(
       heard.map(({ backend }) => [startKey(backend), this.perSecond(backend)]),
     );
-    const news = this.rates.hear(heard);
+    const news = this.rates.merge(heard);
     for (const belief of news) {
       this.log(belief, former.get(startKey(belief.backend)), { source: 'peer', from });
     }
@@ -203,7 +203,7 @@
   }
 
   private log(
-    { backend, generation, perSecond }: BelievedRateLimit,
+    { backend, generation, perSecond }: RecordedRateLimit,
     formerPerSecond: number | undefined,
     origin: Readonly<Record<string, string | undefined>>,
   ): void {
--- a/src/gateway/capacity-codec.ts
+++ b/src/gateway/capacity-codec.ts
@@ -1,7 +1,7 @@
 /** Between what is learned of capacity and the fields of the internal protocol's messages. */
 import { create } from '@bufbuild/protobuf';
 import type { GapReport } from '../core/capacity/gap-samples.js';
-import type { LearnedFigures } from '../core/capacity/learned-capacity.js';
+import type { CapacityFigures } from '../core/capacity/learned-capacity.js';
 import {
   BackendSpeedSchema,
   ModelGapSchema,
@@ -46,7 +46,7 @@
 }
 
 /** Figures as fields of a placement message. */
-export function encodeFigures(figures: LearnedFigures | undefined): {
+export function encodeFigures(figures: CapacityFigures | undefined): {
   speeds: BackendSpeed[];
   modelGaps: ModelGap[];
   pauseShares: number[];
@@ -63,7 +63,7 @@
 }
 
 /** Figures out of a placement message; undefined if it tells of none. */
-export function decodeFigures(message: ServicePlacement): LearnedFigures | undefined {
+export function decodeFigures(message: ServicePlacement): CapacityFigures | undefined {
   const { speeds, modelGaps, pauseShares } = message;
   if (speeds.length === 0 && modelGaps.length === 0 && pauseShares.length === 0) return undefined;
   return {
--- a/src/gateway/capacity-watch.ts
+++ b/src/gateway/capacity-watch.ts
@@ -1,8 +1,8 @@
 /** Learns the capacity of one service's backends at its owner, with logs and metrics. */
 import type { Logger } from '../common/logger.js';
 import { CapacityEstimate } from '../core/capacity/capacity-estimate.js';
-import type { PlannedCapacity } from '../core/capacity/copy-quality.js';
-import type { LearnedFigures } from '../core/capacity/learned-capacity.js';
+import type { PlanningCapacity } from '../core/capacity/copy-quality.js';
+import type { CapacityFigures } from '../core/capacity/learned-capacity.js';
 import type { DemandReport } from '../core/demand-report.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
 
@@ -27,12 +27,12 @@
   constructor(private readonly options: CapacityWatchOptions) {}
 
   /** What is believed, for the daemons. */
-  get figures(): LearnedFigures {
+  get figures(): CapacityFigures {
     return this.estimate.figures;
   }
 
   /** What the planner goes by. */
-  planned(): PlannedCapacity {
+  planned(): PlanningCapacity {
     const { estimate } = this;
     return { view: estimate.steadyView(), pauseGoalMs: (model) => estimate.pauseGoalMs(model) };
   }
@@ -42,7 +42,7 @@
     if (report.gaps === undefined) return;
     const { service, epoch, logger, isListed } = this.options;
     const samples = report.gaps.samples.filter(({ backend }) => isListed(backend));
-    const dropped = this.estimate.hear(report.daemon, { ...report.gaps, samples }, now);
+    const dropped = this.estimate.addReport(report.daemon, { ...report.gaps, samples }, now);
     if (dropped === 0) return;
     logger.warn('gaps_dropped', { service, epoch, daemon: report.daemon, dropped });
   }
@@ -58,7 +58,7 @@
     if (now - this.settledAt < SETTLE_PERIOD_MS) return;
     this.settledAt = now;
     const { service, epoch, logger, metrics } = this.options;
-    for (const { backend, from, to, gaps, ageMs } of this.estimate.settle(now)) {
+    for (const { backend, from, to, gaps, ageMs } of this.estimate.recompute(now)) {
       metrics.backendSpeed.set({ service, backend }, to);
       logger.info('backend_speed', {
         service,
--- a/src/gateway/crash-watch.ts
+++ b/src/gateway/crash-watch.ts
@@ -5,7 +5,7 @@
 import net from 'node:net';
 import type { Logger } from '../common/logger.js';
 import { splitAddress } from '../common/http-client.js';
-import { isAnotherStart, startKey } from '../core/backend-starts.js';
+import { isDifferentStart, startKey } from '../core/backend-starts.js';
 import { CrashRecords, type CrashRecord, type CrashVerdict } from '../core/crash-records.js';
 import type { BackendRecord } from '../core/service-configuration.js';
 import type { PeerBody } from '../daemon/peer-transport.js';
@@ -70,7 +70,7 @@
   /** Looks at the clock; call it a few times a second. */
   tick(): void {
     const now = steadyNow();
-    this.records.forgetOld(now);
+    this.records.deleteExpired(now);
     for (const [address, { at }] of this.probes) {
       if (now - at >= PROBE_VALID_MS) this.probes.delete(address);
     }
@@ -84,7 +84,7 @@
 
   /** Crashes that are held against a request. */
   crashesOf(digest: string): number {
-    return this.records.crashesOf(digest);
+    return this.records.attributedCrashes(digest);
   }
 
   /**
@@ -98,12 +98,12 @@
   ): Promise<void> {
     const start = startKey(backend);
     const isKnown =
-      this.records.hasCrashed(start) || isAnotherStart(backend, this.options.listed(backend.id));
+      this.records.hasCrashed(start) || isDifferentStart(backend, this.options.listed(backend.id));
     const hasEnded = isKnown || (await this.hasEnded(backend.address));
     if (!hasEnded) return;
-    const record = this.records.noteCrash(digest, start, steadyNow());
+    const record = this.records.recordCrash(digest, start, steadyNow());
     if (record === undefined) return;
-    const crashes = this.records.crashesOf(digest);
+    const crashes = this.records.attributedCrashes(digest);
     this.options.logger.warn('crash_met', { request, digest, backend: backend.id, crashes });
     this.options.metrics.crashesMet.inc();
     this.gossip.tell(record);
@@ -128,7 +128,7 @@
 
   /** Holds nothing against a request any more, here and at the others; false if nothing was. */
   private excuse(digest: string, event: 'crash_excused' | 'crash_lifted'): boolean {
-    const record = this.records.noteAnswer(digest, steadyNow());
+    const record = this.records.recordAnswer(digest, steadyNow());
     if (record === undefined) return false;
     this.options.logger.info(event, { digest, starts: record.excused.length });
     this.gossip.tell(record);
@@ -138,7 +138,7 @@
 
   /** A request that is refused has come. */
   repeated(digest: string): void {
-    this.records.noteRepeat(digest, steadyNow());
+    this.records.recordRepeat(digest, steadyNow());
   }
 
   /** Whether no other suspect runs at a backend that has not begun to answer. */
@@ -171,7 +171,7 @@
   }
 
   private hear(from: string, message: CrashNews): void {
-    const news = this.records.hear(decodeCrashes(message), steadyNow());
+    const news = this.records.mergeAll(decodeCrashes(message), steadyNow());
     if (news.length === 0) return;
     this.options.logger.info('crash_news', { from, requests: news.length });
     this.noteCondemned();
@@ -179,13 +179,13 @@
 
   private noteCondemned(): void {
     const { logger, metrics, onCondemned } = this.options;
-    const condemned = new Set(this.records.condemned());
+    const condemned = new Set(this.records.condemnedDigests());
     const added = [...condemned].filter((digest) => !this.condemned.has(digest));
     const lifted = [...this.condemned].filter((digest) => !condemned.has(digest));
     this.condemned = condemned;
     metrics.condemnedRequests.set(condemned.size);
     for (const digest of added) {
-      logger.warn('request_condemned', { digest, crashes: this.records.crashesOf(digest) });
+      logger.warn('request_condemned', { digest, crashes: this.records.attributedCrashes(digest) });
     }
     for (const digest of lifted) logger.info('request_acquitted', { digest });
     if (added.length + lifted.length > 0) onCondemned();
--- a/src/gateway/currency-proofs.ts
+++ b/src/gateway/currency-proofs.ts
@@ -9,7 +9,7 @@
 import type { Logger } from '../common/logger.js';
 import { rankCandidates } from '../common/rendezvous.js';
 import { ConfigurationLease } from '../core/configuration-lease.js';
-import { ablestOf } from '../core/duties.js';
+import { highCapacityMembers } from '../core/duties.js';
 import type { MemberView } from '../core/membership-messages.js';
 import type { PeerBody } from '../daemon/peer-transport.js';
 import { CurrencyAnswerSchema, CurrencyQuestionSchema } from '../proto/gen/internal_pb.js';
@@ -97,7 +97,7 @@
 
   /** The platform had no newer configuration at `askedAt`. */
   confirmed(version: number, askedAt: number): void {
-    this.lease.prove({ version, provenAt: askedAt });
+    this.lease.addProof({ version, provenAt: askedAt });
   }
 
   /** Handles a message about proofs; false if it is another kind. */
@@ -159,7 +159,7 @@
     const { question } = this;
     if (question === undefined || question.to !== from || question.sequence !== sequence) return;
     this.question = undefined;
-    this.lease.prove({ version, provenAt: question.askedAt - ageMs });
+    this.lease.addProof({ version, provenAt: question.askedAt - ageMs });
     this.options.hearVersion(from, version);
     if (ageMs > USEFUL_AGE_MS) this.passOver(from, `its proof was ${ageMs} ms old`, leaseNow());
   }
@@ -195,7 +195,7 @@
 
 /** The same at all daemons that know the same members: the ablest machines first. */
 function commonOrder(members: readonly MemberView[]): string[] {
-  const able = ablestOf(members).map((member) => member.address);
+  const able = highCapacityMembers(members).map((member) => member.address);
   const first = new Set(able);
   const rest = members.map((member) => member.address).filter((address) => !first.has(address));
   return [...rankCandidates('currency', able), ...rankCandidates('currency', rest)];
--- a/src/gateway/directory-duty.ts
+++ b/src/gateway/directory-duty.ts
@@ -12,7 +12,7 @@
 import { rankCandidates } from '../common/rendezvous.js';
 import type { BackendDirectory } from '../core/backend-directory.js';
 import type { BackendList, PresenceChanges } from '../core/backend-presence.js';
-import { ablestOf } from '../core/duties.js';
+import { highCapacityMembers } from '../core/duties.js';
 import type { BackendRecord } from '../core/service-configuration.js';
 import { eraOf, revisionOf, type StorePosition } from '../core/store-position.js';
 import { RecentChanges } from '../core/recent-changes.js';
@@ -142,16 +142,16 @@
     const now = steadyNow();
     const news = decodeNews(message, eraOf(this.listedAt));
     const { platformAway, configurationVersion: version, servingDigest } = news;
-    const ended = news.ended.filter((end) => backends.noteEnded(end));
+    const ended = news.ended.filter((end) => backends.markEnded(end));
     // An owner plans with whole records, which its own readings bring as early.
     const started = ownsService()
       ? []
-      : news.started.filter((record) => backends.noteStarted(record, now));
+      : news.started.filter((record) => backends.addAnnounced(record, now));
     const said = { platformAway, version, servingDigest };
     this.readers.hear(from, said, backends.servingDigest(), leaseNow());
     if (ended.length + started.length === 0) return;
     // Told on by those that read closely: the one who was first may not reach everybody.
-    this.recent.note({ ended, started }, now);
+    this.recent.add({ ended, started }, now);
     this.log({ ended, started }, 'reader', from);
     onChange();
   }
@@ -159,7 +159,7 @@
   private changed(changes: PresenceChanges, source: ChangeSource): void {
     const { ended, started } = changes;
     if (ended.length + started.length > 0) {
-      this.recent.note(changes, steadyNow());
+      this.recent.add(changes, steadyNow());
       this.log(changes, source);
       this.publish();
     }
@@ -227,7 +227,9 @@
 
   /** The readers and those that stand in for them, best first. */
   private firstInRank(): string[] {
-    const candidates = ablestOf(this.options.peers.live()).map((member) => member.address);
+    const candidates = highCapacityMembers(this.options.peers.live()).map(
+      (member) => member.address,
+    );
     return rankCandidates('directory', candidates).slice(0, STANDBY_READERS);
   }
 
