--- a/src/gateway/expected-capacity.ts
+++ b/src/gateway/expected-capacity.ts
@@ -1,6 +1,6 @@
 /** What a request goes by of the backends' capacity: their speeds, and its risk of late pauses there. */
-import { EVEN_CAPACITY, type CapacityView } from '../core/capacity/capacity-view.js';
-import { sparedBackends } from '../core/capacity/ejection-floor.js';
+import { UNIFORM_CAPACITY, type CapacityView } from '../core/capacity/capacity-view.js';
+import { backendsExemptFromEjection } from '../core/capacity/ejection-limit.js';
 import type { StreamGaps } from '../core/capacity/gap-samples.js';
 import {
   isStream,
@@ -40,7 +40,7 @@
 }
 
 function viewOf(context: GatewayContext, service: string, now: number): CapacityView {
-  if (!context.settings.policies.learnedCapacity) return EVEN_CAPACITY;
+  if (!context.settings.policies.learnedCapacity) return UNIFORM_CAPACITY;
   return context.directory.capacityOf(service, now);
 }
 
@@ -56,11 +56,11 @@
 ): BackendRecord[] {
   const { settings, directory, health } = context;
   if (!settings.policies.learnedCapacity || usable.length === 0) return [];
-  const serving = directory.serving(service);
+  const serving = directory.servingBackends(service);
   const avoided = serving
-    .map(({ id }) => ({ id, until: health.avoidedUntil(id) }))
+    .map(({ id }) => ({ id, until: health.ejectedUntil(id) }))
     .filter(({ until }) => until > now);
-  const spared = sparedBackends(avoided, serving.length);
+  const spared = backendsExemptFromEjection(avoided, serving.length);
   return usable.filter((backend) => spared.has(backend.id));
 }
 
@@ -77,5 +77,5 @@
   const { service, route, model } = need;
   const isLearned = context.settings.policies.learnedCapacity && isStream(route);
   if (!isLearned || isResumed || model === undefined) return undefined;
-  return context.tracker.gapsOf(service).watch(backend, model.model, route.pauseGoalMs);
+  return context.tracker.gapsOf(service).measureStream(backend, model.model, route.pauseGoalMs);
 }
--- a/src/gateway/gateway-settings.ts
+++ b/src/gateway/gateway-settings.ts
@@ -7,7 +7,7 @@
 import {
   DEFAULT_POLICIES,
   POLICY_NAMES,
-  policiesOf,
+  createPolicies,
   RETIRED_POLICY_NAMES,
   type Policies,
 } from '../core/policies.js';
@@ -114,7 +114,7 @@
     store: reader.checked('store', '"ip:port"', isAddress),
     seeds: reader.texts('seeds'),
     backendsCheckEpochs: reader.flag('backendsCheckEpochs'),
-    policies: policiesOf((name) => policies.flag(name, DEFAULT_POLICIES[name])),
+    policies: createPolicies((name) => policies.flag(name, DEFAULT_POLICIES[name])),
     retiredPolicies: RETIRED_POLICY_NAMES.filter((name) => policies.has(name)),
     bounds: {
       stopSeconds: bounds.number('stopSeconds', 0),
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -6,7 +6,7 @@
 import { leaseClock, leaseNow } from '../common/lease-clock.js';
 import { sleep, startTicker, type Ticker } from '../common/process.js';
 import { LimitShares } from '../core/admission/limit-shares.js';
-import { answerRoomOf } from '../core/answer-budget.js';
+import { answerMemoryLimitsFor } from '../core/answer-budget.js';
 import { BackendDirectory } from '../core/backend-directory.js';
 import { BackendHealth } from '../core/backend-health.js';
 import { BackendBackoffs } from '../core/backend-backoffs.js';
@@ -130,7 +130,7 @@
     });
     this.shares = new LimitShares(this.peers.address);
     this.members = new MemberList(settings, outside.store, this.peers, logger, (askedAt) =>
-      this.shares.renewed(askedAt),
+      this.shares.recordRenewal(askedAt),
     );
     this.configurations = new ConfigurationExchange({
       directory: outside.directory,
@@ -301,7 +301,7 @@
       metrics: outside.metrics,
       live: () => peers.live(),
       reachable: () => peers.reachableOthers(),
-      slotsOf: (id) => slotsOf(backends.servingOne(id)),
+      slotsOf: (id) => slotsOf(backends.getServing(id)),
       sendDatagram: (to, body) => peers.sendDatagram(to, body),
     });
   }
@@ -386,7 +386,11 @@
       leavings: this.leavings,
       backoffs: new BackendBackoffs(),
       slots: this.slots,
-      answers: new AnswerBuffer({ room: answerRoomOf(settings.memoryMegabytes), logger, metrics }),
+      answers: new AnswerBuffer({
+        room: answerMemoryLimitsFor(settings.memoryMegabytes),
+        logger,
+        metrics,
+      }),
       exchanges: new Set<RequestExchange>(),
       backendsAgeMs: () => this.directoryDuty.knowledgeAgeMs(),
       budgetOf: (service) => this.budgetOf(service),
@@ -403,8 +407,8 @@
     if (deadlineMs === undefined || !this.settings.policies.keepReturningCallers) return false;
     const deadlines = this.callerDeadlines.get(route) ?? new CallerDeadlines();
     this.callerDeadlines.set(route, deadlines);
-    deadlines.note(deadlineMs);
-    return deadlines.hasComeBack(deadlineMs);
+    deadlines.recordDeadline(deadlineMs);
+    return deadlines.isLikelyRetry(deadlineMs);
   }
 
   private budgetOf(service: string): RetryBudget {
@@ -420,7 +424,7 @@
   private configure(configuration: ServiceConfiguration, source: ConfigurationSource): void {
     this.routing = new RoutingTable(configuration, this.routing);
     this.admission.configure(configuration);
-    this.proofs.lease.configured(configuration.version);
+    this.proofs.lease.setVersion(configuration.version);
     for (const reason of configuration.problems) {
       this.outside.logger.warn('configuration_problem', { version: configuration.version, reason });
     }
@@ -479,7 +483,7 @@
   }
 
   private reportDemand(service: string): void {
-    const failing = this.context.health.failing(steadyNow());
+    const failing = this.context.health.failingBackends(steadyNow());
     const report = this.context.tracker.report(service, this.peers.address, failing, steadyNow());
     if (this.duties.hear(service, report)) return;
     const owner = this.duties.ownerAddress(service);
--- a/src/gateway/holder-leases.ts
+++ b/src/gateway/holder-leases.ts
@@ -8,9 +8,9 @@
 import type { Logger } from '../common/logger.js';
 import {
   HolderLease,
-  keepersOf,
-  LeaseKeeper,
-  type LeaseAnswer,
+  votersOf,
+  LeaseVoter,
+  type LeaseVote,
   type LeaseHistory,
 } from '../core/admission/holder-lease.js';
 import type { ShareMember } from '../core/admission/limit-shares.js';
@@ -85,7 +85,7 @@
 /** One daemon's leases and words. */
 export class HolderLeases {
   private readonly wanted = new Map<string, WantedLease>();
-  private readonly keeper: LeaseKeeper;
+  private readonly keeper: LeaseVoter;
   private readonly startedAt = steadyNow();
   private sequence: number;
   /** When each member was seen last. */
@@ -96,7 +96,7 @@
   private readonly keepers = new Map<string, readonly string[]>();
 
   constructor(private readonly options: HolderLeasesOptions) {
-    this.keeper = new LeaseKeeper(options.processStartedAt, options.rememberMs);
+    this.keeper = new LeaseVoter(options.processStartedAt, options.rememberMs);
     this.sequence = options.firstSequence;
   }
 
@@ -117,7 +117,7 @@
 
   /** Whether this daemon may lend now: to be asked in the same turn as it lends. */
   holds(name: string): boolean {
-    return this.wanted.get(name)?.lease.holds(leaseNow()) ?? false;
+    return this.wanted.get(name)?.lease.isHeld(leaseNow()) ?? false;
   }
 
   /** The most that this daemon may lend to itself now, in units of what is counted; 0 if the lease is not wanted. */
@@ -129,7 +129,7 @@
   raise(name: string, units: number): void {
     const entry = this.wanted.get(name);
     if (entry === undefined) return;
-    if (entry.lease.hasAskedFor(units, RETRY_PERIOD_MS, leaseNow())) return;
+    if (entry.lease.hasRequested(units, RETRY_PERIOD_MS, leaseNow())) return;
     this.ask(name, entry, steadyNow());
   }
 
@@ -155,7 +155,7 @@
     this.lookAtCandidates(now);
     for (const [name, entry] of this.wanted) {
       this.followLease(name, entry, now);
-      const sinceAskedMs = entry.lease.sinceAskedMs(leaseNow());
+      const sinceAskedMs = entry.lease.sinceRequestMs(leaseNow());
       if (sinceAskedMs >= askPeriodMs(entry, now)) this.ask(name, entry, now);
     }
   }
@@ -183,14 +183,14 @@
     const { sequence } = this;
     const ownCeiling = entry.duty.ownCeiling(now);
     entry.refused = 0;
-    entry.lease.ask(sequence, ownCeiling, keepers, leaseNow());
+    entry.lease.recordRequest(sequence, ownCeiling, keepers, leaseNow());
     const value = create(HolderLeaseQuestionSchema, { name, sequence, ownCeiling, process });
     for (const keeper of keepers) {
       if (keeper !== self) sendDatagram(keeper, { case: 'holderLeaseQuestion', value });
     }
     if (!keepers.includes(self)) return;
     const question = { name, holder: self, process, sequence, ownCeiling };
-    const own = this.keeper.answer(question, now, keepers.length === 1);
+    const own = this.keeper.handleRequest(question, now, keepers.length === 1);
     this.hear(self, name, sequence, own);
   }
 
@@ -198,7 +198,7 @@
     const { name, process, sequence } = asked;
     const ownCeiling = knownUnits(asked.ownCeiling);
     const question = { name, holder: to, process, sequence, ownCeiling };
-    const { isGiven, soleMs, former } = this.keeper.answer(question, steadyNow());
+    const { isGiven, soleMs, former } = this.keeper.handleRequest(question, steadyNow());
     const value = create(HolderLeaseAnswerSchema, {
       name,
       sequence,
@@ -210,14 +210,14 @@
     this.options.sendDatagram(to, { case: 'holderLeaseAnswer', value });
   }
 
-  private hear(keeper: string, name: string, sequence: number, answer: LeaseAnswer): void {
+  private hear(keeper: string, name: string, sequence: number, answer: LeaseVote): void {
     const entry = this.wanted.get(name);
     if (entry === undefined) return;
     const now = steadyNow();
-    const hadLease = entry.lease.holds(leaseNow());
+    const hadLease = entry.lease.isHeld(leaseNow());
     if (!answer.isGiven) entry.refused += 1;
-    const history = entry.lease.hear(keeper, sequence, answer);
-    if (history === undefined || !entry.lease.holds(leaseNow())) return;
+    const history = entry.lease.recordVote(keeper, sequence, answer);
+    if (history === undefined || !entry.lease.isHeld(leaseNow())) return;
     if (!hadLease) this.gained(name, entry, history, now);
     entry.duty.onAnswered(now);
   }
@@ -226,7 +226,7 @@
     entry.held = true;
     const missingMs = now - entry.missingSince;
     const waitedMs = Math.round(missingMs);
-    const { soleMs, formers } = history;
+    const { soleMs, previousHolders: formers } = history;
     const former = formers[0]?.holder;
     this.options.logger.info('holder_lease_gained', { name, waitedMs, soleMs, former });
     entry.duty.onGained(history, missingMs, now);
@@ -234,7 +234,7 @@
 
   /** Logs what has become of a lease, a line a change, and now and then while it is not got. */
   private followLease(name: string, entry: WantedLease, now: number): void {
-    const holds = entry.lease.holds(leaseNow());
+    const holds = entry.lease.isHeld(leaseNow());
     const isLost = entry.held && !holds;
     entry.held = holds;
     if (isLost) entry.missingSince = now;
@@ -251,7 +251,7 @@
     this.lookAtCandidates(now);
     const known = this.keepers.get(name);
     if (known !== undefined) return known;
-    const keepers = keepersOf(name, this.candidates);
+    const keepers = votersOf(name, this.candidates);
     this.keepers.set(name, keepers);
     return keepers;
   }
@@ -272,7 +272,7 @@
 }
 
 function askPeriodMs({ lease, missingSince }: WantedLease, now: number): number {
-  if (lease.holds(leaseNow())) return RENEW_PERIOD_MS;
+  if (lease.isHeld(leaseNow())) return RENEW_PERIOD_MS;
   const isSlow = now - missingSince >= RETRIES_SLOW_AFTER_MS;
   return isSlow ? SLOW_RETRY_PERIOD_MS : RETRY_PERIOD_MS;
 }
--- a/src/gateway/leaving-news.ts
+++ b/src/gateway/leaving-news.ts
@@ -5,7 +5,7 @@
 import { create } from '@bufbuild/protobuf';
 import type { Logger } from '../common/logger.js';
 import type { BackendDirectory } from '../core/backend-directory.js';
-import { processOf, type BackendProcess } from '../core/declared-leavings.js';
+import { backendProcessOf, type BackendProcess } from '../core/announced-shutdowns.js';
 import type { BackendRecord } from '../core/service-configuration.js';
 import type { PeerBody } from '../daemon/peer-transport.js';
 import { BackendsLeavingSchema, LeavingBackendSchema } from '../proto/gen/internal_pb.js';
@@ -42,8 +42,8 @@
   /** A backend has said so in an answer to a request of this daemon. */
   answered(backend: BackendRecord, request: string | undefined): void {
     const { directory, logger, onChange } = this.options;
-    const process = processOf(backend);
-    if (!directory.noteLeaving(process)) return;
+    const process = backendProcessOf(backend);
+    if (!directory.markLeaving(process)) return;
     const { id, start } = process;
     logger.info('backend_leaving', { backend: id, start, source: 'answer', request });
     this.announce(backend);
@@ -52,7 +52,7 @@
 
   /** Tells the others that a backend leaves. */
   announce(backend: BackendRecord): void {
-    this.announcements.push({ process: processOf(backend), sendings: 0 });
+    this.announcements.push({ process: backendProcessOf(backend), sendings: 0 });
     this.send();
   }
 
@@ -68,7 +68,7 @@
     const heard = body.value.backends.slice(0, MOST_ENTRIES).map(({ id, start }) => {
       return { id, ...(start === '' ? {} : { start }) };
     });
-    const news = heard.filter((process) => directory.noteLeaving(process));
+    const news = heard.filter((process) => directory.markLeaving(process));
     for (const { id, start } of news) {
       logger.info('backend_leaving', { backend: id, start, source: 'peer', from });
     }
--- a/src/gateway/limit-group.ts
+++ b/src/gateway/limit-group.ts
@@ -3,7 +3,7 @@
 import { firstCandidate } from '../common/rendezvous.js';
 import type { LimitShares } from '../core/admission/limit-shares.js';
 import type { HolderView, RateLimit } from '../core/admission/rate-ledger.js';
-import { ablestOf } from '../core/duties.js';
+import { highCapacityMembers } from '../core/duties.js';
 import type { MemberView } from '../core/membership-messages.js';
 import { heldName, type LimitKind } from './limit-kind.js';
 
@@ -51,7 +51,7 @@
     const sharers = live.filter(({ address }) => this.options.shares.isSharer(address));
     this.liveCount = live.length;
     this.sharerCount = sharers.length;
-    const candidates = ablestOf(sharers)
+    const candidates = highCapacityMembers(sharers)
       .map((member) => member.address)
       .sort();
     if (candidates.join() === this.candidates.join()) return false;
@@ -73,7 +73,7 @@
 
   /** Whether this daemon may count as a holder. */
   get mayCount(): boolean {
-    return this.options.shares.mayCount(leaseNow());
+    return this.options.shares.mayUseShare(leaseNow());
   }
 
   /** Units of a window that this daemon may admit alone: all together pass no limit. */
@@ -83,12 +83,12 @@
 
   /** Units of a window that each daemon with a share may admit alone. */
   usualShare(limit: RateLimit): number {
-    return this.unitsOf(limit) * this.options.shares.usualShare;
+    return this.unitsOf(limit) * this.options.shares.sharePerMember;
   }
 
   /** What a holder counts. */
   view(): HolderView {
-    const share = this.options.shares.sumOf(this.sharerCount, leaseNow());
+    const share = this.options.shares.combinedShare(this.sharerCount, leaseNow());
     return { daemons: Math.max(1, this.liveCount), share };
   }
 
--- a/src/gateway/limit-holder.ts
+++ b/src/gateway/limit-holder.ts
@@ -80,7 +80,7 @@
 
   /** Counts what this daemon has admitted before it held. */
   recallOwn(name: string, units: number, now: number): void {
-    this.held(name, now)?.ledger.recall(units, now);
+    this.held(name, now)?.ledger.countReported(units, now);
   }
 
   /** Other daemons may hold now. */
@@ -101,15 +101,15 @@
     if (held === undefined) return;
     const { ledger } = held;
     if (question === 0) {
-      if (isRecalled) ledger.recall(units, now);
+      if (isRecalled) ledger.countReported(units, now);
       else ledger.count(units, now);
-      const isTight = ledger.isTight(now);
+      const isTight = ledger.requiresApproval(now);
       if (!this.mayLend(name) || !(isTight || charge.wantsWord)) return;
       return this.answer(from, name, 0, { type: 'granted' }, isTight);
     }
     if (!this.mayAnswer(from, charge, now)) return this.keepWaiting(from, charge, held, now);
     const decision = ledger.admit(units, now);
-    this.answer(from, name, question, decision, ledger.isTight(now));
+    this.answer(from, name, question, decision, ledger.requiresApproval(now));
   }
 
   /** Whether this daemon may grant to others now: its lease holds, and it may count shares. */
@@ -212,22 +212,22 @@
     if (limit === undefined || !mayHaveOthersUnits) return;
     const unseen = this.unseenUnits(history, group.usualShare(limit));
     const forgotten = this.forgottenUnits(history);
-    held.ledger.countFrom(now, unseen);
-    if (forgotten > 0) held.ledger.recall(forgotten, now);
+    held.ledger.restartFrom(now, unseen);
+    if (forgotten > 0) held.ledger.countReported(forgotten, now);
     // Who has heard a former process of this daemon tells it again what it has admitted.
     if (forgotten > 0) this.tellAll(name, true);
     logger.info('limit_counted_from', { [kind.subject]: name, unseen, forgotten });
   }
 
   /** Units that former holders which are gone can have admitted for themselves beyond their share of the limit. */
-  private unseenUnits({ formers }: LeaseHistory, share: number): number {
+  private unseenUnits({ previousHolders: formers }: LeaseHistory, share: number): number {
     const live = this.options.group.liveAddresses();
     const gone = formers.filter(({ holder }) => !live.has(holder));
     return gone.reduce((most, { ownCeiling }) => Math.max(most, ownCeiling - share), 0);
   }
 
   /** Units that a former process of this daemon has admitted for itself at most. */
-  private forgottenUnits({ formers }: LeaseHistory): number {
+  private forgottenUnits({ previousHolders: formers }: LeaseHistory): number {
     const own = formers.filter(({ holder }) => holder === this.options.self);
     return own.reduce((most, { ownCeiling }) => Math.max(most, ownCeiling), 0);
   }
@@ -241,7 +241,7 @@
     }
     this.forgetWaiting(held, now);
     if (!this.mayLend(name)) return;
-    const isTight = held.ledger.isTight(now);
+    const isTight = held.ledger.requiresApproval(now);
     if (isTight === held.announcedTight) return;
     held.announcedTight = isTight;
     const used = Math.round(held.ledger.used(now));
--- a/src/gateway/load-watch.ts
+++ b/src/gateway/load-watch.ts
@@ -4,15 +4,15 @@
  */
 import type { Logger } from '../common/logger.js';
 import type { BackendLedger } from '../core/backend-ledger.js';
-import type { CopyPlace, PlannedOrder } from '../core/planning.js';
+import type { WeightsLocation, PlannedOrder } from '../core/planning.js';
 import type { StoreLoadLimit } from '../core/store-load-limit.js';
-import { UnloadTimes } from '../core/unload-times.js';
+import { UnloadTimeEstimator } from '../core/unload-time-estimator.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
 
 /** A load that was ordered and is not known to have ended. */
 interface WatchedLoad {
   readonly model: string;
-  readonly copy: CopyPlace;
+  readonly copy: WeightsLocation;
   readonly startedAt: number;
   readonly expectedMs: number;
 }
@@ -34,7 +34,7 @@
 
 /** The loads under way at the backends of one service; a backend carries out one at a time. */
 export class LoadWatch {
-  readonly unloadTimes = new UnloadTimes();
+  readonly unloadTimes = new UnloadTimeEstimator();
   private readonly loads = new Map<string, WatchedLoad>();
   /** Unloads that wait for running requests, by backend. */
   private readonly unloads = new Map<string, WatchedUnload>();
@@ -69,8 +69,8 @@
       model: order.model,
       copy,
       expectedMs: Math.round(durationMs),
-      storeLoads: limit.running(),
-      storeLimit: Number.isFinite(limit.most) ? limit.most : undefined,
+      storeLoads: limit.runningCount(),
+      storeLimit: Number.isFinite(limit.maxConcurrent) ? limit.maxConcurrent : undefined,
       reason,
     });
   }
@@ -128,7 +128,7 @@
       outcome,
       expectedMs: Math.round(load.expectedMs),
       milliseconds: Math.round(milliseconds),
-      storeLoads: limit.running(),
+      storeLoads: limit.runningCount(),
     });
   }
 }
--- a/src/gateway/member-list.ts
+++ b/src/gateway/member-list.ts
@@ -2,7 +2,7 @@
 import { leaseNow } from '../common/lease-clock.js';
 import { faultText, type Logger } from '../common/logger.js';
 import { startTicker, type Ticker } from '../common/process.js';
-import { KEPT_ENTRY_MS, RENEWAL_LAPSES_MS } from '../core/admission/limit-shares.js';
+import { PREVIOUS_ENTRY_VALID_MS, RENEWAL_EXPIRY_MS } from '../core/admission/limit-shares.js';
 import type { DutyMember } from '../core/duties.js';
 import { MemberEntries } from '../core/member-entries.js';
 import type { StorePosition } from '../core/store-position.js';
@@ -128,7 +128,7 @@
     this.renewals = renewalsOf(known?.value);
     this.revision = known?.revision;
     // How long ago it was renewed is not known: it counts until the next reading, which renews it, and only once.
-    if (!this.hasKeptEntry) this.onRenewed(askedAt - RENEWAL_LAPSES_MS + KEPT_ENTRY_MS);
+    if (!this.hasKeptEntry) this.onRenewed(askedAt - RENEWAL_EXPIRY_MS + PREVIOUS_ENTRY_VALID_MS);
     this.hasKeptEntry = true;
     return true;
   }
--- a/src/gateway/model-forecast.ts
+++ b/src/gateway/model-forecast.ts
@@ -18,8 +18,8 @@
 function isPassedOver(context: GatewayContext, id: string, now: number): boolean {
   const { directory, health, backoffs, permits } = context;
   const backend = directory.get(id);
-  if (backend === undefined) return health.isAvoided(id, now);
+  if (backend === undefined) return health.isEjected(id, now);
   const isBackingOff = backoffs.remainingMs(backend, now) > 0;
   const isLimited = permits.perSecond(backend) !== undefined;
-  return isBackingOff || isLimited || health.isAvoided(id, now);
+  return isBackingOff || isLimited || health.isEjected(id, now);
 }
--- a/src/gateway/ownership-proofs.ts
+++ b/src/gateway/ownership-proofs.ts
@@ -61,13 +61,13 @@
     const { store, service, lease, onOtherOwner } = this.options;
     const answer = await store.read('owners', service);
     if (answer.isErr || claim !== this.claim) return;
-    if (ownerRecord(answer.value?.value)?.claim === claim) return lease.prove(askedAt);
+    if (ownerRecord(answer.value?.value)?.claim === claim) return lease.addProof(askedAt);
     onOtherOwner();
   }
 
   private logChange(now: number): void {
     const { service, logger, lease } = this.options;
-    const holds = lease.holds(now, steadyNow());
+    const holds = lease.allowsOrder(now, steadyNow());
     if (holds === this.held) return;
     this.held = holds;
     const event = holds ? 'ownership_lease_begun' : 'ownership_lease_lost';
--- a/src/gateway/ownership.ts
+++ b/src/gateway/ownership.ts
@@ -7,10 +7,10 @@
  */
 import { faultText, type Logger } from '../common/logger.js';
 import { rankCandidates } from '../common/rendezvous.js';
-import { ablestOf, seesHalf, type DutyMember } from '../core/duties.js';
+import { highCapacityMembers, reachesHalf, type DutyMember } from '../core/duties.js';
 import type { Membership } from '../core/membership.js';
 import type { MemberView } from '../core/membership-messages.js';
-import { HAND_OVER_MS, HOLD_MS, OwnershipLease } from '../core/ownership-lease.js';
+import { TAKEOVER_DELAY_MS, ORDER_LEASE_MS, OwnershipLease } from '../core/ownership-lease.js';
 import { positionOf, type StorePosition } from '../core/store-position.js';
 import { ownerRecord, type OwnerRecord } from './owner-record.js';
 import { OwnershipProofs } from './ownership-proofs.js';
@@ -40,7 +40,7 @@
  * An owner without a proof gives up once the platform has answered others for so long: they can do what
  * it cannot. Two of its own readings would have been answered by then.
  */
-const UNPROVEN_MS = HOLD_MS + 500;
+const UNPROVEN_MS = ORDER_LEASE_MS + 500;
 /** Daemons, by rank, that claim a service, and how much later each does than the one before it. */
 const MOST_SUCCESSORS = 4;
 const SUCCESSOR_STEP_MS = 1_000;
@@ -55,7 +55,7 @@
 export interface OwnershipPeers {
   /** This daemon's peer address. */
   readonly address: string;
-  readonly membership: Pick<Membership, 'own' | 'all'>;
+  readonly membership: Pick<Membership, 'ownView' | 'all'>;
   /** Daemons that may be given duties, this one among them. */
   live(): readonly MemberView[];
 }
@@ -143,7 +143,7 @@
   orderDelayMs(): number {
     if (!this.isOwner()) return Infinity;
     // By the steady clock a lease would outlast its end on a machine that was suspended.
-    return this.options.backendsCheckEpochs ? 0 : this.lease.delayMs(leaseNow(), steadyNow());
+    return this.options.backendsCheckEpochs ? 0 : this.lease.orderDelayMs(leaseNow(), steadyNow());
   }
 
   /** Looks at clock and members; call it often. */
@@ -193,7 +193,7 @@
 
   private tendLease(now: number): void {
     this.proofs.tick();
-    if (this.lease.ageMs(leaseNow()) <= HOLD_MS || !this.options.platformAnswersOthers()) {
+    if (this.lease.ageMs(leaseNow()) <= ORDER_LEASE_MS || !this.options.platformAnswersOthers()) {
       this.passedOverSince = now;
     } else if (now - this.passedOverSince > UNPROVEN_MS) {
       this.yieldTo('the platform answers others, and not this daemon');
@@ -257,7 +257,7 @@
 
   /** Its record names another owner, or is gone: the copy may say so alone, and no other daemon goes by it. */
   private recordLost(): void {
-    const isRestored = steadyNow() - this.restoredAt < HAND_OVER_MS;
+    const isRestored = steadyNow() - this.restoredAt < TAKEOVER_DELAY_MS;
     if (isRestored) this.giveUp('the store came back from a copy');
     else this.yieldTo('its record names another owner');
   }
@@ -275,13 +275,13 @@
   }
 
   private seesEnough(): boolean {
-    return seesHalf(this.options.peers.live(), this.options.listed());
+    return reachesHalf(this.options.peers.live(), this.options.listed());
   }
 
   /** The first in rank may be one that cannot claim: the next ones claim after a longer silence. */
   private isSuccessor(): boolean {
     const { peers, service } = this.options;
-    const candidates = ablestOf(peers.live()).map((member) => member.address);
+    const candidates = highCapacityMembers(peers.live()).map((member) => member.address);
     const position = rankCandidates(service, candidates).indexOf(peers.address);
     if (!this.seesEnough() || position < 0) return false;
     if (this.epochOutOfSight !== undefined) return true;
@@ -341,7 +341,7 @@
 
   private async claim(): Promise<void> {
     const { peers, store, service, logger } = this.options;
-    const { address, incarnation } = peers.membership.own;
+    const { address, incarnation } = peers.membership.ownView;
     const epoch = this.nextEpoch();
     const claim = `${address} ${incarnation} ${epoch}`;
     const record: OwnerRecord = { address, incarnation, epoch, claim };
@@ -405,9 +405,9 @@
    */
   private formerOwnersHaveStopped(): boolean {
     // The store may have lost the record of an owner whose lease goes on.
-    if (steadyNow() - this.restoredAt < HAND_OVER_MS) return false;
+    if (steadyNow() - this.restoredAt < TAKEOVER_DELAY_MS) return false;
     if (this.record === undefined) return true;
-    return this.ownerHasLeft() && steadyNow() - this.knownSince >= HAND_OVER_MS;
+    return this.ownerHasLeft() && steadyNow() - this.knownSince >= TAKEOVER_DELAY_MS;
   }
 
   /** After a lost answer the record itself tells whether the claim was written. */
--- a/src/gateway/peer-group.ts
+++ b/src/gateway/peer-group.ts
@@ -49,7 +49,7 @@
 
   /** This daemon's peer address. */
   get address(): string {
-    return this.membership.own.address;
+    return this.membership.ownView.address;
   }
 
   /** What has passed between this daemon and the others. */
--- a/src/gateway/placement-exchange.ts
+++ b/src/gateway/placement-exchange.ts
@@ -46,7 +46,7 @@
     const { directory, onNewOwner, onApplied } = this.options;
     const now = steadyNow();
     const isNewOwner = update.epoch > directory.epochOf(update.service);
-    const outcome = directory.hearPlacement(update, now);
+    const outcome = directory.applyPlacementUpdate(update, now);
     if (isNewOwner) onNewOwner(update.service, now);
     if (outcome === 'applied') onApplied();
     if (outcome === 'gap') this.catchUp(owner, update.service, now);
@@ -66,7 +66,7 @@
     if (owner !== self) return this.request(owner, service, now);
     const everything = everythingOf(service);
     if (everything === undefined) return;
-    directory.hearPlacement(everything, now);
+    directory.applyPlacementUpdate(everything, now);
     onApplied();
   }
 
--- a/src/gateway/rate-limit-codec.ts
+++ b/src/gateway/rate-limit-codec.ts
@@ -1,6 +1,6 @@
 /** Between beliefs of backends' rate limits and the internal protocol's messages. */
 import { create } from '@bufbuild/protobuf';
-import type { BelievedRateLimit } from '../core/backend-rate-limits.js';
+import type { RecordedRateLimit } from '../core/backend-rate-limits.js';
 import type { PeerBody } from '../daemon/peer-transport.js';
 import {
   BackendRateLimitSchema,
@@ -12,7 +12,7 @@
 const MOST_ENTRIES = 2_048;
 
 /** News, or all that is known. */
-export function encodeRateLimits(beliefs: readonly BelievedRateLimit[]): PeerBody {
+export function encodeRateLimits(beliefs: readonly RecordedRateLimit[]): PeerBody {
   const limits = beliefs.map(({ backend, generation, perSecond }) => {
     const { id, start = '' } = backend;
     return create(BackendRateLimitSchema, { id, start, generation, perSecond });
@@ -26,7 +26,7 @@
 }
 
 /** Beliefs out of a message; an entry with a limit that is no rate is passed over. */
-export function decodeRateLimits({ limits }: BackendRateLimits): BelievedRateLimit[] {
+export function decodeRateLimits({ limits }: BackendRateLimits): RecordedRateLimit[] {
   return limits.slice(0, MOST_ENTRIES).flatMap(({ id, start, generation, perSecond }) => {
     const isRate = perSecond === undefined || (Number.isFinite(perSecond) && perSecond >= 0);
     const backend = { id, ...(start === '' ? {} : { start }) };
--- a/src/gateway/request-beliefs.ts
+++ b/src/gateway/request-beliefs.ts
@@ -17,7 +17,7 @@
   const { directory } = context;
   return {
     configuration,
-    backends: directory.serving(service.name).length,
+    backends: directory.servingBackends(service.name).length,
     backendsAgeMs: wholeMs(context.backendsAgeMs()),
     epoch: service.modelHost === undefined ? undefined : directory.epochOf(service.name),
     placementAgeMs: wholeMs(directory.placementAgeMs(service.name, now)),
--- a/src/gateway/request-dispatch.ts
+++ b/src/gateway/request-dispatch.ts
@@ -2,7 +2,7 @@
  * Finds the backend that one request is sent to next, and a slot there: chooses among those that
  * can take it, asks the keeper of the slots, and asks elsewhere when that is sooner.
  */
-import type { SlotAnswer } from '../core/admission/slot-keeping.js';
+import type { SlotResponse } from '../core/admission/slot-allocator.js';
 import type { BackendCandidate } from '../core/backend-selection.js';
 import type { BackendRecord, ModelReference, Service } from '../core/service-configuration.js';
 import type { BackendPermit, PermitDecision } from './backend-permits.js';
@@ -185,7 +185,7 @@
     const own = tracker.inFlightAt(backend.id);
     const heard = slots?.figuresOf(backend.id, now);
     if (heard !== undefined) return Math.max(own, heard.inFlight + heard.waiting);
-    return Math.max(own, directory.loadOf(backend, now));
+    return Math.max(own, directory.inFlightAt(backend, now));
   }
 
   /** Backends that may be sent the request now. */
@@ -209,7 +209,7 @@
     const { directory } = this.context;
     const { service, model } = this.options;
     return directory
-      .serving(service.name)
+      .servingBackends(service.name)
       .filter((backend) => model === undefined || directory.holds(backend, model, now));
   }
 
@@ -227,7 +227,7 @@
   }
 
   private healthy(backends: readonly BackendRecord[], now: number): BackendRecord[] {
-    return backends.filter(({ id }) => !this.context.health.isAvoided(id, now));
+    return backends.filter(({ id }) => !this.context.health.isEjected(id, now));
   }
 
   private untried(backends: readonly BackendRecord[]): BackendRecord[] {
@@ -323,10 +323,10 @@
     const { directory } = this.context;
     const now = steadyNow();
     const isHeard = directory.placementAgeMs(backend.service, now) <= OWNER_LOAD_BELIEVED_MS;
-    return isHeard ? directory.loadOf(backend, now) : undefined;
+    return isHeard ? directory.inFlightAt(backend, now) : undefined;
   }
 
-  private answered(backend: BackendRecord, answer: SlotAnswer): void {
+  private answered(backend: BackendRecord, answer: SlotResponse): void {
     const now = steadyNow();
     if (answer.type === 'granted') {
       this.pending = undefined;
@@ -359,7 +359,7 @@
   private moveIfSooner({ backend, expectedAt }: PendingAsk): void {
     if (expectedAt === undefined || this.moves >= MOST_MOVES) return;
     const now = steadyNow();
-    const isAvoided = this.context.health.isAvoided(backend.id, now);
+    const isAvoided = this.context.health.isEjected(backend.id, now);
     const waitMs = isAvoided ? Infinity : expectedAt - now - MOVE_GAIN_MS;
     const sooner = this.fresh(now).filter(
       (other) =>
--- a/src/gateway/request-exchange.ts
+++ b/src/gateway/request-exchange.ts
@@ -5,8 +5,12 @@
  */
 import type http from 'node:http';
 import type { Ran } from '../common/errors.js';
-import { afterFailure, silentAfterMs, stalledAfterMs } from '../core/attempt-policy.js';
-import { isAnotherStart } from '../core/backend-starts.js';
+import {
+  nextStepAfterFailure,
+  firstByteTimeoutMs,
+  stallTimeoutMs,
+} from '../core/attempt-policy.js';
+import { isDifferentStart } from '../core/backend-starts.js';
 import { FIRST_PART_MS, type HoldDecision } from '../core/hold-policy.js';
 import type { RouteMatch } from '../core/routing-table.js';
 import {
@@ -202,7 +206,7 @@
     const { dueAt } = this.waitingCaller;
     // Services without models answer whole and fast: their callers are served until the end.
     const reserveMs = this.model === undefined ? 0 : FIRST_PART_MS;
-    const leavesAt = this.answer.hasBegun ? Infinity : request.arrivedAt + route.patienceMs;
+    const leavesAt = this.answer.hasBegun ? Infinity : request.arrivedAt + route.callerTimeoutMs;
     return {
       request: head.attemptId,
       rank: this.answer.hasBegun ? 0 : (pass.tenant?.priority ?? route.priority),
@@ -252,9 +256,15 @@
     const now = steadyNow();
     const waitedMs = now - this.request.arrivedAt;
     const { hasComeBack } = this;
-    const remainingMs = Math.min(this.deadlineAt - now, route.patienceMs - waitedMs);
+    const remainingMs = Math.min(this.deadlineAt - now, route.callerTimeoutMs - waitedMs);
     const { goalMs } = route;
-    return this.context.hold.decide({ goalMs, waitedMs, remainingMs, readyInMs, hasComeBack });
+    return this.context.hold.decide({
+      goalMs,
+      waitedMs,
+      remainingMs,
+      readyInMs,
+      isRetry: hasComeBack,
+    });
   }
 
   private refuseFull(
@@ -343,8 +353,8 @@
       urgency: context.slots && ADMITTED_URGENCY,
       remainingMs: this.deadlineAt - now,
       lastEventId: this.answer.lastEventId ?? request.head.lastEventId,
-      silentAfterMs: silentAfterMs(route, this.runs),
-      stalledAfterMs: stalledAfterMs(route, this.runs),
+      silentAfterMs: firstByteTimeoutMs(route, this.runs),
+      stalledAfterMs: stallTimeoutMs(route, this.runs),
       hasAlternative: () => this.search.hasAlternative(),
       onLeaving: () => context.leavings.answered(backend, request.head.attemptId),
       onRateLimit: (notice) =>
@@ -371,7 +381,7 @@
   /** The backend is sent nothing until then, whatever waits for it here: other requests look for another one. */
   private noteBackoff(backend: BackendRecord, askedMs: number): void {
     const { backoffs, metrics } = this.context;
-    const backoffMs = Math.round(backoffs.note(backend, askedMs, steadyNow()));
+    const backoffMs = Math.round(backoffs.recordBackoff(backend, askedMs, steadyNow()));
     metrics.backoffs.inc();
     this.log('backend_rests', {
       backend: backend.id,
@@ -402,7 +412,7 @@
 
   /** The request stays with a silent backend, but the owner should find another for its model. */
   private backendSilent(backend: BackendRecord): void {
-    this.context.health.silent(backend.id, steadyNow());
+    this.context.health.recordNoResponse(backend.id, steadyNow());
     this.setWaiting(true);
     this.log('backend_awaited', { backend: backend.id, ...this.beliefs(steadyNow()) });
   }
@@ -441,7 +451,7 @@
       this.lastRan = end.ran;
     }
     const history = { runs: this.runs, sends: this.sends };
-    const step = afterFailure(this.match.route, end, history);
+    const step = nextStepAfterFailure(this.match.route, end, history);
     const examined = end.cutOff ? this.suspicion.brokeOff(backend) : undefined;
     if (step === 'retry') return this.dispatchAfter(examined);
     if (end.answer !== undefined && !this.answer.hasBegun) {
@@ -470,7 +480,7 @@
   /** Whether the backend itself has failed; silence may be the fault of the way there. */
   private hasFailed(backend: BackendRecord, end: AttemptEnd): boolean {
     if (end.type === 'done' || !end.reached || end.silent || end.lacksModel) return false;
-    return !isAnotherStart(backend, this.context.directory.get(backend.id));
+    return !isDifferentStart(backend, this.context.directory.get(backend.id));
   }
 
   private uncount(backend: string): void {
@@ -482,15 +492,15 @@
   private judgeBackend(backend: BackendRecord, end: AttemptEnd): void {
     const { health, directory } = this.context;
     // The end of an earlier start's request tells nothing of the later one.
-    if (isAnotherStart(backend, directory.get(backend.id))) return;
-    if (end.type === 'done') return health.answered(backend.id);
+    if (isDifferentStart(backend, directory.get(backend.id))) return;
+    if (end.type === 'done') return health.recordSuccess(backend.id);
     if (end.ran === 'no') this.search.noteRefusal(backend.id);
     if (end.lacksModel && this.model !== undefined) {
-      return directory.noteAbsence(backend.id, this.model, steadyNow());
+      return directory.markModelMissing(backend.id, this.model, steadyNow());
     }
-    if (end.silent) health.silent(backend.id, steadyNow());
-    else if (end.broken) health.broke(backend.id, steadyNow());
-    else health.failed(backend.id);
+    if (end.silent) health.recordNoResponse(backend.id, steadyNow());
+    else if (end.broken) health.recordDisconnect(backend.id, steadyNow());
+    else health.recordFailure(backend.id);
   }
 
   private deadlinePassed(): void {
@@ -570,7 +580,7 @@
     if (firstForecast === undefined) return;
     this.firstForecast = undefined;
     const spentMs = steadyNow() - firstForecast.at;
-    this.context.hold.noteWait({ toldMs: firstForecast.readyInMs, spentMs, wasSent });
+    this.context.hold.recordWait({ forecastMs: firstForecast.readyInMs, spentMs, wasSent });
   }
 
   /** How a stream has paused, and the pause that its caller still takes for in time. */
--- a/src/gateway/request-tracker.ts
+++ b/src/gateway/request-tracker.ts
@@ -47,7 +47,7 @@
     const counted = this.counted(service, reference, goalMs);
     this.changed.add(service);
     counted.arrivals += 1;
-    this.historyOf(service).note(reference, goalMs, now);
+    this.historyOf(service).record(reference, goalMs, now);
     counted.goalMs = Math.min(counted.goalMs, goalMs);
   }
 
@@ -126,7 +126,7 @@
       use.push({ backend, model, adapter, inFlight: count });
     }
     const gaps = this.streamGaps.get(service);
-    const told = gaps?.isDue(now) === true ? gaps.take(now) : undefined;
+    const told = gaps?.isDue(now) === true ? gaps.takeReport(now) : undefined;
     return { daemon, samples, use, failing, gaps: told };
   }
 
--- a/src/gateway/service-owner.ts
+++ b/src/gateway/service-owner.ts
@@ -4,7 +4,7 @@
  */
 import type { Logger } from '../common/logger.js';
 import { BackendLedger } from '../core/backend-ledger.js';
-import { isAnotherStart } from '../core/backend-starts.js';
+import { isDifferentStart } from '../core/backend-starts.js';
 import type { BackendDirectory } from '../core/backend-directory.js';
 import type { DemandReport } from '../core/demand-report.js';
 import { ModelDemand } from '../core/model-demand.js';
@@ -17,12 +17,12 @@
 import { StoreLoadWindow, type StoreLoadCeiling } from '../core/store-load-ceiling.js';
 import {
   AdaptiveStoreLoadLimit,
-  firstStoreLoadLimit,
+  initialStoreLoadLimit,
   UnlimitedStoreLoads,
   type StoreLoadLimit,
 } from '../core/store-load-limit.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
-import { waitingOrderOf } from '../core/waiting-order.js';
+import { comparatorForPolicies } from '../core/waiting-model-comparators.js';
 import { CapacityWatch } from './capacity-watch.js';
 import { LoadWatch } from './load-watch.js';
 import type { BackendControl } from './ports.js';
@@ -103,7 +103,7 @@
   ) {
     this.storeLoads = new StoreLoadWindow(options.ceiling);
     const { service, epoch, policies, logger, metrics } = options;
-    this.demand = new ModelDemand(waitingOrderOf(policies));
+    this.demand = new ModelDemand(comparatorForPolicies(policies));
     this.storeLimit = policies.storeLoadLimit
       ? new AdaptiveStoreLoadLimit(this.firstStoreLoadLimit())
       : new UnlimitedStoreLoads();
@@ -124,12 +124,12 @@
     const learned = directory.storeLoadLimitOf(service);
     if (learned > 0) return learned;
     const spec = host();
-    return spec === undefined ? 1 : firstStoreLoadLimit(spec);
+    return spec === undefined ? 1 : initialStoreLoadLimit(spec);
   }
 
   /** Everything that the daemons have been told, for one that missed an update. */
   everything(): PlacementUpdate {
-    return this.publisher.everything(steadyNow());
+    return this.publisher.fullUpdate(steadyNow());
   }
 
   /** Gives no further orders. */
@@ -140,7 +140,7 @@
 
   /** Takes a daemon's demand; waiting requests call for a round. */
   hear(report: DemandReport): void {
-    this.demand.hear(report, steadyNow());
+    this.demand.applyReport(report, steadyNow());
     this.capacity?.hear(report, steadyNow());
     if (report.samples.some((sample) => sample.waiting > 0)) this.roundSoon();
   }
@@ -150,12 +150,12 @@
     for (const backend of this.backends()) {
       const ledger = this.ledgers.get(backend.id);
       if (ledger === undefined) continue;
-      if (isAnotherStart(ledger, backend)) {
+      if (isDifferentStart(ledger, backend)) {
         this.restartLedger(ledger, backend, steadyNow());
         continue;
       }
       ledger.setCopies(backend.inMemory, backend.onDisk);
-      if (!ledger.observe(backend, steadyNow())) continue;
+      if (!ledger.applyListing(backend, steadyNow())) continue;
       this.reportDue.delete(backend.id);
       this.changed = true;
     }
@@ -204,7 +204,7 @@
     });
     for (const { planned, ledger } of given) {
       if (planned.copy === 'store') this.storeLoads.count(now);
-      ledger.send(planned.order, now + planned.durationMs);
+      ledger.recordSent(planned.order, now + planned.durationMs);
       this.loadWatch.begin(planned, now);
     }
     // Daemons must stop sending requests for a model before its unload is ordered.
@@ -220,21 +220,21 @@
       .filter((backend) => !backend.leaving && !failing.has(backend.id))
       .flatMap((backend) => {
         const ledger = this.ledgers.get(backend.id);
-        return ledger === undefined || ledger.isSilent ? [] : [ledger];
+        return ledger === undefined || ledger.isUnresponsive ? [] : [ledger];
       });
-    const storeLoads = this.storeLoads.room(now);
+    const storeLoads = this.storeLoads.available(now);
     const storePlaceWaits = this.storePlaceWaits(now);
     const { demand, options } = this;
     const { policies } = options;
     const { unloadTimes } = this.loadWatch;
     const capacity = this.capacity?.planned();
-    const loads = { storeLoads, storePlaceWaits, unloadTimes };
+    const loads = { storeLoads, storeSlotWaitsMs: storePlaceWaits, unloadTimes };
     return { host, backends, demand, policies, now, ...loads, capacity };
   }
 
   /** Milliseconds until each place for a load from the store is free: those beyond the limit never are. */
   private storePlaceWaits(now: number): number[] {
-    const { most } = this.storeLimit;
+    const { maxConcurrent: most } = this.storeLimit;
     if (!Number.isFinite(most)) return [0];
     const ends = this.loadWatch.storeLoadEnds(now).sort((a, b) => a - b);
     const excess = Math.max(0, ends.length - most);
@@ -254,10 +254,10 @@
       listed.add(backend.id);
       const known = this.ledgers.get(backend.id);
       if (known === undefined) this.beginLedger(backend, now);
-      else if (isAnotherStart(known, backend)) this.restartLedger(known, backend, now);
+      else if (isDifferentStart(known, backend)) this.restartLedger(known, backend, now);
       else {
         known.start ??= backend.start;
-        known.forgetLateOrders(now);
+        known.releaseExpiredOrders(now);
       }
     }
     for (const id of this.ledgers.keys()) {
@@ -272,9 +272,9 @@
 
   private beginLedger(backend: BackendRecord, now: number): BackendLedger {
     const ledger = new BackendLedger(backend.id, backend.start);
-    ledger.assume(backend);
-    const loading = this.options.directory.loadingAt(backend, now);
-    if (loading !== undefined) ledger.assumeLoading(loading.model, loading.expectedEnd);
+    ledger.seedFromListing(backend);
+    const loading = this.options.directory.expectedLoadAt(backend, now);
+    if (loading !== undefined) ledger.seedLoad(loading.model, loading.expectedEnd);
     this.ledgers.set(backend.id, ledger);
     this.reportDue.set(backend.id, 0);
     this.changed = true;
@@ -286,10 +286,10 @@
     const { id } = backend;
     this.lastReport.delete(id);
     this.loadWatch.backendRestarted(id, now);
-    this.demand.forgetBackend(id);
+    this.demand.removeBackend(id);
     this.capacity?.forget(id);
     const late = earlier.unansweredOrders(now);
-    this.beginLedger(backend, now).awaitLateOrders(late);
+    this.beginLedger(backend, now).reserveForLateOrders(late);
     const { service, epoch, logger } = this.options;
     logger.info('backend_ledger_restarted', {
       service,
@@ -303,7 +303,7 @@
 
   /** Requests wait although a backend holds their model: it is asked whether it lives. */
   private doubtHolders(now: number): void {
-    const awaited = this.demand.awaitedFor(DOUBT_AFTER_MS, now);
+    const awaited = this.demand.modelsWaitingFor(DOUBT_AFTER_MS, now);
     if (awaited.size === 0) return;
     for (const ledger of this.ledgers.values()) {
       if (ledger.phase !== 'ready' || this.reportDue.has(ledger.id)) continue;
@@ -334,11 +334,11 @@
       return;
     }
     this.noteSilence(ledger, report === undefined);
-    const current = report !== undefined && ledger.adopt(report, now);
-    const awaited = !current || ledger.comingAdapters.size > 0;
+    const current = report !== undefined && ledger.applyReport(report, now);
+    const awaited = !current || ledger.loadingAdapters.size > 0;
     if (awaited) this.reportDue.set(backend.id, now + REPORT_PERIOD_MS);
     this.changed = true;
-    if (current || ledger.isSilent) this.roundSoon();
+    if (current || ledger.isUnresponsive) this.roundSoon();
   }
 
   /** What the daemons say of failing backends changes what the owner counts on. */
@@ -352,8 +352,8 @@
   }
 
   private noteSilence(ledger: BackendLedger, isSilent: boolean): void {
-    if (ledger.isSilent === isSilent) return;
-    ledger.isSilent = isSilent;
+    if (ledger.isUnresponsive === isSilent) return;
+    ledger.isUnresponsive = isSilent;
     const { service, epoch, logger } = this.options;
     logger.warn(isSilent ? 'backend_silent' : 'backend_back', {
       service,
@@ -389,7 +389,7 @@
       outcome: outcome.type,
     });
     if (!isCurrent()) return;
-    ledger.settle(order, outcome, now, planned.durationMs);
+    ledger.recordOutcome(order, outcome, now, planned.durationMs);
     this.reportDue.set(backend.id, now + this.reportDelay(planned, ledger));
     if (outcome.type === 'fenced') return this.onFenced();
     this.changed = true;
@@ -411,17 +411,17 @@
     for (const ledger of this.ledgers.values()) {
       if (ledger.phase === 'unsynchronized' && ledger.models.size === 0) continue;
       // Nobody is to wait for what a silent backend holds.
-      backends.set(ledger.id, ledger.isSilent ? [] : placementOf(ledger, now));
+      backends.set(ledger.id, ledger.isUnresponsive ? [] : placementOf(ledger, now));
     }
     const forecasts = host === undefined ? new Map<string, number>() : this.forecasts(host, now);
     const loads = new Map<string, number>();
     for (const id of this.ledgers.keys()) loads.set(id, this.demand.inFlightAt(id, now));
     const loadTolerance = Math.max(1, (host?.slots ?? 1) * LOAD_TOLERANCE_SHARE);
-    const { most } = this.storeLimit;
+    const { maxConcurrent: most } = this.storeLimit;
     const storeLoadLimit = Number.isFinite(most) ? most : 0;
     const capacity = this.capacity?.figures;
     const state = { backends, forecasts, loads, storeLoadLimit, loadTolerance, capacity };
-    const update = this.publisher.update(state, now);
+    const update = this.publisher.nextUpdate(state, now);
     const isNew = update.version !== update.baseVersion;
     if (!isNew && now - this.lastPublished < REPEAT_PERIOD_MS) return;
     this.lastPublished = now;
--- a/src/gateway/share-agreement.ts
+++ b/src/gateway/share-agreement.ts
@@ -9,7 +9,7 @@
 import { firstCandidate } from '../common/rendezvous.js';
 import type { LimitShares, ShareRecord } from '../core/admission/limit-shares.js';
 import {
-  firstRecord,
+  initialRecord,
   ShareChanges,
   type ShareChangeView,
 } from '../core/admission/share-changes.js';
@@ -95,8 +95,8 @@
   tick(): void {
     const now = steadyNow();
     const { shares } = this.options;
-    if (!shares.isRead) this.askWithoutReading(now);
-    const isUnknown = shares.record === undefined || !shares.isRead;
+    if (!shares.hasReadStore) this.askWithoutReading(now);
+    const isUnknown = shares.record === undefined || !shares.hasReadStore;
     if (isUnknown && now >= this.retryAt) this.callStore(() => this.readOrCreate());
     if (this.isCoordinator()) this.followChange(now);
     this.askPeriodically(now);
@@ -112,7 +112,7 @@
   receive(from: string, body: PeerBody): boolean {
     if (body.case === 'shareNews') {
       const record = decodeShares(body.value);
-      if (record !== undefined) this.noteTaken(this.options.shares.hear(record), from);
+      if (record !== undefined) this.noteTaken(this.options.shares.recordAnnounced(record), from);
     } else if (body.case === 'shareQuestion') this.answer(from, body.value);
     else if (body.case === 'shareAnswer') this.hearAnswer(from, body.value);
     else return false;
@@ -142,7 +142,7 @@
     if (!this.isAbsent || this.knownNumber > 0) return;
     // Whoever should write the first record may not reach the store: after a while anybody does.
     if (!this.isCoordinator() && !wasAbsent) return;
-    const first = firstRecord(this.view());
+    const first = initialRecord(this.view());
     if (first !== undefined) await this.write(undefined, first);
   }
 
@@ -157,7 +157,7 @@
   /** Of all live daemons one coordinates changes; two that see different ones are kept apart by the store. */
   private isCoordinator(): boolean {
     const { live, self, shares } = this.options;
-    if (!shares.isRead) return false;
+    if (!shares.hasReadStore) return false;
     if (this.coordinator === undefined) {
       const addresses = live().map(({ address }) => address);
       this.coordinator = firstCandidate(COORDINATOR_RANK, addresses);
@@ -168,8 +168,8 @@
   private followChange(now: number): void {
     const { record } = this.options.shares;
     if (record === undefined) return;
-    this.changes.hearAnswer(this.options.self, record.number, now);
-    const step = this.changes.step(record, this.view(), now);
+    this.changes.recordReply(this.options.self, record.number, now);
+    const step = this.changes.nextStep(record, this.view(), now);
     if (step === undefined) return;
     this.askMembers(step.unanswered, record.number, now);
     const { next } = step;
@@ -246,7 +246,7 @@
   private answer(to: string, { sequence, number }: ShareQuestion): void {
     const { shares, send, sendDatagram } = this.options;
     const { record } = shares;
-    const mayTell = shares.mayTell(leaseNow());
+    const mayTell = shares.mayAnnounce(leaseNow());
     const isNewer = record !== undefined && record.number > number;
     const news = isNewer ? { news: encodeShares(record) } : {};
     const fields = { sequence, number: this.knownNumber, mayTell, ...news };
@@ -264,12 +264,12 @@
     if (record !== undefined && number < record.number) {
       send(from, { case: 'shareNews', value: encodeShares(record) });
     }
-    this.changes.hearAnswer(from, number, steadyNow());
+    this.changes.recordReply(from, number, steadyNow());
     const isKnown = record !== undefined && number === record.number;
     const heard = sent ?? (isKnown ? record : undefined);
     if (heard === undefined || askedAt === undefined) return;
-    if (mayTell) this.noteTaken(shares.hearMember(heard, askedAt), from);
-    else this.noteTaken(shares.hear(heard), from);
+    if (mayTell) this.noteTaken(shares.recordMemberReply(heard, askedAt), from);
+    else this.noteTaken(shares.recordAnnounced(heard), from);
   }
 
   private noteTaken(isNew: boolean, source: string): void {
@@ -279,14 +279,14 @@
     const { number, members, next } = record;
     const isMember = shares.isSharer(this.options.self);
     const fields = { number, source, members: members.length, next: next.length, isMember };
-    logger.info('limit_shares', { ...fields, isRead: shares.isRead });
+    logger.info('limit_shares', { ...fields, isRead: shares.hasReadStore });
     onChange();
   }
 
   /** Whether this daemon may count changes with the clock. */
   private noteMayCount(): void {
     const { shares, logger, onChange } = this.options;
-    const mayCount = shares.mayCount(leaseNow());
+    const mayCount = shares.mayUseShare(leaseNow());
     if (mayCount === this.mayCount) return;
     this.mayCount = mayCount;
     const fields = { number: this.knownNumber, share: shares.ownShare(leaseNow()) };
--- a/src/gateway/share-record-store.ts
+++ b/src/gateway/share-record-store.ts
@@ -1,6 +1,6 @@
 /** The record of how limits are divided, in the platform's store. */
 import type { Logger } from '../common/logger.js';
-import { isClosed, type LimitShares, type ShareRecord } from '../core/admission/limit-shares.js';
+import { isSettled, type LimitShares, type ShareRecord } from '../core/admission/limit-shares.js';
 import type { RecordFailure, RecordStore } from './ports.js';
 import { sharesFromStore } from './share-codec.js';
 
@@ -31,7 +31,7 @@
     const answer = await store.read('limitShares', RECORD_NAME);
     if (answer.isErr) return this.failed('limit_shares_unread', answer.error);
     if (answer.value === undefined) {
-      shares.readNothing();
+      shares.recordAbsent();
       return { type: 'absent' };
     }
     const record = sharesFromStore(answer.value.value);
@@ -39,7 +39,7 @@
       logger.error('limit_shares_unreadable', { revision: answer.value.revision });
       return { type: 'failed' };
     }
-    return { type: 'read', isNew: shares.read(record) };
+    return { type: 'read', isNew: shares.recordStored(record) };
   }
 
   /**
@@ -52,7 +52,7 @@
     if (held.isErr) return this.failed('limit_shares_unread', held.error);
     const stored = held.value && sharesFromStore(held.value.value);
     if (stored !== undefined && stored.number > this.knownNumber) {
-      return { type: 'read', isNew: shares.read(stored) };
+      return { type: 'read', isNew: shares.recordStored(stored) };
     }
     const isUnchanged = this.knownNumber === (former?.number ?? 0);
     const isReadable = held.value === undefined || stored !== undefined;
@@ -61,8 +61,8 @@
     if (written.isErr) return this.failed('limit_shares_unwritten', written.error);
     const members = next.members.length;
     const fields = { number: next.number, members, next: next.next.length };
-    logger.info(isClosed(next) ? 'limit_shares_closed' : 'limit_shares_opened', fields);
-    return { type: 'read', isNew: shares.read(next) };
+    logger.info(isSettled(next) ? 'limit_shares_closed' : 'limit_shares_opened', fields);
+    return { type: 'read', isNew: shares.recordStored(next) };
   }
 
   private get knownNumber(): number {
--- a/src/gateway/shared-limits.ts
+++ b/src/gateway/shared-limits.ts
@@ -5,7 +5,7 @@
  */
 import { create, type MessageInitShape } from '@bufbuild/protobuf';
 import type { Logger } from '../common/logger.js';
-import { HolderSilence } from '../core/admission/holder-silence.js';
+import { HolderContact } from '../core/admission/holder-contact.js';
 import type { LimitShares } from '../core/admission/limit-shares.js';
 import type { LimitDecision, RateLimit } from '../core/admission/rate-ledger.js';
 import type { MemberView } from '../core/membership-messages.js';
@@ -46,7 +46,7 @@
   isTight: boolean;
   /** Units that this daemon has admitted. */
   readonly own: SlidingSum;
-  readonly silence: HolderSilence;
+  readonly silence: HolderContact;
   /** Units that it has admitted while no holder was heard. */
   readonly alone: SlidingSum;
 }
@@ -98,7 +98,7 @@
       return this.ask(name, state, units, answer);
     }
     state.own.add(units, now);
-    const wantsWord = state.silence.tell(units, now);
+    const wantsWord = state.silence.recordReported(units, now);
     this.charge(state.holder, { tenant: name, units, wantsWord });
     answer({ type: 'granted' });
   }
@@ -147,7 +147,7 @@
     const now = steadyNow();
     const decision = this.asHolder.admitOwn(name, units, now);
     if (decision === undefined) return this.ask(name, state, units, answer);
-    state.silence.hear(now);
+    state.silence.recordReply(now);
     if (decision.type === 'granted') state.own.add(units, now);
     answer(decision);
   }
@@ -157,7 +157,7 @@
     const limit = this.options.limitOf(name);
     if (limit === undefined) return true;
     const share = this.group.ownShare(limit);
-    return state.silence.isHeard(units, share, now) || state.own.total(now) + units <= share;
+    return state.silence.isResponsive(units, share, now) || state.own.total(now) + units <= share;
   }
 
   private followGroup(now: number): void {
@@ -175,7 +175,7 @@
     this.sequence += 1;
     const question = this.sequence;
     const send = (): void => {
-      state.silence.ask(steadyNow());
+      state.silence.recordReplyRequested(steadyNow());
       this.charge(state.holder, { tenant: name, units, question });
     };
     const timer = setTimeout(() => {
@@ -197,7 +197,7 @@
     const { kind, logger } = this.options;
     const { name, units } = open;
     const state = this.memberState(name);
-    const isAlone = state.silence.mayCountAlone(now);
+    const isAlone = state.silence.mayUseOwnShare(now);
     const isWithin = isAlone && state.own.total(now) + units <= this.group.ownShare(limit);
     if (isWithin) state.alone.add(units, now);
     const fields = { [kind.subject]: name, units, holder: state.holder, isGranted: isWithin };
@@ -240,10 +240,10 @@
     if (state === undefined || state.holder !== from) return;
     state.isTight = isTight;
     const now = steadyNow();
-    state.silence.hear(now);
+    state.silence.recordReply(now);
     const hasForgotten = state.holderProcess !== 0 && state.holderProcess !== process;
     state.holderProcess = process;
-    const alone = state.alone.take(now);
+    const alone = state.alone.takeTotal(now);
     const units = hasForgotten ? state.own.total(now) : alone;
     if (units > 0) this.charge(from, { tenant: name, units, isRecalled: true });
   }
@@ -253,7 +253,7 @@
     if (known !== undefined) return known;
     const own = new SlidingSum(this.options.kind.windowMs);
     const alone = new SlidingSum(this.options.kind.windowMs);
-    const silence = new HolderSilence();
+    const silence = new HolderContact();
     const holder = this.holderOf(name);
     const state = { holder, holderProcess: 0, isTight: true, own, silence, alone };
     this.members.set(name, state);
@@ -267,7 +267,7 @@
     state.holder = holder;
     state.holderProcess = 0;
     state.isTight = true;
-    state.alone.take(now);
+    state.alone.takeTotal(now);
     const units = state.own.total(now);
     if (units === 0) return;
     if (holder === this.options.self) this.asHolder.recallOwn(name, units, now);
--- a/src/gateway/slot-admission.ts
+++ b/src/gateway/slot-admission.ts
@@ -7,9 +7,13 @@
 import { create, type MessageInitShape } from '@bufbuild/protobuf';
 import type { Logger } from '../common/logger.js';
 import { firstCandidate } from '../common/rendezvous.js';
-import { isTight, type SlotAnswer, type SlotFigures } from '../core/admission/slot-keeping.js';
-import { shareOfPerMille } from '../core/admission/told-failures.js';
-import { ablestOf } from '../core/duties.js';
+import {
+  requiresGrant,
+  type SlotResponse,
+  type SlotStatus,
+} from '../core/admission/slot-allocator.js';
+import { fractionOfPerMille } from '../core/admission/failure-rate.js';
+import { highCapacityMembers } from '../core/duties.js';
 import type { MemberView } from '../core/membership-messages.js';
 import type { BackendRecord } from '../core/service-configuration.js';
 import type { PeerBody } from '../daemon/peer-transport.js';
@@ -77,7 +81,7 @@
   /** Requests in flight there by the word of the service's owner; undefined if it has not spoken lately. */
   readonly ownerLoad: number | undefined;
   /** Called later, if at all, and several times: first queued, then something else. Never after `release`. */
-  readonly onAnswer: (answer: SlotAnswer) => void;
+  readonly onAnswer: (answer: SlotResponse) => void;
 }
 
 /** A request's claim on a slot, from the ask to its end. */
@@ -121,7 +125,7 @@
 interface KnownBackend {
   keeper: string;
   readonly claims: Map<number, OpenClaim>;
-  figures: SlotFigures | undefined;
+  figures: SlotStatus | undefined;
   /** Share of requests that the backend has failed, 0 to 1, as told with the figures. */
   failureShare: number;
   /** Requests sent without a question since the figures were told. */
@@ -167,7 +171,7 @@
   }
 
   /** What the keeper of a backend said of it within {@link FIGURES_BELIEVED_MS}; undefined if nothing. */
-  figuresOf(backend: string, now: number): SlotFigures | undefined {
+  figuresOf(backend: string, now: number): SlotStatus | undefined {
     const known = this.backends.get(backend);
     if (known === undefined || now - known.heardAt > FIGURES_BELIEVED_MS) return undefined;
     return known.figures;
@@ -228,12 +232,12 @@
     const { figures, heardAt, claims, aloneUntil } = known;
     if (now < aloneUntil) return true;
     if (figures !== undefined && now - heardAt <= ROOM_BELIEVED_MS) {
-      return !isTight({ ...figures, inFlight: figures.inFlight + known.sentSince });
+      return !requiresGrant({ ...figures, inFlight: figures.inFlight + known.sentSince });
     }
     const { ownerLoad, backend } = wish;
     if (ownerLoad === undefined) return false;
     const inFlight = Math.max(ownerLoad, claims.size);
-    return !isTight({ slots: backend.slots, inFlight, waiting: 0, expectedWaitMs: 0 });
+    return !requiresGrant({ slots: backend.slots, inFlight, waiting: 0, expectedWaitMs: 0 });
   }
 
   /** The request goes without the keeper's word. */
@@ -315,7 +319,7 @@
     if (known !== undefined && known.keeper === from && word.verdict !== SlotVerdict.UNKNOWN) {
       const { slots, inFlight, waiting, newcomerWaitMs } = word;
       known.figures = { slots, inFlight, waiting, expectedWaitMs: newcomerWaitMs };
-      known.failureShare = shareOfPerMille(word.failurePerMille);
+      known.failureShare = fractionOfPerMille(word.failurePerMille);
       known.heardAt = now;
       known.sentSince = 0;
       known.aloneUntil = 0;
@@ -413,7 +417,7 @@
     this.hasGroupChanged = false;
     const { live, reachable, self } = this.options;
     this.keeper.keepOnly(new Set([...reachable(), self]));
-    const candidates = ablestOf(live())
+    const candidates = highCapacityMembers(live())
       .map((member) => member.address)
       .sort();
     if (candidates.join() === this.candidates.join()) return;
--- a/src/gateway/slot-keeper.ts
+++ b/src/gateway/slot-keeper.ts
@@ -4,7 +4,11 @@
  */
 import { create } from '@bufbuild/protobuf';
 import type { Logger } from '../common/logger.js';
-import { isTight, type SlotAnswer, type SlotDecision } from '../core/admission/slot-keeping.js';
+import {
+  requiresGrant,
+  type SlotResponse,
+  type SlotDecision,
+} from '../core/admission/slot-allocator.js';
 import { SlotQueue } from '../core/admission/slot-queue.js';
 import {
   SlotVerdict,
@@ -52,21 +56,21 @@
     for (const { backend, ticket, returnsInMs, rank, hasFailed } of ended) {
       const kept = this.kept.get(backend);
       if (kept === undefined) continue;
-      if (returnsInMs > 0) kept.queue.expectReturn(rank, returnsInMs, now);
+      if (returnsInMs > 0) kept.queue.expectRetry(rank, returnsInMs, now);
       this.answer(backend, kept, kept.queue.end(from, ticket, now, hasFailed));
       if (hasFailed) this.tellFailing(backend, kept, now);
     }
     for (const { backend, ticket, tenant, work } of taken) {
       const kept = this.keptOf(backend, now);
       if (kept === undefined) continue;
-      kept.queue.take({ daemon: from, ticket, tenant, work }, now);
+      kept.queue.recordUse({ daemon: from, ticket, tenant, work }, now);
       this.tellNews(from, backend, kept, now);
     }
     for (const { backend, inFlight, waiting } of lists) {
       const kept = this.keptOf(backend, now);
       if (kept === undefined) continue;
       noteUser(kept, from);
-      this.answer(backend, kept, kept.queue.named(from, inFlight, waiting, now));
+      this.answer(backend, kept, kept.queue.reconcile(from, inFlight, waiting, now));
     }
     for (const ask of asks) this.receiveAsk(from, ask, now);
   }
@@ -81,8 +85,8 @@
       else if (now - kept.usedAt > UNUSED_LIFETIME_MS) this.kept.delete(backend);
       else {
         kept.queue.setSlots(slots);
-        this.answer(backend, kept, kept.queue.look(now));
-        const { inFlight } = kept.queue.figures(steadyNow());
+        this.answer(backend, kept, kept.queue.tick(now));
+        const { inFlight } = kept.queue.status(steadyNow());
         overfill += Math.max(0, inFlight - slots);
       }
     }
@@ -97,7 +101,7 @@
       for (const daemon of kept.queue.daemons()) {
         if (daemons.has(daemon)) continue;
         this.options.logger.info('slot_daemon_gone', { backend, peer: daemon });
-        this.answer(backend, kept, kept.queue.daemonGone(daemon, now));
+        this.answer(backend, kept, kept.queue.removeDaemon(daemon, now));
       }
     }
   }
@@ -114,7 +118,7 @@
     const dueAt = now + ask.dueInMs;
     const giveUpAt = now + ask.giveUpInMs;
     const wish = { daemon: from, ticket, rank, dueAt, giveUpAt, waitedMs, tenant, work };
-    this.answer(backend, kept, kept.queue.ask(wish, now));
+    this.answer(backend, kept, kept.queue.request(wish, now));
   }
 
   private keptOf(backend: string, now: number): KeptBackend | undefined {
@@ -140,7 +144,7 @@
 
   private tellNews(to: string, backend: string, kept: KeptBackend, now: number): void {
     noteUser(kept, to);
-    if (!isTight(kept.queue.figures(now)) && !isFailing(kept, now)) return;
+    if (!requiresGrant(kept.queue.status(now)) && !isFailing(kept, now)) return;
     this.tellUnasked(to, backend, kept, now);
   }
 
@@ -167,10 +171,10 @@
     backend: string,
     { queue }: KeptBackend,
     ticket: number,
-    answer: SlotAnswer | undefined,
+    answer: SlotResponse | undefined,
   ): void {
     const now = steadyNow();
-    const { slots, inFlight, waiting, expectedWaitMs } = queue.figures(now);
+    const { slots, inFlight, waiting, expectedWaitMs } = queue.status(now);
     const value = create(SlotWordSchema, {
       backend,
       ticket,
@@ -194,14 +198,14 @@
   return queue.failureShare(now) >= TOLD_FAILURE_SHARE;
 }
 
-function verdictOf(answer: SlotAnswer | undefined): SlotVerdict {
+function verdictOf(answer: SlotResponse | undefined): SlotVerdict {
   if (answer === undefined) return SlotVerdict.NEWS;
   if (answer.type === 'granted') return SlotVerdict.GRANTED;
   if (answer.type === 'queued') return SlotVerdict.QUEUED;
   return answer.type === 'refused' ? SlotVerdict.REFUSED : SlotVerdict.UNKNOWN;
 }
 
-function waitOf(answer: SlotAnswer | undefined): number {
+function waitOf(answer: SlotResponse | undefined): number {
   if (answer?.type === 'queued') return answer.expectedWaitMs;
   return answer?.type === 'refused' ? answer.retryAfterMs : 0;
 }
--- a/src/gateway/tenant-pass.ts
+++ b/src/gateway/tenant-pass.ts
@@ -46,7 +46,7 @@
     const limit = this.tenant?.limit;
     const name = this.tenant?.name;
     if (limit === undefined || name === undefined) return answer(undefined);
-    const units = (limit.unit === 'requests' ? 1 : this.head.tokens) ?? limit.plainCharge;
+    const units = (limit.unit === 'requests' ? 1 : this.head.tokens) ?? limit.defaultCharge;
     limits.admit(name, units, (decision) => {
       if (decision.type === 'granted') {
         this.charge = { tenant: name, units };
--- a/test/core/told-backend-gone.test.ts
+++ b/test/core/announced-backend-ended.test.ts
@@ -18,8 +18,8 @@
 describe('a backend that was announced by a peer and is not listed yet', () => {
   function presenceWithAnnouncement(): BackendPresence {
     const presence = new BackendPresence();
-    presence.take({ backends: [LISTED], revision: 60, mayMissBackends: false }, 0);
-    presence.noteStarted(ANNOUNCED, 100);
+    presence.applyList({ backends: [LISTED], revision: 60, mayMissBackends: false }, 0);
+    presence.addAnnounced(ANNOUNCED, 100);
     return presence;
   }
 
@@ -30,7 +30,7 @@
   it('ends after the grace period when a newer list read after an outage lacks it', () => {
     const presence = presenceWithAnnouncement();
     const list = { backends: [LISTED], revision: 88, mayMissBackends: true };
-    expect(presence.take(list, 5_000).ended).toEqual([]);
+    expect(presence.applyList(list, 5_000).ended).toEqual([]);
     expect(ids(presence)).toContain('told');
     expect(presence.expire(5_000 + GRACE_MS)).toEqual([{ id: 'told', revision: 88 }]);
     expect(ids(presence)).toEqual(['listed']);
--- a/test/core/answer-budget.test.ts
+++ b/test/core/answer-budget.test.ts
@@ -16,7 +16,7 @@
   read = 0,
 ): boolean {
   const unreadBytes = unread * KILOBYTE;
-  return budget.note(
+  return budget.recordProgress(
     id,
     { writtenBytes: unreadBytes + read * KILOBYTE, unreadBytes, isStream: true },
     now,
@@ -35,8 +35,8 @@
     const budget = newBudget();
     noteStream(budget, 1, 500, 0);
     noteStream(budget, 2, 300, 0);
-    expect(budget.takeTooSlow(900)).toEqual([]);
-    const removed = budget.takeTooSlow(1_000);
+    expect(budget.removeSlowCallers(900)).toEqual([]);
+    const removed = budget.removeSlowCallers(1_000);
     expect(removed).toMatchObject([{ id: 1, reason: 'request_room', behindMs: 1_000 }]);
     expect(budget.heldBytes).toBe(300 * KILOBYTE);
   });
@@ -46,8 +46,8 @@
     noteStream(budget, 1, 500, 0);
     noteStream(budget, 1, 0, 600, 500);
     noteStream(budget, 1, 500, 900, 500);
-    expect(budget.takeTooSlow(1_500)).toEqual([]);
-    expect(budget.takeTooSlow(1_900)).toHaveLength(1);
+    expect(budget.removeSlowCallers(1_500)).toEqual([]);
+    expect(budget.removeSlowCallers(1_900)).toHaveLength(1);
   });
 
   it('disconnects the slowest callers first until the rest fit into the daemon limit', () => {
@@ -59,28 +59,28 @@
     noteStream(budget, 1, 350, 1_000, 900);
     noteStream(budget, 3, 350, 1_000, 20);
     expect(noteStream(budget, 1, 350, 1_100, 900)).toBe(false);
-    expect(budget.takeTooSlow(1_200)).toMatchObject([{ id: 2, reason: 'daemon_room' }]);
+    expect(budget.removeSlowCallers(1_200)).toMatchObject([{ id: 2, reason: 'daemon_room' }]);
     expect(noteStream(budget, 1, 350, 1_300, 950)).toBe(true);
     noteStream(budget, 4, 390, 1_300);
-    expect(budget.takeTooSlow(1_400)).toMatchObject([{ id: 3, reason: 'daemon_room' }]);
+    expect(budget.removeSlowCallers(1_400)).toMatchObject([{ id: 3, reason: 'daemon_room' }]);
   });
 
   it('counts buffered bodies and answers but disconnects no caller that is not behind because of them', () => {
     const budget = newBudget();
-    budget.hold(990 * KILOBYTE);
+    budget.addBuffered(990 * KILOBYTE);
     expect(noteStream(budget, 1, 12, 0)).toBe(true);
-    expect(budget.takeTooSlow(5_000)).toEqual([]);
+    expect(budget.removeSlowCallers(5_000)).toEqual([]);
     expect(noteStream(budget, 2, 300, 5_000)).toBe(false);
-    budget.hold(-990 * KILOBYTE);
+    budget.addBuffered(-990 * KILOBYTE);
     expect(noteStream(budget, 2, 300, 5_100)).toBe(true);
   });
 
   it('disconnects the caller of a complete answer if it reads nothing, but not because of the size of the answer', () => {
     const budget = newBudget();
     const whole = { writtenBytes: 900 * KILOBYTE, unreadBytes: 900 * KILOBYTE, isStream: false };
-    budget.note(1, whole, 0);
-    expect(budget.takeTooSlow(20_000)).toEqual([]);
-    expect(budget.takeTooSlow(30_000)).toMatchObject([{ id: 1, reason: 'reads_nothing' }]);
+    budget.recordProgress(1, whole, 0);
+    expect(budget.removeSlowCallers(20_000)).toEqual([]);
+    expect(budget.removeSlowCallers(30_000)).toMatchObject([{ id: 1, reason: 'reads_nothing' }]);
   });
 
   it('stops counting answers that have ended', () => {
--- a/test/core/backend-rate-limits.test.ts
+++ b/test/core/backend-rate-limits.test.ts
@@ -35,73 +35,75 @@
 describe('BackendRateLimits', () => {
   it('records a limit from the first answer that announces one and removes it after an answer without one', () => {
     const rates = new BackendRateLimits();
-    expect(rates.noteAnswer(BACKEND, UNLIMITED, undefined)).toBeUndefined();
-    const limit = rates.noteAnswer(BACKEND, limited(1), undefined);
-    expect(rates.of(BACKEND)?.perSecond).toBe(1);
-    rates.noteAnswer(BACKEND, UNLIMITED, limit);
-    expect(rates.of(BACKEND)?.perSecond).toBeUndefined();
+    expect(rates.recordAnswer(BACKEND, UNLIMITED, undefined)).toBeUndefined();
+    const limit = rates.recordAnswer(BACKEND, limited(1), undefined);
+    expect(rates.limitOf(BACKEND)?.perSecond).toBe(1);
+    rates.recordAnswer(BACKEND, UNLIMITED, limit);
+    expect(rates.limitOf(BACKEND)?.perSecond).toBeUndefined();
   });
 
   it.each([['none', UNLIMITED] as const, ['a higher one', limited(5)] as const])(
     'keeps the limit when an answer to an earlier request announces %s',
     (_name, notice) => {
       const rates = new BackendRateLimits();
-      const limitAtSend = rates.of(BACKEND);
-      rates.noteAnswer(BACKEND, limited(1), undefined);
-      expect(rates.noteAnswer(BACKEND, notice, limitAtSend)).toBeUndefined();
-      expect(rates.of(BACKEND)?.perSecond).toBe(1);
-      rates.noteAnswer(BACKEND, notice, rates.of(BACKEND));
-      expect(rates.of(BACKEND)?.perSecond).not.toBe(1);
+      const limitAtSend = rates.limitOf(BACKEND);
+      rates.recordAnswer(BACKEND, limited(1), undefined);
+      expect(rates.recordAnswer(BACKEND, notice, limitAtSend)).toBeUndefined();
+      expect(rates.limitOf(BACKEND)?.perSecond).toBe(1);
+      rates.recordAnswer(BACKEND, notice, rates.limitOf(BACKEND));
+      expect(rates.limitOf(BACKEND)?.perSecond).not.toBe(1);
     },
   );
 
   it('accepts a lower limit from any answer', () => {
     const rates = new BackendRateLimits();
-    rates.noteAnswer(BACKEND, limited(5), undefined);
-    rates.noteAnswer(BACKEND, limited(1), undefined);
-    expect(rates.of(BACKEND)?.perSecond).toBe(1);
+    rates.recordAnswer(BACKEND, limited(5), undefined);
+    rates.recordAnswer(BACKEND, limited(1), undefined);
+    expect(rates.limitOf(BACKEND)?.perSecond).toBe(1);
   });
 
   it('ignores an unreadable limit', () => {
     const rates = new BackendRateLimits();
-    rates.noteAnswer(BACKEND, limited(1), undefined);
-    expect(rates.noteAnswer(BACKEND, { type: 'unreadable' }, rates.of(BACKEND))).toBeUndefined();
-    expect(rates.of(BACKEND)?.perSecond).toBe(1);
+    rates.recordAnswer(BACKEND, limited(1), undefined);
+    expect(
+      rates.recordAnswer(BACKEND, { type: 'unreadable' }, rates.limitOf(BACKEND)),
+    ).toBeUndefined();
+    expect(rates.limitOf(BACKEND)?.perSecond).toBe(1);
   });
 
   it('does not apply a limit to a later process but keeps it when the start of the process becomes known', () => {
     const rates = new BackendRateLimits();
-    rates.noteAnswer(BACKEND, limited(1), undefined);
-    expect(rates.of({ id: 'a', start: '2' })).toBeUndefined();
-    rates.noteAnswer({ id: 'b' }, limited(1), undefined);
-    expect(rates.of({ id: 'b', start: '1' })?.perSecond).toBe(1);
+    rates.recordAnswer(BACKEND, limited(1), undefined);
+    expect(rates.limitOf({ id: 'a', start: '2' })).toBeUndefined();
+    rates.recordAnswer({ id: 'b' }, limited(1), undefined);
+    expect(rates.limitOf({ id: 'b', start: '1' })?.perSecond).toBe(1);
   });
 
   it('converges at all daemons regardless of the order in which they receive limits', () => {
     const [one, two] = [new BackendRateLimits(), new BackendRateLimits()];
-    one.noteAnswer(BACKEND, limited(1), undefined);
-    two.noteAnswer(BACKEND, limited(3), undefined);
+    one.recordAnswer(BACKEND, limited(1), undefined);
+    two.recordAnswer(BACKEND, limited(3), undefined);
     const [ofOne, ofTwo] = [one.all(), two.all()];
-    expect(one.hear(ofTwo)).toEqual([]);
-    expect(two.hear(ofOne)).toEqual(ofOne);
-    expect(two.of(BACKEND)?.perSecond).toBe(1);
+    expect(one.merge(ofTwo)).toEqual([]);
+    expect(two.merge(ofOne)).toEqual(ofOne);
+    expect(two.limitOf(BACKEND)?.perSecond).toBe(1);
     expect(one.stateDigest()).toBe(two.stateDigest());
-    const lifted = one.noteAnswer(BACKEND, UNLIMITED, one.of(BACKEND));
+    const lifted = one.recordAnswer(BACKEND, UNLIMITED, one.limitOf(BACKEND));
     expect(one.stateDigest()).not.toBe(two.stateDigest());
-    two.hear(lifted === undefined ? [] : [lifted]);
-    two.hear(ofOne);
-    expect(two.of(BACKEND)?.perSecond).toBeUndefined();
+    two.merge(lifted === undefined ? [] : [lifted]);
+    two.merge(ofOne);
+    expect(two.limitOf(BACKEND)?.perSecond).toBeUndefined();
   });
 
   it('bounds the number of recorded processes and drops removed limits first', () => {
     const rates = new BackendRateLimits();
-    rates.noteAnswer({ id: 'kept' }, limited(1), undefined);
+    rates.recordAnswer({ id: 'kept' }, limited(1), undefined);
     for (let count = 0; count < 2_500; count++) {
       const backend = { id: `b${count}` };
-      rates.noteAnswer(backend, limited(1), undefined);
-      rates.noteAnswer(backend, UNLIMITED, rates.of(backend));
+      rates.recordAnswer(backend, limited(1), undefined);
+      rates.recordAnswer(backend, UNLIMITED, rates.limitOf(backend));
     }
     expect(rates.all().length).toBeLessThanOrEqual(2_000);
-    expect(rates.of({ id: 'kept' })?.perSecond).toBe(1);
+    expect(rates.limitOf({ id: 'kept' })?.perSecond).toBe(1);
   });
 });
--- a/test/core/backend-restarts.test.ts
+++ b/test/core/backend-restarts.test.ts
@@ -39,48 +39,48 @@
 describe('a backend that restarts under the same id', () => {
   it('is reported as started although it was never missing from the list', () => {
     const presence = new BackendPresence();
-    presence.take(list(1, record('one')), 0);
+    presence.applyList(list(1, record('one')), 0);
     const restarted = record('two', { revision: 2, ...EMPTY });
-    expect(presence.take(list(2, restarted), 0).started).toEqual([restarted]);
+    expect(presence.applyList(list(2, restarted), 0).started).toEqual([restarted]);
     const heartbeat = record('two', { revision: 3, ...EMPTY });
-    expect(presence.take(list(3, heartbeat), 0).started).toEqual([]);
+    expect(presence.applyList(list(3, heartbeat), 0).started).toEqual([]);
   });
 
   it('is not reverted to its previous process by a stale list', () => {
     const presence = new BackendPresence();
-    presence.take(list(1, record('one')), 0);
-    presence.noteStarted(record('two', { revision: 5, ...EMPTY }), 0);
+    presence.applyList(list(1, record('one')), 0);
+    presence.addAnnounced(record('two', { revision: 5, ...EMPTY }), 0);
     const staleList = {
       ...list(4, record('one', { revision: 3 })),
       mayMissBackends: true,
       isLate: true,
     };
-    expect(presence.take(staleList, 100).started).toEqual([]);
+    expect(presence.applyList(staleList, 100).started).toEqual([]);
     expect(presence.get('x')).toMatchObject({ start: 'two', models: [], sequence: 0 });
-    expect(presence.take(list(6, record('two', { revision: 6 })), 200).started).toEqual([]);
+    expect(presence.applyList(list(6, record('two', { revision: 6 })), 200).started).toEqual([]);
     expect(presence.get('x')?.sequence).toBe(7);
   });
 
   it('holds no models after a peer announces its restart', () => {
     const presence = new BackendPresence();
-    presence.take(list(1, record('one')), 0);
-    presence.noteStarted(record('two', { revision: 2, ...EMPTY }), 100);
+    presence.applyList(list(1, record('one')), 0);
+    presence.addAnnounced(record('two', { revision: 2, ...EMPTY }), 100);
     expect(presence.get('x')).toMatchObject({ start: 'two', models: [], sequence: 0 });
   });
 
   it('keeps its start and sequence when a peer that reports no starts announces its location', () => {
     const presence = new BackendPresence();
-    presence.take(list(1, record('one')), 0);
-    presence.noteStarted(record(undefined, { revision: 2, ...EMPTY, address: '10.1.0.2:1' }), 100);
+    presence.applyList(list(1, record('one')), 0);
+    presence.addAnnounced(record(undefined, { revision: 2, ...EMPTY, address: '10.1.0.2:1' }), 100);
     expect(presence.get('x')).toMatchObject({ start: 'one', sequence: 7, address: '10.1.0.2:1' });
   });
 
   it('has a different digest than its previous process', () => {
     const [one, other] = [new BackendPresence(), new BackendPresence()];
-    one.take(list(1, record('one')), 0);
-    other.take(list(1, record('one')), 0);
+    one.applyList(list(1, record('one')), 0);
+    other.applyList(list(1, record('one')), 0);
     expect(one.servingDigest()).toBe(other.servingDigest());
-    other.take(list(2, record('two', { revision: 2 })), 0);
+    other.applyList(list(2, record('two', { revision: 2 })), 0);
     expect(one.servingDigest()).not.toBe(other.servingDigest());
   });
 
@@ -90,29 +90,29 @@
     const held = { name: 'm', adapters: [], readyInMs: 0, unloading: false };
     const loading = { name: 'n', adapters: [], readyInMs: 900, unloading: false };
     const backends = new Map([['x', [held, loading]]]);
-    directory.hearPlacement(updateOf({ backends, loads: new Map([['x', 9]]) }), 0);
+    directory.applyPlacementUpdate(updateOf({ backends, loads: new Map([['x', 9]]) }), 0);
     const restarted = record('two', { revision: 2, ...EMPTY });
     directory.setBackends(list(2, restarted), 100);
     expect(directory.holds(restarted, MODEL, 100)).toBe(false);
-    expect(directory.loadingAt(restarted, 100)).toBeUndefined();
-    expect(directory.loadOf(restarted, 100)).toBe(0);
+    expect(directory.expectedLoadAt(restarted, 100)).toBeUndefined();
+    expect(directory.inFlightAt(restarted, 100)).toBe(0);
     expect(directory.readyInMs('s', MODEL, 100, () => false)).toBeUndefined();
   });
 
   it('makes the owner send its full state, because its last update may describe the new process', () => {
     const directory = new BackendDirectory();
     directory.setBackends(list(1, record('one')), 0);
-    directory.hearPlacement(updateOf(), 0);
+    directory.applyPlacementUpdate(updateOf(), 0);
     directory.setBackends(list(2, record('two', { revision: 2, ...EMPTY })), 100);
-    expect(directory.hearPlacement(updateOf({ baseVersion: 1 }), 200)).toBe('gap');
-    expect(directory.hearPlacement(updateOf(), 300)).toBe('applied');
-    expect(directory.hearPlacement(updateOf({ baseVersion: 1 }), 400)).toBe('applied');
+    expect(directory.applyPlacementUpdate(updateOf({ baseVersion: 1 }), 200)).toBe('gap');
+    expect(directory.applyPlacementUpdate(updateOf(), 300)).toBe('applied');
+    expect(directory.applyPlacementUpdate(updateOf({ baseVersion: 1 }), 400)).toBe('applied');
   });
 
   it('may hold a model that its previous process lacked', () => {
     const directory = new BackendDirectory();
     directory.setBackends(list(1, record('one')), 0);
-    directory.noteAbsence('x', MODEL, 0);
+    directory.markModelMissing('x', MODEL, 0);
     const restarted = record('two', { revision: 2 });
     directory.setBackends(list(2, restarted), 50);
     expect(directory.holds(restarted, MODEL, 50)).toBe(true);
@@ -122,7 +122,7 @@
     const directory = new BackendDirectory();
     directory.setBackends(list(1, record('one')), 0);
     expect(directory.takeRestarts()).toEqual([]);
-    directory.noteStarted(record('two', { revision: 2 }), 100);
+    directory.addAnnounced(record('two', { revision: 2 }), 100);
     const [restart, ...further] = directory.takeRestarts();
     expect(further).toEqual([]);
     expect(restart).toMatchObject({ earlierStart: 'one', backend: { id: 'x', start: 'two' } });
@@ -145,12 +145,12 @@
     const demand = new ModelDemand();
     const use = [{ backend: 'x', model: 'm', adapter: 'a', inFlight: 3 }];
     const other = { backend: 'y', model: 'm', adapter: undefined, inFlight: 2 };
-    demand.hear({ daemon: 'd', samples: [], use: [...use, other], failing: ['x'] }, 0);
-    demand.forgetBackend('x');
+    demand.applyReport({ daemon: 'd', samples: [], use: [...use, other], failing: ['x'] }, 0);
+    demand.removeBackend('x');
     expect(demand.inFlightAt('x', 0)).toBe(0);
     expect(demand.inFlightOf('m', 0)).toBe(2);
     expect([...demand.failingBackends(10, 0)]).toEqual([]);
-    demand.hear({ daemon: 'd', samples: [], use: [other], failing: [] }, 10);
+    demand.applyReport({ daemon: 'd', samples: [], use: [other], failing: [] }, 10);
     expect(demand.inFlightOf('m', 10)).toBe(2);
   });
 });
--- a/test/core/capacity/capacity-estimate.test.ts
+++ b/test/core/capacity/capacity-estimate.test.ts
@@ -1,14 +1,19 @@
 import { describe, expect, it } from 'vitest';
 import { CapacityEstimate } from '../../../src/core/capacity/capacity-estimate.js';
 import type { GapReport } from '../../../src/core/capacity/gap-samples.js';
-import { centred, SimulatedStreams, unequalLoad, type StreamLoad } from './simulated-streams.js';
+import {
+  normalizedSpeeds,
+  SimulatedStreams,
+  unequalLoad,
+  type StreamLoad,
+} from './simulated-streams.js';
 
 const SEEDS = Array.from({ length: 10 }, (_, index) => index + 1);
 
 /** Relative errors of the estimated speeds, in ascending order. */
 function relativeErrors(simulation: SimulatedStreams): number[] {
   const view = simulation.estimate.view();
-  const errors = [...centred(simulation.load.speeds)].map(([id, speed]) => {
+  const errors = [...normalizedSpeeds(simulation.load.speeds)].map(([id, speed]) => {
     return Math.abs(view.speedOf(id) / speed - 1);
   });
   return errors.sort((a, b) => a - b);
@@ -26,7 +31,7 @@
 function simulate(milliseconds: number, part: Partial<StreamLoad> = {}): SimulatedStreams[] {
   return SEEDS.map((seed) => {
     const simulation = new SimulatedStreams(unequalLoad(12, part), seed);
-    simulation.play(milliseconds);
+    simulation.advance(milliseconds);
     return simulation;
   });
 }
@@ -44,7 +49,7 @@
 
   it('estimates the usual gaps of models within 20%', () => {
     const simulation = new SimulatedStreams(unequalLoad(12), 1);
-    simulation.play(3_000);
+    simulation.advance(3_000);
     for (const [model, pace] of Object.entries(simulation.load.paces)) {
       const gap = simulation.estimate.view().eventGapMs('b1', model) ?? 0;
       expect(Math.abs((gap * pace) / 40 - 1)).toBeLessThan(0.2);
@@ -70,7 +75,7 @@
   it('tolerates a daemon that reports wrong gaps', () => {
     const simulations = simulate(3_000);
     for (const simulation of simulations) {
-      simulation.play(7_000, (daemon, report) => {
+      simulation.advance(7_000, (daemon, report) => {
         if (daemon !== 0) return report;
         const samples = report.samples.map((sample) => ({ ...sample, logSum: sample.gaps * 9 }));
         return { ...report, samples };
@@ -88,39 +93,39 @@
     ['a negative stream count', { samples: [], pauseClasses: [-1, 0, 0, 0, 0, 0, 0, 0] }],
   ])('drops %s', (_description, report) => {
     const estimate = new CapacityEstimate();
-    expect(estimate.hear('d', report, 0)).toBe(1);
-    estimate.settle(0);
+    expect(estimate.addReport('d', report, 0)).toBe(1);
+    estimate.recompute(0);
     expect(estimate.figures.gaps.size).toBe(0);
   });
 
   it('estimates a restarted backend again from the usual speed', () => {
     const simulation = new SimulatedStreams(unequalLoad(12), 1);
-    simulation.play(3_000);
+    simulation.advance(3_000);
     expect(simulation.estimate.view().speedOf('b0')).toBeLessThan(0.75);
     simulation.restart('b0', 1.6);
     expect(simulation.estimate.view().speedOf('b0')).toBe(1);
-    simulation.play(6_000);
+    simulation.advance(6_000);
     expect(simulation.estimate.view().speedOf('b0')).toBeGreaterThan(1.3);
   });
 
   it('detects a temporarily slow backend and its recovery', () => {
     const simulation = new SimulatedStreams(unequalLoad(12), 1);
     simulation.slowTimes.push({ backend: 'b1', from: 10_000, until: 16_000, factor: 3 });
-    simulation.play(10_000);
+    simulation.advance(10_000);
     const before = simulation.estimate.view().speedOf('b1');
-    simulation.play(5_000);
+    simulation.advance(5_000);
     expect(simulation.estimate.view().speedOf('b1') / before).toBeLessThan(0.6);
-    simulation.play(8_000);
+    simulation.advance(8_000);
     expect(simulation.estimate.view().speedOf('b1') / before).toBeGreaterThan(0.8);
   });
 
   it('reports each speed change once', () => {
     const simulation = new SimulatedStreams(unequalLoad(12), 1);
-    simulation.play(3_000);
+    simulation.advance(3_000);
     let changes = 0;
     for (let round = 0; round < 120; round++) {
-      simulation.play(250);
-      changes += simulation.estimate.settle(simulation.now).length;
+      simulation.advance(250);
+      changes += simulation.estimate.recompute(simulation.now).length;
     }
     expect(changes).toBeLessThanOrEqual(12);
   });
--- a/test/core/capacity/copy-quality.test.ts
+++ b/test/core/capacity/copy-quality.test.ts
@@ -1,13 +1,13 @@
 import { describe, expect, it } from 'vitest';
 import { BackendLedger } from '../../../src/core/backend-ledger.js';
 import { LearnedCapacity } from '../../../src/core/capacity/learned-capacity.js';
-import { CopyQuality, type PlannedCapacity } from '../../../src/core/capacity/copy-quality.js';
-import { LoadPlaces } from '../../../src/core/load-place.js';
+import { CopyQuality, type PlanningCapacity } from '../../../src/core/capacity/copy-quality.js';
+import { LoadCandidates } from '../../../src/core/load-candidates.js';
 import { ModelDemand } from '../../../src/core/model-demand.js';
 import { ModelWorth } from '../../../src/core/model-worth.js';
 import type { PlanningInput } from '../../../src/core/planning.js';
-import { UnloadTimes } from '../../../src/core/unload-times.js';
-import { LOAD_POLICIES, hostOf, modelOf, waitingFor } from '../gateway-fixtures.js';
+import { UnloadTimeEstimator } from '../../../src/core/unload-time-estimator.js';
+import { LOAD_POLICIES, hostOf, modelOf, demandSampleOf } from '../gateway-fixtures.js';
 
 const NOW = 60_000;
 
@@ -16,13 +16,13 @@
   const models = held.map((name) => ({ name, adapters: [] }));
   const state = { busy: false, sequence: 0, coming: [], inMemory: [], waiting: 0, running: 0 };
   const report = { ...state, models, onDisk: ['hot', 'rare'] };
-  ledger.adopt(report, 0);
-  ledger.adopt(report, 1_000);
+  ledger.applyReport(report, 0);
+  ledger.applyReport(report, 1_000);
   return ledger;
 }
 
 /** Capacity under which streams of "hot" are late at backends of half the usual speed and nowhere else. */
-function capacityOf(speeds: Readonly<Record<string, number>>): PlannedCapacity {
+function capacityOf(speeds: Readonly<Record<string, number>>): PlanningCapacity {
   const figures = { speeds: new Map(Object.entries(speeds)), gaps: new Map([['hot', 110]]) };
   const pauseShares = [1, 0.05, 0.02, 0, 0, 0, 0, 0];
   return { view: new LearnedCapacity({ ...figures, pauseShares }), pauseGoalMs: () => 200 };
@@ -30,19 +30,19 @@
 
 function inputOf(
   backends: readonly BackendLedger[],
-  capacity: PlannedCapacity | undefined,
+  capacity: PlanningCapacity | undefined,
 ): PlanningInput {
   const demand = new ModelDemand();
-  const samples = [waitingFor('hot', { waiting: 0, arrivals: 60, goalMs: 600 })];
-  demand.hear({ daemon: 'd', samples, use: [], failing: [] }, NOW);
+  const samples = [demandSampleOf('hot', { waiting: 0, arrivals: 60, goalMs: 600 })];
+  demand.applyReport({ daemon: 'd', samples, use: [], failing: [] }, NOW);
   return {
     host: hostOf(['hot', 'rare']),
     backends,
     demand,
     now: NOW,
     storeLoads: 1,
-    storePlaceWaits: [0],
-    unloadTimes: new UnloadTimes(),
+    storeSlotWaitsMs: [0],
+    unloadTimes: new UnloadTimeEstimator(),
     policies: LOAD_POLICIES,
     capacity,
   };
@@ -51,13 +51,17 @@
 describe('CopyQuality', () => {
   it('rates all backends as good while there are no estimates', () => {
     const quality = new CopyQuality(undefined, [ledgerOf('x', [])], NOW);
-    expect([quality.ofPlace('x', 'hot'), quality.lateMs('x', 'hot', 10)]).toEqual([1, 0]);
+    expect([quality.backendQuality('x', 'hot'), quality.latenessCostMs('x', 'hot', 10)]).toEqual([
+      1, 0,
+    ]);
   });
 
   it('rates all backends as good when all are equally slow', () => {
     const backends = [ledgerOf('x', []), ledgerOf('y', [])];
     const quality = new CopyQuality(capacityOf({ x: 0.5, y: 0.5 }), backends, NOW);
-    expect([quality.ofPlace('x', 'hot'), quality.ofPlace('y', 'hot')]).toEqual([1, 1]);
+    expect([quality.backendQuality('x', 'hot'), quality.backendQuality('y', 'hot')]).toEqual([
+      1, 1,
+    ]);
   });
 
   it('rates a new copy as fully good for ten seconds', () => {
@@ -65,7 +69,7 @@
     slow.models.set('hot', { adapters: new Set(), loadedAt: NOW });
     const capacity = capacityOf({ slow: 0.5 });
     const qualityAt = (now: number): number => {
-      return new CopyQuality(capacity, [slow, ledgerOf('y', [])], now).ofCopy(slow, 'hot');
+      return new CopyQuality(capacity, [slow, ledgerOf('y', [])], now).copyQuality(slow, 'hot');
     };
     expect([qualityAt(NOW + 9_999), qualityAt(NOW + 10_000)]).toEqual([1, 0.3]);
   });
@@ -76,8 +80,8 @@
     const [slow, good] = [ledgerOf('slow', ['hot']), ledgerOf('good', ['hot'])];
     const uniformWorth = new ModelWorth(inputOf([slow, good], undefined));
     const worth = new ModelWorth(inputOf([slow, good], capacityOf({ slow: 0.5 })));
-    expect(uniformWorth.ofCopy(slow, 'hot')).toBe(uniformWorth.ofCopy(good, 'hot'));
-    expect(worth.ofCopy(slow, 'hot')).toBeLessThan(0.5 * worth.ofCopy(good, 'hot'));
+    expect(uniformWorth.copyWorth(slow, 'hot')).toBe(uniformWorth.copyWorth(good, 'hot'));
+    expect(worth.copyWorth(slow, 'hot')).toBeLessThan(0.5 * worth.copyWorth(good, 'hot'));
   });
 
   it('does not reduce the value of the only copy', () => {
@@ -85,14 +89,14 @@
     const uniformWorth = new ModelWorth(inputOf(backends, undefined));
     const worth = new ModelWorth(inputOf(backends, capacityOf({ slow: 0.5 })));
     const [slow] = backends;
-    expect(slow && worth.ofCopy(slow, 'hot')).toBe(slow && uniformWorth.ofCopy(slow, 'hot'));
+    expect(slow && worth.copyWorth(slow, 'hot')).toBe(slow && uniformWorth.copyWorth(slow, 'hot'));
   });
 
   it('loads a model at a backend where its streams are on time', () => {
     const backends = [ledgerOf('slow', []), ledgerOf('good', ['rare'])];
     const input = inputOf(backends, capacityOf({ slow: 0.5 }));
-    expect(new LoadPlaces(input, new ModelWorth(input)).cheapest(modelOf('hot'))?.ledger.id).toBe(
-      'good',
-    );
+    expect(
+      new LoadCandidates(input, new ModelWorth(input)).cheapest(modelOf('hot'))?.ledger.id,
+    ).toBe('good');
   });
 });
--- a/test/core/capacity/placement-replay.ts
+++ b/test/core/capacity/placement-simulation.ts
@@ -1,12 +1,12 @@
 /** Seeded in-process simulation of an owner that places models and of daemons that send streams to them. */
 import { BackendLedger } from '../../../src/core/backend-ledger.js';
 import { StaleLoadSelection } from '../../../src/core/backend-selection-stale-load.js';
-import { EVEN_CAPACITY } from '../../../src/core/capacity/capacity-view.js';
-import type { PlannedCapacity } from '../../../src/core/capacity/copy-quality.js';
+import { UNIFORM_CAPACITY } from '../../../src/core/capacity/capacity-view.js';
+import type { PlanningCapacity } from '../../../src/core/capacity/copy-quality.js';
 import { ModelDemand } from '../../../src/core/model-demand.js';
 import { PlacementPlanner } from '../../../src/core/placement-planner.js';
 import type { PlannedOrder } from '../../../src/core/planning.js';
-import { UnloadTimes } from '../../../src/core/unload-times.js';
+import { UnloadTimeEstimator } from '../../../src/core/unload-time-estimator.js';
 import { LOAD_POLICIES, hostOf } from '../gateway-fixtures.js';
 import { SimulatedStreams } from './simulated-streams.js';
 
@@ -37,7 +37,7 @@
 }
 
 /** Simulates one service under load. */
-export class PlacementReplay {
+export class PlacementSimulation {
   readonly streams: SimulatedStreams;
   /** All load orders so far, each as "backend model". */
   readonly loads: string[] = [];
@@ -62,7 +62,7 @@
   }
 
   /** Advances the simulation. Returns the share of late streams among those that ended meanwhile. */
-  play(milliseconds: number): number {
+  advance(milliseconds: number): number {
     const before = { streams: this.streams.streams, late: this.streams.late };
     const until = this.streams.now + milliseconds;
     while (this.streams.now < until) this.step();
@@ -87,7 +87,7 @@
     }
     this.report(arrivals, now);
     this.sendOrders(now);
-    this.streams.play(STEP_MS);
+    this.streams.advance(STEP_MS);
   }
 
   private arrivals(model: string): number {
@@ -97,7 +97,7 @@
   }
 
   private send(model: string, now: number): void {
-    const view = this.isLearned ? this.streams.estimate.view() : EVEN_CAPACITY;
+    const view = this.isLearned ? this.streams.estimate.view() : UNIFORM_CAPACITY;
     const holders = this.ledgers.filter((ledger) => {
       const order = ledger.currentOrder;
       return ledger.models.has(model) && !(order?.operation === 'unload' && order.model === model);
@@ -127,12 +127,12 @@
     const use = this.running.map(({ backend, model }) => {
       return { backend, model, adapter: undefined, inFlight: 1 };
     });
-    this.demand.hear({ daemon: 'd', samples, use, failing: [] }, now);
+    this.demand.applyReport({ daemon: 'd', samples, use, failing: [] }, now);
   }
 
   private sendOrders(now: number): void {
     const { demand, streams, ledgers: backends } = this;
-    const capacity: PlannedCapacity = {
+    const capacity: PlanningCapacity = {
       view: streams.estimate.steadyView(),
       pauseGoalMs: (model) => streams.estimate.pauseGoalMs(model),
     };
@@ -142,8 +142,8 @@
       demand,
       now,
       storeLoads: 1,
-      storePlaceWaits: [0],
-      unloadTimes: new UnloadTimes(),
+      storeSlotWaitsMs: [0],
+      unloadTimes: new UnloadTimeEstimator(),
       policies: LOAD_POLICIES,
       capacity: this.isLearned ? capacity : undefined,
     });
@@ -153,8 +153,8 @@
   private startOrder(planned: PlannedOrder, now: number): void {
     const { backend, order, durationMs } = planned;
     const ledger = this.ledgers.find(({ id }) => id === backend);
-    ledger?.send(order, now + durationMs);
-    ledger?.settle(order, { type: 'accepted' }, now, durationMs);
+    ledger?.recordSent(order, now + durationMs);
+    ledger?.recordOutcome(order, { type: 'accepted' }, now, durationMs);
     if (order.operation === 'load') this.loads.push(`${backend} ${order.model}`);
     this.orders.set(backend, { planned, endsAt: now + durationMs });
   }
@@ -168,7 +168,7 @@
       const { model, operation } = planned.order;
       const held = [...ledger.models.keys()].filter((name) => name !== model);
       if (operation === 'load') held.push(model);
-      ledger.adopt(reportOf(held, ledger.sequence), now);
+      ledger.applyReport(reportOf(held, ledger.sequence), now);
     }
   }
 }
@@ -178,7 +178,7 @@
 function reportOf(
   held: readonly string[],
   sequence: number,
-): Parameters<BackendLedger['adopt']>[0] {
+): Parameters<BackendLedger['applyReport']>[0] {
   const models = held.map((name) => ({ name, adapters: [] }));
   const onDisk = HOST.models.map(({ name }) => name);
   const state = { busy: false, coming: [], inMemory: [], waiting: 0, running: 0 };
@@ -187,7 +187,7 @@
 
 function ledgerOf(id: string, held: readonly string[]): BackendLedger {
   const ledger = new BackendLedger(id);
-  ledger.adopt(reportOf(held, 0), -20_000);
-  ledger.adopt(reportOf(held, 0), -19_000);
+  ledger.applyReport(reportOf(held, 0), -20_000);
+  ledger.applyReport(reportOf(held, 0), -19_000);
   return ledger;
 }
--- a/test/core/capacity/simulated-streams.ts
+++ b/test/core/capacity/simulated-streams.ts
@@ -64,7 +64,7 @@
    *
    * @param alter - Replaces a daemon's report before the owner receives it.
    */
-  play(
+  advance(
     milliseconds: number,
     alter: (daemon: number, report: GapReport) => GapReport = (_daemon, report) => report,
   ): void {
@@ -78,21 +78,25 @@
       for (const read of due) read.apply();
       for (const [daemon, samples] of this.samples.entries()) {
         if (!samples.isDue(this.now)) continue;
-        this.estimate.hear(`d${daemon}`, alter(daemon, samples.take(this.now)), this.now);
+        this.estimate.addReport(
+          `d${daemon}`,
+          alter(daemon, samples.takeReport(this.now)),
+          this.now,
+        );
       }
-      this.estimate.settle(this.now);
+      this.estimate.recompute(this.now);
     }
   }
 
   /** Starts a stream, whose events take effect as the simulation advances. Returns the time at which it ends. */
   beginStream(backend: string, model: string, startsAt: number): number {
     const daemon = Math.floor(this.random.between(0, this.load.daemons));
-    const gaps = this.samples[daemon]?.watch(backend, model, PAUSE_GOAL_MS);
+    const gaps = this.samples[daemon]?.measureStream(backend, model, PAUSE_GOAL_MS);
     const usual = USUAL_GAP_MS / ((this.load.speeds[backend] ?? 1) * (this.load.paces[model] ?? 1));
     let [at, longest] = [startsAt, 0];
     for (let event = 0; event < this.load.eventsEach; event++) {
       const readAt = at;
-      this.reads.push({ backend, at, apply: () => gaps?.noteRead(1, readAt) });
+      this.reads.push({ backend, at, apply: () => gaps?.recordRead(1, readAt) });
       const slow = this.slowness(backend, at);
       const gap = usual * slow * this.random.between(0.9, 1.1);
       if (event + 1 < this.load.eventsEach) longest = Math.max(longest, gap);
@@ -153,7 +157,7 @@
 }
 
 /** Scales the true speeds so that their geometric mean is 1. */
-export function centred(speeds: Readonly<Record<string, number>>): Map<string, number> {
+export function normalizedSpeeds(speeds: Readonly<Record<string, number>>): Map<string, number> {
   const logs = Object.values(speeds).map((speed) => Math.log(speed));
   const mean = logs.reduce((sum, log) => sum + log, 0) / logs.length;
   return new Map(Object.entries(speeds).map(([id, speed]) => [id, speed / Math.exp(mean)]));
--- a/test/core/claim-table.test.ts
+++ b/test/core/claim-table.test.ts
@@ -22,18 +22,18 @@
   it('refuses a key to both requests after merging conflicting claims of two voters', () => {
     const table = new ClaimTable(0);
     const claim = { tenant: 'till', key: 'k', expiresAt: 100 };
-    table.adopt([{ ...claim, request: 'first' }], 1);
-    table.adopt([{ ...claim, request: 'second' }], 1);
+    table.merge([{ ...claim, request: 'first' }], 1);
+    table.merge([{ ...claim, request: 'second' }], 1);
     expect(table.claim('till', 'k', 'first', 2)).toBe(false);
     expect(table.claim('till', 'k', 'second', 2)).toBe(false);
   });
 
   it('may lack claims until it is marked complete or any lost claim has expired', () => {
     const table = new ClaimTable(0);
-    expect(table.isYoung(1)).toBe(true);
-    expect(table.isYoung(CLAIM_LIFETIME_MS)).toBe(false);
-    table.markInformed();
-    expect(table.isYoung(1)).toBe(false);
+    expect(table.mayLackClaims(1)).toBe(true);
+    expect(table.mayLackClaims(CLAIM_LIFETIME_MS)).toBe(false);
+    table.markComplete();
+    expect(table.mayLackClaims(1)).toBe(false);
   });
 });
 
--- a/test/core/configuration-lease.test.ts
+++ b/test/core/configuration-lease.test.ts
@@ -8,26 +8,26 @@
 
   it('ignores a late proof that is older than the current one', () => {
     const lease = new ConfigurationLease();
-    lease.configured(3);
-    lease.prove({ version: 3, provenAt: 100 });
-    lease.prove({ version: 2, provenAt: 40 });
+    lease.setVersion(3);
+    lease.addProof({ version: 3, provenAt: 100 });
+    lease.addProof({ version: 2, provenAt: 40 });
     expect(lease.ageMs(150)).toBe(50);
   });
 
   it('does not count a proof for a configuration that is not in force yet', () => {
     const lease = new ConfigurationLease();
-    lease.configured(3);
-    lease.prove({ version: 3, provenAt: 100 });
-    lease.prove({ version: 4, provenAt: 900 });
+    lease.setVersion(3);
+    lease.addProof({ version: 3, provenAt: 100 });
+    lease.addProof({ version: 4, provenAt: 900 });
     expect(lease.ageMs(1_000)).toBe(900);
-    lease.configured(4);
+    lease.setVersion(4);
     expect(lease.ageMs(1_000)).toBe(100);
   });
 
   it('counts a proof for an older configuration than the one in force', () => {
     const lease = new ConfigurationLease();
-    lease.configured(5);
-    lease.prove({ version: 3, provenAt: 100 });
+    lease.setVersion(5);
+    lease.addProof({ version: 3, provenAt: 100 });
     expect(lease.ageMs(150)).toBe(50);
   });
 });
--- a/test/core/crash-records.test.ts
+++ b/test/core/crash-records.test.ts
@@ -6,7 +6,7 @@
 
 function withCrashes(crashes: readonly (readonly [string, string])[]): CrashRecords {
   const records = new CrashRecords();
-  for (const [digest, start] of crashes) records.noteCrash(digest, start, 0);
+  for (const [digest, start] of crashes) records.recordCrash(digest, start, 0);
   return records;
 }
 
@@ -18,9 +18,9 @@
       [A, '2'],
     ]);
     expect(records.verdict(A)).toBe('suspect');
-    records.noteCrash(A, '3', 1);
+    records.recordCrash(A, '3', 1);
     expect(records.verdict(A)).toBe('condemned');
-    expect(records.condemned()).toEqual([A]);
+    expect(records.condemnedDigests()).toEqual([A]);
     expect(records.verdict(B)).toBe('sound');
   });
 
@@ -29,10 +29,10 @@
       ['1', '2', '3'].flatMap((start) => [[A, start] as const, [B, start] as const]),
     );
     expect(records.verdict(B)).toBe('condemned');
-    records.noteCrash(A, '4', 0);
+    records.recordCrash(A, '4', 0);
     expect(records.verdict(A)).toBe('condemned');
     expect(records.verdict(B)).toBe('sound');
-    expect(records.crashesOf(B)).toBe(0);
+    expect(records.attributedCrashes(B)).toBe(0);
   });
 
   it('does not condemn a request that ran beside the condemned one in two crashes', () => {
@@ -52,18 +52,18 @@
       [A, '1'],
       [A, '2'],
     ]);
-    const answered = records.noteAnswer(A, 1);
+    const answered = records.recordAnswer(A, 1);
     expect(records.verdict(A)).toBe('sound');
-    records.noteCrash(A, '3', 2);
+    records.recordCrash(A, '3', 2);
     expect(records.verdict(A)).toBe('sound');
     const other = withCrashes([
       [A, '1'],
       [A, '2'],
       [A, '4'],
     ]);
-    other.hear([answered!], 3);
-    expect(other.crashesOf(A)).toBe(1);
-    expect(records.noteAnswer(C, 3)).toBeUndefined();
+    other.mergeAll([answered!], 3);
+    expect(other.attributedCrashes(A)).toBe(1);
+    expect(records.recordAnswer(C, 3)).toBeUndefined();
   });
 
   it('deletes a record ten minutes after the last crash or repeat, not earlier', () => {
@@ -71,13 +71,13 @@
       [A, '1'],
       [B, '1'],
     ]);
-    records.noteRepeat(A, 500_000);
-    records.forgetOld(599_999);
+    records.recordRepeat(A, 500_000);
+    records.deleteExpired(599_999);
     expect(records.all(0)).toHaveLength(2);
-    records.forgetOld(600_000);
+    records.deleteExpired(600_000);
     expect(records.all(0).map(({ digest }) => digest)).toEqual([A]);
     const late: CrashRecord = { digest: C, starts: ['1'], excused: [], ageMs: 600_000 };
-    expect(records.hear([late], 600_000)).toEqual([]);
+    expect(records.mergeAll([late], 600_000)).toEqual([]);
   });
 
   it('limits the number of records and keeps those with the most crashes', () => {
@@ -87,7 +87,7 @@
       [A, '3'],
     ]);
     for (let index = 0; index < 5_000; index++) {
-      records.noteCrash(index.toString(16).padStart(32, '0'), `start ${index}`, index);
+      records.recordCrash(index.toString(16).padStart(32, '0'), `start ${index}`, index);
     }
     expect(records.all(0).length).toBeLessThanOrEqual(2_048);
     expect(records.verdict(A)).toBe('condemned');
@@ -103,10 +103,10 @@
     fc.assert(
       fc.property(fc.array(record, { maxLength: 8 }), fc.func(fc.nat()), (received, order) => {
         const one = new CrashRecords();
-        for (const entry of received) one.hear([entry], 0);
+        for (const entry of received) one.mergeAll([entry], 0);
         const other = new CrashRecords();
         const shuffled = [...received, ...received].sort((x, y) => order(x) - order(y));
-        other.hear(shuffled, 0);
+        other.mergeAll(shuffled, 0);
         expect(other.stateDigest()).toBe(one.stateDigest());
         for (const digest of [A, B, C]) expect(other.verdict(digest)).toBe(one.verdict(digest));
       }),
@@ -117,18 +117,18 @@
     const records = new CrashRecords();
     for (let index = 0; index < 2_048; index++) {
       const digest = index.toString(16).padStart(32, '0');
-      for (const start of [0, 1, 2]) records.noteCrash(digest, `${(index + start) % 700}`, 0);
+      for (const start of [0, 1, 2]) records.recordCrash(digest, `${(index + start) % 700}`, 0);
     }
     const startedAt = performance.now();
-    for (let evaluation = 0; evaluation < 10; evaluation++) records.condemned();
+    for (let evaluation = 0; evaluation < 10; evaluation++) records.condemnedDigests();
     expect(performance.now() - startedAt).toBeLessThan(200);
-    expect(records.condemned()).toHaveLength(2_048);
+    expect(records.condemnedDigests()).toHaveLength(2_048);
   });
 
   it('ignores records without crashes, so that they use no memory', () => {
     const records = new CrashRecords();
     for (let index = 0; index < 3_000; index++) {
-      records.hear([{ digest: `${index}`, starts: [], excused: [], ageMs: 0 }], 0);
+      records.mergeAll([{ digest: `${index}`, starts: [], excused: [], ageMs: 0 }], 0);
     }
     expect(records.isEmpty).toBe(true);
     expect(records.stateDigest()).toBe(0);
--- a/test/core/crowded-copies.test.ts
+++ b/test/core/crowded-copies.test.ts
@@ -3,8 +3,8 @@
 import { BackendLedger } from '../../src/core/backend-ledger.js';
 import type { BackendUse, DemandSample } from '../../src/core/demand-report.js';
 import type { Policies } from '../../src/core/policies.js';
-import { LOAD_POLICIES, hostOf, waitingFor } from './gateway-fixtures.js';
-import { brief, ledgerOf, reportOf, Scene } from './planner-scene.js';
+import { LOAD_POLICIES, hostOf, demandSampleOf } from './gateway-fixtures.js';
+import { describeOrders, ledgerOf, reportOf, PlannerFixture } from './planner-fixture.js';
 
 const OFF: Policies = { ...LOAD_POLICIES, relieveCrowdedCopies: false };
 /** Requests in flight, of the 64 slots of one copy. */
@@ -14,7 +14,7 @@
 
 /** A smoothed rate of one arrival per second corresponds to about 11.5 arrivals at once. */
 function demandFor(model: string, perSecond: number): DemandSample {
-  return waitingFor(model, { waiting: 0, arrivals: perSecond * 11.5, goalMs: 600 });
+  return demandSampleOf(model, { waiting: 0, arrivals: perSecond * 11.5, goalMs: 600 });
 }
 
 function inUse(backend: string, model: string, inFlight: number): BackendUse {
@@ -24,38 +24,41 @@
 /**
  * Six backends with two models each; the hot model gets five requests per second with long streams.
  */
-function sceneWithoutFreeMemory(policies: Policies): Scene {
+function sceneWithoutFreeMemory(policies: Policies): PlannerFixture {
   const ledgers = Array.from({ length: 6 }, (_, index) => {
     const held = index === 0 ? ['hot', WARM[10] ?? ''] : WARM.slice(2 * index - 2, 2 * index);
     return ledgerOf(`b${index}`, held);
   });
-  const scene = new Scene(ledgers, policies, host);
+  const scene = new PlannerFixture(ledgers, policies, host);
   const samples = [demandFor('hot', 5), ...WARM.map((model) => demandFor(model, 0.9))];
-  scene.hearUse([inUse('b0', 'hot', CROWDED)], samples);
+  scene.reportDemandAndUse([inUse('b0', 'hot', CROWDED)], samples);
   return scene;
 }
 
 /** The hot model's only copy is at "x"; an unload at "y" frees memory for a second one. */
-function sceneWithUnloadInProgress(policies: Policies, inFlight: number): [Scene, BackendLedger] {
+function sceneWithUnloadInProgress(
+  policies: Policies,
+  inFlight: number,
+): [PlannerFixture, BackendLedger] {
   const unloading = ledgerOf('y', ['w1', 'w2'], ['rare1', 'hot']);
-  const scene = new Scene([ledgerOf('x', ['hot', 'w3']), unloading], policies, host);
+  const scene = new PlannerFixture([ledgerOf('x', ['hot', 'w3']), unloading], policies, host);
   const samples = [
     demandFor('hot', 5),
     demandFor('w1', 0.1),
     demandFor('w2', 0.2),
     demandFor('w3', 2),
   ];
-  scene.hearUse([inUse('x', 'hot', inFlight)], samples);
-  expect(brief(scene.planAndAccept())).toEqual(['y unload w1']);
+  scene.reportDemandAndUse([inUse('x', 'hot', inFlight)], samples);
+  expect(describeOrders(scene.planAndAccept())).toEqual(['y unload w1']);
   return [scene, unloading];
 }
 
 function finishUnload(unloading: BackendLedger, now: number): void {
-  unloading.adopt(reportOf(['w2'], { sequence: 1, onDisk: ['rare1', 'hot'] }), now);
+  unloading.applyReport(reportOf(['w2'], { sequence: 1, onDisk: ['rare1', 'hot'] }), now);
 }
 
-function loadsHotAtY(scene: Scene): boolean {
-  return brief(scene.planAndAccept()).includes('y load hot');
+function loadsHotAtY(scene: PlannerFixture): boolean {
+  return describeOrders(scene.planAndAccept()).includes('y load hot');
 }
 
 describe('a crowded copy', () => {
@@ -73,14 +76,14 @@
       ['hot', 'w2'],
       ['w3', 'w4'],
     ];
-    const scene = new Scene(
+    const scene = new PlannerFixture(
       held.map((models, index) => ledgerOf(`b${index}`, models)),
       LOAD_POLICIES,
       host,
     );
     const use = [inUse('b0', 'hot', CROWDED / 2), inUse('b1', 'hot', CROWDED / 2)];
     const others = ['w1', 'w2', 'w3', 'w4'].map((model) => demandFor(model, 1.5));
-    scene.hearUse(use, [demandFor('hot', 5), ...others, waitingFor('rare1')]);
+    scene.reportDemandAndUse(use, [demandFor('hot', 5), ...others, demandSampleOf('rare1')]);
     const [order] = scene.plan();
     expect(order?.order.operation).toBe('unload');
     expect(order?.order.model).not.toBe('hot');
@@ -94,7 +97,7 @@
       const [scene, unloading] = sceneWithUnloadInProgress(policies, CROWDED);
       scene.now += 5_000;
       // During the unload, fewer requests are in flight than before it, so the copy is not crowded.
-      scene.hearUse([inUse('x', 'hot', 40)], [waitingFor('rare1')]);
+      scene.reportDemandAndUse([inUse('x', 'hot', 40)], [demandSampleOf('rare1')]);
       scene.planAndAccept();
       finishUnload(unloading, scene.now);
       expect(loadsHotAtY(scene)).toBe(expected);
@@ -109,7 +112,7 @@
       const [scene, unloading] = sceneWithUnloadInProgress(policies, 0);
       scene.now += 300;
       finishUnload(unloading, scene.now);
-      scene.hear(waitingFor('rare1'));
+      scene.reportDemand(demandSampleOf('rare1'));
       expect(loadsHotAtY(scene)).toBe(expected);
     }
   });
--- a/test/core/forecasts.test.ts
+++ b/test/core/forecasts.test.ts
@@ -5,21 +5,21 @@
 import { describe, expect, it } from 'vitest';
 import { PlacementPublisher } from '../../src/core/placement-publisher.js';
 import type { Policies } from '../../src/core/policies.js';
-import { LOAD_POLICIES, hostOf, waitingFor } from './gateway-fixtures.js';
-import { ledgerOf, Scene } from './planner-scene.js';
+import { LOAD_POLICIES, hostOf, demandSampleOf } from './gateway-fixtures.js';
+import { ledgerOf, PlannerFixture } from './planner-fixture.js';
 
 const OFF: Policies = { ...LOAD_POLICIES, forecastAll: false };
 const RARE = Array.from({ length: 200 }, (_, index) => `r${index}`);
 const host = hostOf(RARE);
 
 /** 63 backends, each with a part of the rare models on its disk; callers wait for all models. */
-function sceneWithWaitingCallers(policies: Policies): Scene {
+function sceneWithWaitingCallers(policies: Policies): PlannerFixture {
   const ledgers = Array.from({ length: 63 }, (_, index) => {
     const onDisk = RARE.filter((_, model) => model % 63 === index);
     return ledgerOf(`b${index}`, [], onDisk);
   });
-  const scene = new Scene(ledgers, policies, host);
-  scene.hear(...RARE.map((model) => waitingFor(model)));
+  const scene = new PlannerFixture(ledgers, policies, host);
+  scene.reportDemand(...RARE.map((model) => demandSampleOf(model)));
   return scene;
 }
 
@@ -31,9 +31,9 @@
 
   it('do not put loads that wait for the weight store before loads from a local disk', () => {
     const forecastFor = (policies: Policies): number => {
-      const scene = new Scene([ledgerOf('x', [], ['r9'])], policies, host);
-      const fromStore = ['r1', 'r2', 'r3'].map((model) => waitingFor(model, { dueInMs: 100 }));
-      scene.hear(...fromStore, waitingFor('r9'));
+      const scene = new PlannerFixture([ledgerOf('x', [], ['r9'])], policies, host);
+      const fromStore = ['r1', 'r2', 'r3'].map((model) => demandSampleOf(model, { dueInMs: 100 }));
+      scene.reportDemand(...fromStore, demandSampleOf('r9'));
       return scene.forecasts().get('r9') ?? Infinity;
     };
     // The first of the three occupies the weight store and the backend; the others wait for the
@@ -47,7 +47,7 @@
     const publish = (readyAt: number, now: number): number => {
       const forecasts = new Map([['r1', readyAt]]);
       const state = { backends: new Map(), forecasts, loads: new Map() };
-      return publisher.update({ ...state, storeLoadLimit: 0, loadTolerance: 1 }, now).forecasts
+      return publisher.nextUpdate({ ...state, storeLoadLimit: 0, loadTolerance: 1 }, now).forecasts
         .size;
     };
     expect([publish(20_000, 0), publish(22_500, 10), publish(24_000, 20)]).toEqual([1, 0, 1]);
--- a/test/core/gateway-fixtures.ts
+++ b/test/core/gateway-fixtures.ts
@@ -30,7 +30,7 @@
 }
 
 /** Creates a demand sample of one request that waits for a model. */
-export function waitingFor(model: string, part: Partial<DemandSample> = {}): DemandSample {
+export function demandSampleOf(model: string, part: Partial<DemandSample> = {}): DemandSample {
   return {
     model,
     adapter: undefined,
--- a/test/core/gateway-policies.test.ts
+++ b/test/core/gateway-policies.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { afterFailure } from '../../src/core/attempt-policy.js';
+import { nextStepAfterFailure } from '../../src/core/attempt-policy.js';
 import type { BackendList } from '../../src/core/backend-presence.js';
 import { BackendDirectory } from '../../src/core/backend-directory.js';
 import { BackendHealth } from '../../src/core/backend-health.js';
@@ -15,7 +15,7 @@
 import { StoreLoadWindow } from '../../src/core/store-load-ceiling.js';
 import type { BackendRecord, Repeatability } from '../../src/core/service-configuration.js';
 import { testConfiguration, testRoute } from '../gateway/gateway-harness.js';
-import { updateOf, waitingFor } from './gateway-fixtures.js';
+import { updateOf, demandSampleOf } from './gateway-fixtures.js';
 
 describe('RetryBudget', () => {
   const limits = { ratio: 0.2, windowMs: 10_000, slack: 40 };
@@ -56,20 +56,20 @@
 
   it('retries a request that has not run, regardless of its repeatability', () => {
     const failed = { ran: 'no', reached: true } as const;
-    expect(afterFailure(route('once'), failed, { runs: 0, sends: 1 })).toBe('retry');
+    expect(nextStepAfterFailure(route('once'), failed, { runs: 0, sends: 1 })).toBe('retry');
   });
 
   it('retries a request that may have run only if it is repeatable, up to the maximum of attempts', () => {
     const failed = { ran: 'unknown', reached: true } as const;
-    expect(afterFailure(route('once'), failed, { runs: 1, sends: 1 })).toBe('fail');
-    expect(afterFailure(route('stream_once'), failed, { runs: 1, sends: 1 })).toBe('fail');
-    expect(afterFailure(route('repeatable'), failed, { runs: 1, sends: 1 })).toBe('retry');
-    expect(afterFailure(route('repeatable'), failed, { runs: 2, sends: 2 })).toBe('fail');
+    expect(nextStepAfterFailure(route('once'), failed, { runs: 1, sends: 1 })).toBe('fail');
+    expect(nextStepAfterFailure(route('stream_once'), failed, { runs: 1, sends: 1 })).toBe('fail');
+    expect(nextStepAfterFailure(route('repeatable'), failed, { runs: 1, sends: 1 })).toBe('retry');
+    expect(nextStepAfterFailure(route('repeatable'), failed, { runs: 2, sends: 2 })).toBe('fail');
   });
 
   it('refuses a request with a retry time after repeated refusals by backends', () => {
     const failed = { ran: 'no', reached: true } as const;
-    expect(afterFailure(route('once'), failed, { runs: 0, sends: 4 })).toBe('refuse');
+    expect(nextStepAfterFailure(route('once'), failed, { runs: 0, sends: 4 })).toBe('refuse');
   });
 });
 
@@ -83,7 +83,7 @@
     waitedMs: 0,
     remainingMs: 10_000,
     readyInMs: 200,
-    hasComeBack: false,
+    isRetry: false,
   };
 
   it('holds a request that can meet its goal', () => {
@@ -112,7 +112,7 @@
 });
 
 describe('GoalWindowHold for a caller that retries after a refusal', () => {
-  const returned = { goalMs: 600, waitedMs: 0, remainingMs: 10_000, hasComeBack: true };
+  const returned = { goalMs: 600, waitedMs: 0, remainingMs: 10_000, isRetry: true };
 
   it('holds the request while it can probably be served', () => {
     expect(decideByGoalWindow({ ...returned, readyInMs: 6_000 }).type).toBe('hold');
@@ -130,13 +130,13 @@
     waitedMs: 0,
     remainingMs: 2_400,
     readyInMs: 1_500,
-    hasComeBack: false,
+    isRetry: false,
   };
 
   it('holds a request that will probably be served late, for first and repeated tries and any time waited', () => {
     const policy = new ExpectedServiceHold();
     expect(policy.decide(request).type).toBe('hold');
-    expect(policy.decide({ ...request, hasComeBack: true, waitedMs: 500 }).type).toBe('hold');
+    expect(policy.decide({ ...request, isRetry: true, waitedMs: 500 }).type).toBe('hold');
   });
 
   it('refuses at once a request that will probably not be served, with a retry time', () => {
@@ -147,8 +147,8 @@
   it('learns the error of forecasts, also from requests that ended unserved', () => {
     const policy = new ExpectedServiceHold();
     for (let count = 0; count < 64; count++) {
-      policy.noteWait({ toldMs: 1_000, spentMs: 2_000, wasSent: count % 2 === 0 });
-      policy.noteWait({ toldMs: 1_000, spentMs: 200, wasSent: false });
+      policy.recordWait({ forecastMs: 1_000, spentMs: 2_000, wasSent: count % 2 === 0 });
+      policy.recordWait({ forecastMs: 1_000, spentMs: 200, wasSent: false });
     }
     expect(policy.decide(request).type).toBe('refuse');
     expect(policy.decide({ ...request, readyInMs: 900 }).type).toBe('hold');
@@ -166,24 +166,24 @@
 describe('CallerDeadlines', () => {
   const deadlinesOf = (...observed: number[]): CallerDeadlines => {
     const deadlines = new CallerDeadlines();
-    for (const deadline of observed) deadlines.note(deadline);
+    for (const deadline of observed) deadlines.recordDeadline(deadline);
     return deadlines;
   };
 
   it('treats a caller with a shorter deadline than usual as one that retries', () => {
     const deadlines = deadlinesOf(25_000, 24_992, 25_000, 24_990, 18_000);
-    expect(deadlines.hasComeBack(18_000)).toBe(true);
-    expect(deadlines.hasComeBack(24_990)).toBe(false);
+    expect(deadlines.isLikelyRetry(18_000)).toBe(true);
+    expect(deadlines.isLikelyRetry(24_990)).toBe(false);
   });
 
   it('has no usual deadline if the deadlines of callers differ', () => {
     const deadlines = deadlinesOf(9_000, 3_000, 7_000, 5_000);
-    expect(deadlines.hasComeBack(3_000)).toBe(false);
+    expect(deadlines.isLikelyRetry(3_000)).toBe(false);
   });
 
   it('adapts when callers start to send shorter deadlines', () => {
     const deadlines = deadlinesOf(25_000, ...Array.from({ length: 64 }, () => 10_000));
-    expect(deadlines.hasComeBack(10_000)).toBe(false);
+    expect(deadlines.isLikelyRetry(10_000)).toBe(false);
   });
 });
 
@@ -224,7 +224,7 @@
     expect(events.map((event) => event.bytes.toString()).join('')).toBe(
       'id: 1\ndata: a\n\nid: 2\ndata: b\n\n',
     );
-    expect(parser.incomplete).toBe(5);
+    expect(parser.incompleteBytes).toBe(5);
   });
 });
 
@@ -232,38 +232,38 @@
   it('leaves half of the ceiling for a succeeding owner', () => {
     const window = new StoreLoadWindow({ windowMs: 5_000, loads: 15 });
     let begun = 0;
-    while (window.room(0) > 0) {
+    while (window.available(0) > 0) {
       window.count(0);
       begun += 1;
     }
     expect(begun).toBe(7);
-    expect(window.room(5_001)).toBe(begun);
+    expect(window.available(5_001)).toBe(begun);
   });
 });
 
 describe('BackendHealth', () => {
   it('avoids a silent backend for a growing time until it answers', () => {
     const health = new BackendHealth();
-    health.silent('x', 0);
-    expect(health.isAvoided('x', 200)).toBe(true);
-    expect(health.isAvoided('x', 300)).toBe(false);
-    health.silent('x', 300);
-    expect(health.isAvoided('x', 700)).toBe(true);
-    health.answered('x');
-    expect(health.isAvoided('x', 700)).toBe(false);
+    health.recordNoResponse('x', 0);
+    expect(health.isEjected('x', 200)).toBe(true);
+    expect(health.isEjected('x', 300)).toBe(false);
+    health.recordNoResponse('x', 300);
+    expect(health.isEjected('x', 700)).toBe(true);
+    health.recordSuccess('x');
+    expect(health.isEjected('x', 700)).toBe(false);
   });
 
   it('reports a backend as failing that breaks off every request, until it answers', () => {
     const health = new BackendHealth();
-    health.broke('x', 0);
-    expect(health.failing(0)).toEqual([]);
-    expect([health.isAvoided('x', 50), health.isAvoided('x', 60)]).toEqual([true, false]);
-    health.broke('x', 60);
-    expect(health.failing(60)).toEqual(['x']);
-    expect(health.failing(5_000)).toEqual([]);
-    health.broke('x', 5_000);
-    health.answered('x');
-    expect(health.failing(5_000)).toEqual([]);
+    health.recordDisconnect('x', 0);
+    expect(health.failingBackends(0)).toEqual([]);
+    expect([health.isEjected('x', 50), health.isEjected('x', 60)]).toEqual([true, false]);
+    health.recordDisconnect('x', 60);
+    expect(health.failingBackends(60)).toEqual(['x']);
+    expect(health.failingBackends(5_000)).toEqual([]);
+    health.recordDisconnect('x', 5_000);
+    health.recordSuccess('x');
+    expect(health.failingBackends(5_000)).toEqual([]);
   });
 });
 
@@ -274,8 +274,8 @@
 
   it('accepts a report of a few failing backends, but not of many', () => {
     const demand = new ModelDemand();
-    demand.hear(reportOf('a', ['x']), 0);
-    demand.hear(reportOf('b', ['u', 'v', 'w', 'y', 'z']), 0);
+    demand.applyReport(reportOf('a', ['x']), 0);
+    demand.applyReport(reportOf('b', ['u', 'v', 'w', 'y', 'z']), 0);
     expect([...demand.failingBackends(20, 0)]).toEqual(['x']);
     expect([...demand.failingBackends(20, 5_000)]).toEqual([]);
   });
@@ -283,27 +283,30 @@
   it('ranks models by the earliest due time over all daemons', () => {
     const demand = new ModelDemand();
     const samples = (model: string, dueInMs: number): DemandReport['samples'] => [
-      waitingFor(model, { dueInMs }),
+      demandSampleOf(model, { dueInMs }),
     ];
-    demand.hear({ ...reportOf('a', []), samples: samples('x', 4_000) }, 0);
-    demand.hear({ ...reportOf('b', []), samples: samples('y', 2_500) }, 0);
-    demand.hear({ ...reportOf('c', []), samples: samples('x', 3_000) }, 1_000);
+    demand.applyReport({ ...reportOf('a', []), samples: samples('x', 4_000) }, 0);
+    demand.applyReport({ ...reportOf('b', []), samples: samples('y', 2_500) }, 0);
+    demand.applyReport({ ...reportOf('c', []), samples: samples('x', 3_000) }, 1_000);
     expect(demand.waiting(1_000).map(({ model }) => model)).toEqual(['y', 'x']);
-    demand.hear({ ...reportOf('d', []), samples: samples('x', 100) }, 1_000);
+    demand.applyReport({ ...reportOf('d', []), samples: samples('x', 100) }, 1_000);
     expect(demand.waiting(1_000).map(({ model }) => model)).toEqual(['x', 'y']);
   });
 
   it('ranks a frequently requested model first although its callers were refused with a retry time', () => {
     const demand = new ModelDemand();
-    const refused = waitingFor('hot', { arrivals: 30, goalMs: 400, dueInMs: 8_000 });
-    const waiting = waitingFor('rare', { goalMs: 2_500, dueInMs: 2_300 });
-    demand.hear({ ...reportOf('a', []), samples: [waiting, refused] }, 0);
+    const refused = demandSampleOf('hot', { arrivals: 30, goalMs: 400, dueInMs: 8_000 });
+    const waiting = demandSampleOf('rare', { goalMs: 2_500, dueInMs: 2_300 });
+    demand.applyReport({ ...reportOf('a', []), samples: [waiting, refused] }, 0);
     expect(demand.waiting(0).map(({ model }) => model)).toEqual(['hot', 'rare']);
   });
 
   it('drops a model without recent requests although its rate is read', () => {
     const demand = new ModelDemand();
-    demand.hear({ ...reportOf('a', []), samples: [waitingFor('x', { goalMs: 600 })] }, 0);
+    demand.applyReport(
+      { ...reportOf('a', []), samples: [demandSampleOf('x', { goalMs: 600 })] },
+      0,
+    );
     for (let now = 0; now <= 90_000; now += 5_000) {
       demand.rateOf({ model: 'x', adapter: undefined }, now);
     }
@@ -315,11 +318,11 @@
     const demand = new ModelDemand();
     const use = { backend: 'x', model: 'm', adapter: 'a1', inFlight: 2 };
     const model = { model: 'm', adapter: undefined };
-    demand.hear({ ...reportOf('a', []), use: [use] }, 0);
-    demand.hear({ ...reportOf('b', []), use: [{ ...use, adapter: undefined }] }, 0);
+    demand.applyReport({ ...reportOf('a', []), use: [use] }, 0);
+    demand.applyReport({ ...reportOf('b', []), use: [{ ...use, adapter: undefined }] }, 0);
     expect(demand.inFlight('x', model, 0)).toBe(4);
     expect(demand.inFlight('x', use, 0)).toBe(2);
-    demand.hear(reportOf('a', []), 100);
+    demand.applyReport(reportOf('a', []), 100);
     expect(demand.inFlight('x', model, 100)).toBe(2);
     expect(demand.inFlight('x', model, 9_000)).toBe(0);
   });
@@ -351,13 +354,13 @@
     const { ended } = directory.setBackends(listOf(2, record('x', true)), 0);
     expect(ended.map(({ id }) => id)).toEqual(['x', 'y']);
     directory.setBackends(listOf(2, record('x'), record('y')), 0);
-    expect(directory.serving('s')).toEqual([]);
+    expect(directory.servingBackends('s')).toEqual([]);
   });
 
   it('keeps the limit of store loads that the last owner had learned', () => {
     const directory = new BackendDirectory();
     expect(directory.storeLoadLimitOf('s')).toBe(0);
-    directory.hearPlacement(updateOf({ storeLoadLimit: 12 }), 0);
+    directory.applyPlacementUpdate(updateOf({ storeLoadLimit: 12 }), 0);
     expect(directory.storeLoadLimitOf('s')).toBe(12);
   });
 
@@ -365,9 +368,12 @@
     const directory = new BackendDirectory();
     directory.setBackends(listOf(1, record('x')), 0);
     const placed = { name: 'new', adapters: [], readyInMs: 4_000, unloading: false };
-    directory.hearPlacement(updateOf({ backends: new Map([['x', [placed]]]) }), 0);
-    expect(directory.loadingAt(record('x'), 100)).toEqual({ model: 'new', expectedEnd: 4_000 });
-    expect(directory.loadingAt(record('x'), 5_000)).toBeUndefined();
+    directory.applyPlacementUpdate(updateOf({ backends: new Map([['x', [placed]]]) }), 0);
+    expect(directory.expectedLoadAt(record('x'), 100)).toEqual({
+      model: 'new',
+      expectedEnd: 4_000,
+    });
+    expect(directory.expectedLoadAt(record('x'), 5_000)).toBeUndefined();
   });
 
   it('prefers updates of the owner over the list, and uses the list when the owner is silent', () => {
@@ -375,7 +381,7 @@
     directory.setBackends(listOf(1, record('x')), 0);
     const model = { model: 'm', adapter: undefined };
     const placed = { name: 'm', adapters: [], readyInMs: 0, unloading: true };
-    directory.hearPlacement(updateOf({ backends: new Map([['x', [placed]]]) }), 0);
+    directory.applyPlacementUpdate(updateOf({ backends: new Map([['x', [placed]]]) }), 0);
     expect(directory.holds(record('x'), model, 100)).toBe(false);
     expect(directory.holds(record('x'), model, 5_000)).toBe(true);
   });
--- a/test/core/member-entries.test.ts
+++ b/test/core/member-entries.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { RENEWAL_LAPSES_MS } from '../../src/core/admission/limit-shares.js';
+import { RENEWAL_EXPIRY_MS } from '../../src/core/admission/limit-shares.js';
 import { MemberEntries } from '../../src/core/member-entries.js';
 
 const entry = (revision: number) => ({ address: 'a:1', revision });
@@ -9,8 +9,8 @@
     const entries = new MemberEntries();
     entries.observe([entry(1)], 0);
     entries.observe([entry(2)], 1_000);
-    expect(entries.hasEnded('a:1', RENEWAL_LAPSES_MS + 1_000)).toBe(false);
-    expect(entries.hasEnded('a:1', RENEWAL_LAPSES_MS + 61_000)).toBe(true);
+    expect(entries.hasEnded('a:1', RENEWAL_EXPIRY_MS + 1_000)).toBe(false);
+    expect(entries.hasEnded('a:1', RENEWAL_EXPIRY_MS + 61_000)).toBe(true);
   });
 
   it('reports a daemon as ended after its entry was missing for longer than from a restored store', () => {
--- a/test/core/membership-at-size.test.ts
+++ b/test/core/membership-at-size.test.ts
@@ -123,7 +123,7 @@
   /** Members are listed from their first start on; a killed process stays listed. */
   private listed(): string[] {
     return [...this.members.keys()].filter((address) => {
-      return this.member(address).own.incarnation > 1 || this.startOf(address) <= this.now;
+      return this.member(address).ownView.incarnation > 1 || this.startOf(address) <= this.now;
     });
   }
 
--- a/test/core/permit-ledger.test.ts
+++ b/test/core/permit-ledger.test.ts
@@ -27,7 +27,7 @@
 
   it('start without a burst when another daemon was the holder before', () => {
     const ledger = new PermitLedger(permitLimit(perSecond), FULL_VIEW, 0);
-    ledger.countFrom(60_000);
+    ledger.restartFrom(60_000);
     expect(ledger.admit(1, 60_000).type).toBe('over_limit');
   });
 });
--- a/test/core/placement-at-size.test.ts
+++ b/test/core/placement-at-size.test.ts
@@ -4,10 +4,10 @@
 import { LearnedCapacity } from '../../src/core/capacity/learned-capacity.js';
 import type { BackendUse, DemandSample } from '../../src/core/demand-report.js';
 import { ModelDemand } from '../../src/core/model-demand.js';
-import { UnloadTimes } from '../../src/core/unload-times.js';
+import { UnloadTimeEstimator } from '../../src/core/unload-time-estimator.js';
 import { PlacementPlanner } from '../../src/core/placement-planner.js';
 import type { PlanningInput } from '../../src/core/planning.js';
-import { LOAD_POLICIES, hostOf, waitingFor } from './gateway-fixtures.js';
+import { LOAD_POLICIES, hostOf, demandSampleOf } from './gateway-fixtures.js';
 
 const MODELS = 480;
 const BACKENDS = 100;
@@ -37,8 +37,8 @@
       waiting: 0,
       running: 0,
     };
-    ledger.adopt(report, 0);
-    ledger.adopt(report, 1_000);
+    ledger.applyReport(report, 0);
+    ledger.applyReport(report, 1_000);
     return ledger;
   });
 }
@@ -50,7 +50,7 @@
     const use: BackendUse[] = [];
     for (let index = 0; index < 6; index++) {
       const number = (daemon * 6 + index) % MODELS;
-      samples.push(waitingFor(names[number] ?? '', { waiting: daemon % 2 }));
+      samples.push(demandSampleOf(names[number] ?? '', { waiting: daemon % 2 }));
       use.push({
         backend: `b${number % BACKENDS}`,
         model: names[number % BACKENDS] ?? '',
@@ -58,7 +58,7 @@
         inFlight: 1,
       });
     }
-    demand.hear({ daemon: `d${daemon}`, samples, use, failing: [] }, now);
+    demand.applyReport({ daemon: `d${daemon}`, samples, use, failing: [] }, now);
   }
   return demand;
 }
@@ -85,8 +85,8 @@
     demand: demandOfAllDaemons(now),
     now,
     storeLoads: 1,
-    storePlaceWaits: [0],
-    unloadTimes: new UnloadTimes(),
+    storeSlotWaitsMs: [0],
+    unloadTimes: new UnloadTimeEstimator(),
     policies: LOAD_POLICIES,
   };
 
--- a/test/core/placement-publisher.test.ts
+++ b/test/core/placement-publisher.test.ts
@@ -42,22 +42,24 @@
 describe('PlacementPublisher', () => {
   it('publishes a full update once, then only changes', () => {
     const publisher = new PlacementPublisher('s', 1);
-    const first = publisher.update(stateOf({ x: ['a'], y: ['b'] }), 0);
+    const first = publisher.nextUpdate(stateOf({ x: ['a'], y: ['b'] }), 0);
     expect([first.baseVersion, first.backends.size]).toEqual([undefined, 2]);
-    const second = publisher.update(stateOf({ x: ['a'], y: ['c'] }), 10);
+    const second = publisher.nextUpdate(stateOf({ x: ['a'], y: ['c'] }), 10);
     expect([second.baseVersion, [...second.backends.keys()]]).toEqual([first.version, ['y']]);
-    const third = publisher.update(stateOf({ x: ['a'] }), 20);
+    const third = publisher.nextUpdate(stateOf({ x: ['a'] }), 20);
     expect([third.backends.size, third.removedBackends]).toEqual([0, ['y']]);
-    const fourth = publisher.update(stateOf({ x: ['a'] }), 30);
+    const fourth = publisher.nextUpdate(stateOf({ x: ['a'] }), 30);
     expect([fourth.baseVersion, fourth.version]).toEqual([third.version, third.version]);
   });
 
   it('does not republish forecasts that hardly move, and removes those of loaded models', () => {
     const publisher = new PlacementPublisher('s', 1);
-    publisher.update(stateOf({}, { a: 2_000 }), 0);
-    expect(publisher.update(stateOf({}, { a: 2_100 }), 50).forecasts.size).toBe(0);
-    expect([...publisher.update(stateOf({}, { a: 3_000 }), 100).forecasts]).toEqual([['a', 2_900]]);
-    expect(publisher.update(stateOf({}), 150).removedForecasts).toEqual(['a']);
+    publisher.nextUpdate(stateOf({}, { a: 2_000 }), 0);
+    expect(publisher.nextUpdate(stateOf({}, { a: 2_100 }), 50).forecasts.size).toBe(0);
+    expect([...publisher.nextUpdate(stateOf({}, { a: 3_000 }), 100).forecasts]).toEqual([
+      ['a', 2_900],
+    ]);
+    expect(publisher.nextUpdate(stateOf({}), 150).removedForecasts).toEqual(['a']);
   });
 });
 
@@ -67,8 +69,8 @@
     const directory = new BackendDirectory();
     const publishLoad = (inFlight: number): number => {
       const state = { ...stateOf({ x: ['a'] }), loads: new Map([['x', inFlight]]) };
-      const update = publisher.update(state, 0);
-      directory.hearPlacement(update, 0);
+      const update = publisher.nextUpdate(state, 0);
+      directory.applyPlacementUpdate(update, 0);
       return update.loads.size;
     };
     expect([
@@ -79,8 +81,8 @@
       publishLoad(0),
     ]).toEqual([0, 0, 1, 0, 1]);
     publishLoad(7);
-    expect(directory.loadOf(backend('x'), 0)).toBe(7);
-    expect(directory.loadOf(backend('y'), 0)).toBe(0);
+    expect(directory.inFlightAt(backend('x'), 0)).toBe(7);
+    expect(directory.inFlightAt(backend('y'), 0)).toBe(0);
   });
 });
 
@@ -90,7 +92,7 @@
     const directory = new BackendDirectory();
     const states = [stateOf({ x: ['a'] }), stateOf({ x: ['b'], y: ['a'] }), stateOf({ y: ['a'] })];
     for (const state of states) {
-      expect(directory.hearPlacement(publisher.update(state, 0), 0)).toBe('applied');
+      expect(directory.applyPlacementUpdate(publisher.nextUpdate(state, 0), 0)).toBe('applied');
     }
     expect(holds(directory, 'y', 'a')).toBe(true);
     expect(holds(directory, 'x', 'b')).toBe(false);
@@ -99,22 +101,22 @@
   it('reports a gap for changes to a version that it does not have, and applies a full update', () => {
     const publisher = new PlacementPublisher('s', 1);
     const directory = new BackendDirectory();
-    directory.hearPlacement(publisher.update(stateOf({ x: ['a'] }), 0), 0);
-    publisher.update(stateOf({ x: ['b'] }), 0);
-    const missedOne = publisher.update(stateOf({ x: ['b'], y: ['a'] }), 0);
-    expect(directory.hearPlacement(missedOne, 0)).toBe('gap');
+    directory.applyPlacementUpdate(publisher.nextUpdate(stateOf({ x: ['a'] }), 0), 0);
+    publisher.nextUpdate(stateOf({ x: ['b'] }), 0);
+    const missedOne = publisher.nextUpdate(stateOf({ x: ['b'], y: ['a'] }), 0);
+    expect(directory.applyPlacementUpdate(missedOne, 0)).toBe('gap');
     expect(holds(directory, 'y', 'a')).toBe(false);
-    expect(directory.hearPlacement(publisher.everything(0), 0)).toBe('applied');
+    expect(directory.applyPlacementUpdate(publisher.fullUpdate(0), 0)).toBe('applied');
     expect([holds(directory, 'x', 'b'), holds(directory, 'y', 'a')]).toEqual([true, true]);
   });
 
   it('rejects updates of a former owner or an earlier version', () => {
     const directory = new BackendDirectory();
-    directory.hearPlacement(updateOf({ epoch: 2, version: 5 }), 0);
-    expect(directory.hearPlacement(updateOf({ epoch: 1, version: 9 }), 0)).toBe('outdated');
-    expect(directory.hearPlacement(updateOf({ epoch: 2, version: 4 }), 0)).toBe('outdated');
-    expect(directory.hearPlacement(updateOf({ epoch: 3, version: 1, baseVersion: 1 }), 0)).toBe(
-      'gap',
-    );
+    directory.applyPlacementUpdate(updateOf({ epoch: 2, version: 5 }), 0);
+    expect(directory.applyPlacementUpdate(updateOf({ epoch: 1, version: 9 }), 0)).toBe('outdated');
+    expect(directory.applyPlacementUpdate(updateOf({ epoch: 2, version: 4 }), 0)).toBe('outdated');
+    expect(
+      directory.applyPlacementUpdate(updateOf({ epoch: 3, version: 1, baseVersion: 1 }), 0),
+    ).toBe('gap');
   });
 });
--- a/test/core/placement/ways.test.ts
+++ b/test/core/placement/policy-variants.test.ts
@@ -6,7 +6,7 @@
 import { PlacementPlanner } from '../../../src/core/placement-planner.js';
 import { DEFAULT_POLICIES, type Policies, type PolicyName } from '../../../src/core/policies.js';
 import { recordedCallers, recordedSite } from './recorded-site.js';
-import { SiteReplay, type KindOutcome, type ReplayOutcome } from './site-replay.js';
+import { SiteReplay, type RequestClassOutcome, type ReplayOutcome } from './site-replay.js';
 
 const ADDED_POLICIES: readonly PolicyName[] = [
   'forecastAll',
@@ -48,7 +48,7 @@
 function play(policies: Policies): ReplayOutcome[] {
   return SEEDS.map((seed) => {
     const variant = { policies, planner: new PlacementPlanner() };
-    return new SiteReplay(recordedSite(seed, BACKENDS), callers, variant).play();
+    return new SiteReplay(recordedSite(seed, BACKENDS), callers, variant).run();
   });
 }
 
@@ -56,8 +56,8 @@
   return outcomes.reduce((sum, outcome) => sum + of(outcome), 0);
 }
 
-function kindOf(outcomes: readonly ReplayOutcome[], name: string): KindOutcome {
-  const sum: KindOutcome = { owed: 0, inGoal: 0, cameBack: 0, late: 0, refused: 0 };
+function kindOf(outcomes: readonly ReplayOutcome[], name: string): RequestClassOutcome {
+  const sum: RequestClassOutcome = { owed: 0, inGoal: 0, cameBack: 0, late: 0, refused: 0 };
   for (const { kinds } of outcomes) {
     const kind = kinds.get(name) ?? sum;
     for (const key of ['owed', 'inGoal', 'cameBack', 'late', 'refused'] as const)
@@ -70,7 +70,7 @@
  * Weighted share of requests served; one served on its second try counts midway between in goal and
  * late.
  */
-function share({ owed, inGoal, cameBack, late }: KindOutcome): number {
+function share({ owed, inGoal, cameBack, late }: RequestClassOutcome): number {
   return (inGoal + (cameBack * (1 + LATE_WEIGHT)) / 2 + late * LATE_WEIGHT) / owed;
 }
 
@@ -98,7 +98,7 @@
     for (const outcomes of variants) {
       expect(sumOf(outcomes, ({ refusedWithoutForecast }) => refusedWithoutForecast)).toBe(0);
     }
-    for (const { asked, neverServed } of full) {
+    for (const { frequentModels: asked, neverServed } of full) {
       expect(neverServed).toBeLessThanOrEqual(1 + asked * MAX_NEVER_SERVED_SHARE);
     }
   }, 240_000);
--- a/test/core/placement/recorded-site.ts
+++ b/test/core/placement/recorded-site.ts
@@ -4,7 +4,7 @@
  */
 import { readFileSync } from 'node:fs';
 import type { ModelHostSpec } from '../../../src/core/service-configuration.js';
-import type { Kind, RecordedCaller, ReplaySite } from './site-replay.js';
+import type { RequestClass, RecordedCaller, ReplaySite } from './site-replay.js';
 
 const BACKENDS = 63;
 const MODELS_PER_BACKEND = 3;
@@ -15,7 +15,7 @@
 const NOT_ON_DISK_INTERVAL = 14;
 
 /** Urgent and short requests, expensive requests with a long goal, and requests in between. */
-export const KINDS: readonly Kind[] = [
+export const KINDS: readonly RequestClass[] = [
   { name: 'urgent', goalMs: 400, deadlineMs: 12_000 },
   { name: 'patient', goalMs: 4_000, deadlineMs: 20_000 },
   { name: 'short', goalMs: 1_200, deadlineMs: 4_000 },
@@ -66,7 +66,7 @@
     .sort((a, b) => a.at - b.at);
 }
 
-function kindOf(index: number): Kind {
+function kindOf(index: number): RequestClass {
   const kind = KINDS[index];
   if (kind === undefined) throw new Error(`unknown kind ${index}`);
   return kind;
--- a/test/core/placement/site-replay.ts
+++ b/test/core/placement/site-replay.ts
@@ -11,8 +11,8 @@
 import type { PlannedOrder, PlanningInput } from '../../../src/core/planning.js';
 import type { Policies } from '../../../src/core/policies.js';
 import type { BackendRecord, ModelHostSpec } from '../../../src/core/service-configuration.js';
-import { UnloadTimes } from '../../../src/core/unload-times.js';
-import { waitingOrderOf } from '../../../src/core/waiting-order.js';
+import { UnloadTimeEstimator } from '../../../src/core/unload-time-estimator.js';
+import { comparatorForPolicies } from '../../../src/core/waiting-model-comparators.js';
 import { RequestTracker, type WaitingCaller } from '../../../src/gateway/request-tracker.js';
 
 const STEP_MS = 10;
@@ -37,7 +37,7 @@
 const FREQUENT_MODEL_REQUESTS = 4;
 
 /** Kind of request. */
-export interface Kind {
+export interface RequestClass {
   readonly name: string;
   readonly goalMs: number;
   readonly deadlineMs: number;
@@ -46,7 +46,7 @@
 /** First try of one recorded request. */
 export interface RecordedCaller {
   readonly at: number;
-  readonly kind: Kind;
+  readonly kind: RequestClass;
   readonly model: string;
   /** Time that the request runs at a backend, in milliseconds. */
   readonly runMs: number;
@@ -72,7 +72,7 @@
 }
 
 /** Results for one kind of request; each request is counted once, with its first try. */
-export interface KindOutcome {
+export interface RequestClassOutcome {
   owed: number;
   /** Served within the goal on the first try. */
   inGoal: number;
@@ -84,25 +84,25 @@
 
 /** Results of a replay. */
 export interface ReplayOutcome {
-  readonly kinds: ReadonlyMap<string, KindOutcome>;
+  readonly kinds: ReadonlyMap<string, RequestClassOutcome>;
   loads: number;
   storeLoads: number;
   unloads: number;
   /** Share of the backends' time in which an order was running. */
   busyShare: number;
   /** Number of models requested four or more times, and how many of them were never served. */
-  asked: number;
+  frequentModels: number;
   neverServed: number;
   refusedWithoutForecast: number;
   /**
    * Milliseconds from the first forecast load time to the actual serving of held requests, sorted;
    * negative if early.
    */
-  readonly toldTooEarlyMs: number[];
+  readonly forecastErrorsMs: number[];
 }
 
 /** Policies and planner under test. */
-export interface ReplayWay {
+export interface ReplayVariant {
   readonly policies: Policies;
   readonly planner: LoadPlanner;
 }
@@ -134,8 +134,8 @@
     const models = held.map((name) => ({ name, adapters: [] }));
     const report = { busy: false, sequence: 0, models, coming: [], waiting: 0, running: 0 };
     const copies = { inMemory: [], onDisk };
-    this.ledger.adopt({ ...report, ...copies }, -2_000);
-    this.ledger.adopt({ ...report, ...copies }, -1_000);
+    this.ledger.applyReport({ ...report, ...copies }, -2_000);
+    this.ledger.applyReport({ ...report, ...copies }, -1_000);
   }
 
   inFlightOf(model: string): number {
@@ -180,7 +180,7 @@
   private readonly tracker = new RequestTracker();
   private readonly demand: ModelDemand;
   private readonly hold: HoldPolicy;
-  private readonly unloadTimes = new UnloadTimes();
+  private readonly unloadTimes = new UnloadTimeEstimator();
   private held: Attempt[] = [];
   private readonly returns = new Map<number, Attempt[]>();
   private forecasts = new Map<string, number>();
@@ -194,25 +194,25 @@
     storeLoads: 0,
     unloads: 0,
     busyShare: 0,
-    asked: 0,
+    frequentModels: 0,
     neverServed: 0,
     refusedWithoutForecast: 0,
-    toldTooEarlyMs: [],
+    forecastErrorsMs: [],
   };
 
   constructor(
     private readonly site: ReplaySite,
     private readonly callers: readonly RecordedCaller[],
-    private readonly variant: ReplayWay,
+    private readonly variant: ReplayVariant,
   ) {
-    this.demand = new ModelDemand(waitingOrderOf(variant.policies));
+    this.demand = new ModelDemand(comparatorForPolicies(variant.policies));
     this.hold = new GoalWindowHold();
     this.backends = site.backends.map(
       ({ held, onDisk }, index) => new ReplayBackend(`b${index}`, held, onDisk),
     );
   }
 
-  play(): ReplayOutcome {
+  run(): ReplayOutcome {
     const lastAt = Math.max(...this.callers.map(({ at }) => at));
     const end = lastAt + Math.max(...this.callers.map(({ kind }) => kind.deadlineMs));
     for (this.now = -this.site.leadMs; this.now <= end; this.now += STEP_MS) {
@@ -224,9 +224,9 @@
     const frequent = [...this.requestCounts].filter(
       ([, count]) => count >= FREQUENT_MODEL_REQUESTS,
     );
-    this.outcome.asked = frequent.length;
+    this.outcome.frequentModels = frequent.length;
     this.outcome.neverServed = frequent.filter(([model]) => !this.served.has(model)).length;
-    this.outcome.toldTooEarlyMs.sort((a, b) => a - b);
+    this.outcome.forecastErrorsMs.sort((a, b) => a - b);
     return this.outcome;
   }
 
@@ -287,8 +287,8 @@
     }
   }
 
-  private kindOf(kind: Kind): KindOutcome {
-    const kinds = this.outcome.kinds as Map<string, KindOutcome>;
+  private kindOf(kind: RequestClass): RequestClassOutcome {
+    const kinds = this.outcome.kinds as Map<string, RequestClassOutcome>;
     const existing = kinds.get(kind.name) ?? {
       owed: 0,
       inGoal: 0,
@@ -346,7 +346,8 @@
     else if (hasComeBack && refusedEarly && inGoal) counted.cameBack += 1;
     else counted.late += 1;
     this.served.set(caller.model, (this.served.get(caller.model) ?? 0) + 1);
-    if (forecastReadyAt !== undefined) this.outcome.toldTooEarlyMs.push(this.now - forecastReadyAt);
+    if (forecastReadyAt !== undefined)
+      this.outcome.forecastErrorsMs.push(this.now - forecastReadyAt);
   }
 
   /** Decides whether to hold a request; false if it is refused. */
@@ -361,7 +362,13 @@
       return false;
     }
     const { goalMs } = kind;
-    const decision = this.hold.decide({ goalMs, waitedMs, remainingMs, readyInMs, hasComeBack });
+    const decision = this.hold.decide({
+      goalMs,
+      waitedMs,
+      remainingMs,
+      readyInMs,
+      isRetry: hasComeBack,
+    });
     if (decision.type === 'hold') {
       if (readyInMs !== undefined) attempt.forecastReadyAt ??= this.now + readyInMs;
       return true;
@@ -402,7 +409,7 @@
   }
 
   private report(): void {
-    this.demand.hear(this.tracker.report(SERVICE, 'd', [], this.now), this.now);
+    this.demand.applyReport(this.tracker.report(SERVICE, 'd', [], this.now), this.now);
     if (this.held.length > 0) this.isRoundDue = true;
   }
 
@@ -437,7 +444,7 @@
     }
     backend.order = undefined;
     backend.ledger.setCopies(backend.memory, backend.disk);
-    backend.ledger.observe(backend.record(), this.now);
+    backend.ledger.applyListing(backend.record(), this.now);
     this.isChanged = true;
     this.isRoundDue = true;
   }
@@ -455,7 +462,7 @@
       policies: this.variant.policies,
       now: this.now,
       storeLoads: free,
-      storePlaceWaits: [...Array<number>(free).fill(0), ...ends],
+      storeSlotWaitsMs: [...Array<number>(free).fill(0), ...ends],
       unloadTimes: this.unloadTimes,
     };
   }
@@ -475,8 +482,8 @@
     const backend = this.backends.find(({ id }) => id === planned.backend);
     if (backend === undefined || backend.order !== undefined) return;
     const { order, copy, durationMs } = planned;
-    backend.ledger.send(order, this.now + durationMs);
-    backend.ledger.settle(order, { type: 'accepted' }, this.now, durationMs);
+    backend.ledger.recordSent(order, this.now + durationMs);
+    backend.ledger.recordOutcome(order, { type: 'accepted' }, this.now, durationMs);
     backend.sequence += 1;
     const isLoad = order.operation === 'load';
     const realMs = isLoad ? durationMs * this.site.loadFactor : 80;
--- a/test/core/planner-scene.ts
+++ b/test/core/planner-fixture.ts
@@ -7,7 +7,7 @@
 import type { PlannedOrder, PlanningInput } from '../../src/core/planning.js';
 import type { Policies } from '../../src/core/policies.js';
 import type { ModelHostSpec } from '../../src/core/service-configuration.js';
-import { UnloadTimes } from '../../src/core/unload-times.js';
+import { UnloadTimeEstimator } from '../../src/core/unload-time-estimator.js';
 import { LOAD_POLICIES, hostOf } from './gateway-fixtures.js';
 
 /** Default host specification of the fixture. */
@@ -39,13 +39,13 @@
 ): BackendLedger {
   const ledger = new BackendLedger(id);
   const report = reportOf(held, { onDisk });
-  ledger.adopt(report, 0);
-  ledger.adopt(report, 1_000);
+  ledger.applyReport(report, 0);
+  ledger.applyReport(report, 1_000);
   return ledger;
 }
 
 /** A planner with its input; time is advanced by setting `now`. */
-export class Scene {
+export class PlannerFixture {
   readonly planner = new PlacementPlanner();
   readonly demand = new ModelDemand();
   now = 10_000;
@@ -56,12 +56,12 @@
     readonly host: ModelHostSpec = HOST,
   ) {}
 
-  hear(...samples: DemandSample[]): void {
-    this.hearUse([], samples);
+  reportDemand(...samples: DemandSample[]): void {
+    this.reportDemandAndUse([], samples);
   }
 
-  hearUse(use: readonly BackendUse[], samples: readonly DemandSample[]): void {
-    this.demand.hear({ daemon: 'd', samples, use, failing: [] }, this.now);
+  reportDemandAndUse(use: readonly BackendUse[], samples: readonly DemandSample[]): void {
+    this.demand.applyReport({ daemon: 'd', samples, use, failing: [] }, this.now);
   }
 
   /** @param storeLoads - Number of loads from the weight store that may start now. */
@@ -81,8 +81,8 @@
       demand,
       now,
       storeLoads,
-      storePlaceWaits: [0],
-      unloadTimes: new UnloadTimes(),
+      storeSlotWaitsMs: [0],
+      unloadTimes: new UnloadTimeEstimator(),
       policies,
     };
   }
@@ -92,15 +92,15 @@
     const orders = this.plan();
     for (const { backend, order, durationMs } of orders) {
       const ledger = this.ledgers.find((candidate) => candidate.id === backend);
-      ledger?.send(order);
-      ledger?.settle(order, { type: 'accepted' }, this.now, durationMs);
+      ledger?.recordSent(order);
+      ledger?.recordOutcome(order, { type: 'accepted' }, this.now, durationMs);
     }
     return orders;
   }
 }
 
 /** Formats orders as "backend operation model/adapter". */
-export function brief(orders: readonly PlannedOrder[]): string[] {
+export function describeOrders(orders: readonly PlannedOrder[]): string[] {
   return orders.map(({ backend, order }) => {
     const adapter = order.adapter === undefined ? '' : `/${order.adapter}`;
     return `${backend} ${order.operation} ${order.model}${adapter}`;
--- a/test/core/share-changes.test.ts
+++ b/test/core/share-changes.test.ts
@@ -17,8 +17,8 @@
 ): ShareRecord | undefined {
   const changes = new ShareChanges();
   for (let now = 0; now <= seconds * 1_000; now += 100) {
-    for (const from of replying) changes.hearAnswer(from, record.number, now);
-    const next = changes.step(record, view, now)?.next;
+    for (const from of replying) changes.recordReply(from, record.number, now);
+    const next = changes.nextStep(record, view, now)?.next;
     if (next !== undefined) return next;
   }
   return undefined;
--- a/test/core/store-load-limit.test.ts
+++ b/test/core/store-load-limit.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { AdaptiveStoreLoadLimit, firstStoreLoadLimit } from '../../src/core/store-load-limit.js';
+import { AdaptiveStoreLoadLimit, initialStoreLoadLimit } from '../../src/core/store-load-limit.js';
 import { hostOf } from './gateway-fixtures.js';
 
 const FULL_SPEED_MS = 6_000;
@@ -26,13 +26,13 @@
       limit.end(load.backend, true, now);
     }
     limit.observe(now);
-    while (loads.length < limit.most) {
+    while (loads.length < limit.maxConcurrent) {
       startedLoads += 1;
       const backend = `b${startedLoads}`;
       loads.push({ backend, remainingMs: FULL_SPEED_MS });
       limit.begin(backend, FULL_SPEED_MS, now);
     }
-    limits.push(limit.most);
+    limits.push(limit.maxConcurrent);
   }
   return limits;
 }
@@ -41,7 +41,7 @@
   it('grows while loads run at full speed', () => {
     const limit = new AdaptiveStoreLoadLimit(4);
     simulate(limit, 100, 30);
-    expect(limit.most).toBeGreaterThan(30);
+    expect(limit.maxConcurrent).toBeGreaterThan(30);
   });
 
   it('stays near the capacity of a store that slows down beyond four loads', () => {
@@ -62,24 +62,24 @@
     const limit = new AdaptiveStoreLoadLimit(16);
     for (let index = 0; index < 16; index++) limit.begin(`b${index}`, FULL_SPEED_MS, 0);
     for (let index = 0; index < 16; index++) limit.end(`b${index}`, true, 24_000);
-    expect(limit.most).toBe(4);
+    expect(limit.maxConcurrent).toBe(4);
   });
 
   it('starts at one where loads take long, as four concurrent loads would occupy four channels', () => {
     const host = { ...hostOf(['m']), loadsPerSecond: 40 };
     const slow = host.models.map((model) => ({ ...model, storeLoadSeconds: 18 }));
-    expect(firstStoreLoadLimit({ ...host, models: slow })).toBe(1);
+    expect(initialStoreLoadLimit({ ...host, models: slow })).toBe(1);
   });
 
   it('starts low and within the load rate ceiling', () => {
     const host = { ...hostOf(['m']), loadsPerSecond: 25 };
-    expect(firstStoreLoadLimit(host)).toBe(4);
-    expect(firstStoreLoadLimit({ ...host, loadsPerSecond: 0.5 })).toBe(2);
-    expect(firstStoreLoadLimit({ ...host, loadsPerSecond: 0 })).toBe(1);
+    expect(initialStoreLoadLimit(host)).toBe(4);
+    expect(initialStoreLoadLimit({ ...host, loadsPerSecond: 0.5 })).toBe(2);
+    expect(initialStoreLoadLimit({ ...host, loadsPerSecond: 0 })).toBe(1);
   });
 
   it('doubles with each round of loads at full speed', () => {
-    const limit = new AdaptiveStoreLoadLimit(firstStoreLoadLimit(hostOf(['m'])));
+    const limit = new AdaptiveStoreLoadLimit(initialStoreLoadLimit(hostOf(['m'])));
     const limits = simulate(limit, 100, 20);
     expect(limits[65]).toBe(8);
     expect(limits[125]).toBe(16);
@@ -89,7 +89,7 @@
     const limit = new AdaptiveStoreLoadLimit(4);
     for (let index = 0; index < 4; index++) limit.begin(`b${index}`, FULL_SPEED_MS, 0);
     limit.observe(9_000);
-    expect(limit.most).toBe(3);
+    expect(limit.maxConcurrent).toBe(3);
   });
 
   it('ignores a single slow load while others run at full speed', () => {
@@ -99,7 +99,7 @@
     limit.end('other', true, FULL_SPEED_MS);
     limit.observe(9_000);
     limit.end('slow', true, 10_000);
-    expect(limit.most).toBe(4);
+    expect(limit.maxConcurrent).toBe(4);
   });
 
   it('ignores a load that is stuck at its backend', () => {
@@ -107,7 +107,7 @@
     limit.begin('b', FULL_SPEED_MS, 0);
     limit.observe(60_000);
     limit.end('b', true, 70_000);
-    expect(limit.most).toBe(4);
+    expect(limit.maxConcurrent).toBe(4);
   });
 
   it('does not fall below the concurrency proved at full speed when backends are slow', () => {
@@ -116,9 +116,9 @@
     for (let index = 0; index < 4; index++) limit.end(`a${index}`, true, FULL_SPEED_MS);
     for (let index = 0; index < 8; index++) limit.begin(`b${index}`, FULL_SPEED_MS, 7_000);
     limit.observe(31_000);
-    expect(limit.most).toBe(4);
+    expect(limit.maxConcurrent).toBe(4);
     for (let index = 0; index < 8; index++) limit.end(`b${index}`, true, 31_000);
-    expect(limit.most).toBe(4);
+    expect(limit.maxConcurrent).toBe(4);
   });
 
   it('forgets after a minute the concurrency proved at full speed', () => {
@@ -127,14 +127,14 @@
     for (let index = 0; index < 4; index++) limit.end(`a${index}`, true, FULL_SPEED_MS);
     for (let index = 0; index < 8; index++) limit.begin(`b${index}`, FULL_SPEED_MS, 70_000);
     limit.observe(94_000);
-    expect(limit.most).toBe(2);
+    expect(limit.maxConcurrent).toBe(2);
   });
 
   it('ignores a load that failed', () => {
     const limit = new AdaptiveStoreLoadLimit(4);
     limit.begin('b', FULL_SPEED_MS, 0);
     limit.end('b', false, 20_000);
-    expect(limit.most).toBe(4);
-    expect(limit.running()).toBe(0);
+    expect(limit.maxConcurrent).toBe(4);
+    expect(limit.runningCount()).toBe(0);
   });
 });
--- a/test/gateway/backend-backoffs.test.ts
+++ b/test/gateway/backend-backoffs.test.ts
@@ -96,7 +96,7 @@
 
   it('asks another daemon for nothing, and a later process under its id neither', () => {
     const backoffs = new BackendBackoffs();
-    backoffs.note({ id: 'a', start: '1' }, 3_000, 0);
+    backoffs.recordBackoff({ id: 'a', start: '1' }, 3_000, 0);
     expect(backoffs.remainingMs({ id: 'a', start: '1' }, 2_999)).toBe(1);
     expect(backoffs.remainingMs({ id: 'a', start: '1' }, 3_000)).toBe(0);
     expect(backoffs.remainingMs({ id: 'a', start: '2' }, 1)).toBe(0);
@@ -105,9 +105,9 @@
 
   it('is not shortened by a later word, and never kept out for days at once', () => {
     const backoffs = new BackendBackoffs();
-    backoffs.note({ id: 'a' }, 3_000, 0);
-    backoffs.note({ id: 'a' }, 500, 100);
+    backoffs.recordBackoff({ id: 'a' }, 3_000, 0);
+    backoffs.recordBackoff({ id: 'a' }, 500, 100);
     expect(backoffs.remainingMs({ id: 'a' }, 1_000)).toBe(2_000);
-    expect(backoffs.note({ id: 'a' }, 7 * 86_400_000, 0)).toBe(3_600_000);
+    expect(backoffs.recordBackoff({ id: 'a' }, 7 * 86_400_000, 0)).toBe(3_600_000);
   });
 });
--- a/test/gateway/backend-restarts.test.ts
+++ b/test/gateway/backend-restarts.test.ts
@@ -37,7 +37,7 @@
     expect(health.failureShare('one')).toBeGreaterThan(0);
     harness.list([later.record({ start: 'two', revision: 2 })]);
     expect(health.failureShare('one')).toBe(0);
-    expect(health.isAvoided('one', performance.now())).toBe(false);
+    expect(health.isEjected('one', performance.now())).toBe(false);
     expect((await harness.call({ id: 'a' })).status).toBe(200);
   });
 
--- a/test/gateway/caller-keys.test.ts
+++ b/test/gateway/caller-keys.test.ts
@@ -157,7 +157,7 @@
   });
 
   it('over their limit come back when the tenant has the units, and cost nothing unsent', async () => {
-    const limit = { unit: 'tokens', perSecond: 100, burst: 100, plainCharge: 50 } as const;
+    const limit = { unit: 'tokens', perSecond: 100, burst: 100, defaultCharge: 50 } as const;
     await start([tenantOf('a', 'abc', { limit })], { limitSlack: 400 });
     const { address } = harness.gateway['peers'];
     harness.gateway['members'].listed = [{ address, zone: 'a', site: '' }];
--- a/test/gateway/directory-group.ts
+++ b/test/gateway/directory-group.ts
@@ -90,7 +90,7 @@
 
   /** Whether it would send a request to the backend. */
   serves(backend: string): boolean {
-    return this.backends.serving('service').some(({ id }) => id === backend);
+    return this.backends.servingBackends('service').some(({ id }) => id === backend);
   }
 
   /** Reads as closely as its attention asks, then looks at the clock. */
--- a/test/gateway/gateway-harness.ts
+++ b/test/gateway/gateway-harness.ts
@@ -72,7 +72,7 @@
     targets: [{ service: 'service', weight: 1 }],
     maxAttempts: 2,
     pauseGoalMs: 200,
-    patienceMs: Infinity,
+    callerTimeoutMs: Infinity,
     isPublic: false,
     ...part,
   };
--- a/test/gateway/limits-under-lease.test.ts
+++ b/test/gateway/limits-under-lease.test.ts
@@ -11,7 +11,7 @@
 import { parseGatewaySettings, type GatewaySettings } from '../../src/gateway/gateway-settings.js';
 import { GatewayHarness, TestBackend, testConfiguration } from './gateway-harness.js';
 
-const LIMIT = { unit: 'requests', perSecond: 1_000, burst: 1_000, plainCharge: 1 } as const;
+const LIMIT = { unit: 'requests', perSecond: 1_000, burst: 1_000, defaultCharge: 1 } as const;
 const TENANT: CallerTenant = {
   name: 'a',
   keyDigests: [hashKey('abc')],
--- a/test/gateway/member-list.test.ts
+++ b/test/gateway/member-list.test.ts
@@ -3,7 +3,10 @@
 import { leaseNow } from '../../src/common/lease-clock.js';
 import { silentLogger } from '../../src/common/logger.js';
 import { sleep } from '../../src/common/process.js';
-import { KEPT_ENTRY_MS, RENEWAL_LAPSES_MS } from '../../src/core/admission/limit-shares.js';
+import {
+  PREVIOUS_ENTRY_VALID_MS,
+  RENEWAL_EXPIRY_MS,
+} from '../../src/core/admission/limit-shares.js';
 import type { GatewaySettings } from '../../src/gateway/gateway-settings.js';
 import { MemberList } from '../../src/gateway/member-list.js';
 import type { PeerGroup } from '../../src/gateway/peer-group.js';
@@ -130,7 +133,7 @@
     await sleep(700);
     const [kept = 0] = renewals;
     expect(renewals).toHaveLength(1);
-    expect(leaseNow() - kept).toBeGreaterThan(RENEWAL_LAPSES_MS - KEPT_ENTRY_MS);
+    expect(leaseNow() - kept).toBeGreaterThan(RENEWAL_EXPIRY_MS - PREVIOUS_ENTRY_VALID_MS);
     await sleep(2_000);
     expect(store.calls).toContain('write members d1 4');
     expect(leaseNow() - (renewals.at(-1) ?? 0)).toBeLessThan(2_500);
--- a/test/gateway/ownership-scene.ts
+++ b/test/gateway/ownership-scene.ts
@@ -44,7 +44,7 @@
       service: SERVICE,
       peers: {
         address,
-        membership: { own: member, all: () => this.seenBy(address) },
+        membership: { ownView: member, all: () => this.seenBy(address) },
         live: () => this.seenBy(address).filter((view) => view.state === 'alive'),
       },
       store: this.storeOf(address),
--- a/test/gateway/service-owner.test.ts
+++ b/test/gateway/service-owner.test.ts
@@ -7,7 +7,7 @@
 import type { BackendRecord } from '../../src/core/service-configuration.js';
 import { GatewayMetrics } from '../../src/gateway/gateway-metrics.js';
 import { ServiceOwner } from '../../src/gateway/service-owner.js';
-import { hostOf, waitingFor } from '../core/gateway-fixtures.js';
+import { hostOf, demandSampleOf } from '../core/gateway-fixtures.js';
 
 const HOST = hostOf(['hot', 'rare1', 'rare2']);
 
@@ -100,7 +100,7 @@
     for (let passed = 0; passed < milliseconds; passed += 50) {
       owner.hear({
         daemon: 'd',
-        samples: [waitingFor(model, { goalMs: 600, arrivals: 0 })],
+        samples: [demandSampleOf(model, { goalMs: 600, arrivals: 0 })],
         use: [],
         failing,
       });
--- a/test/gateway/store-restored-owners.test.ts
+++ b/test/gateway/store-restored-owners.test.ts
@@ -4,7 +4,7 @@
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { rankCandidates } from '../../src/common/rendezvous.js';
-import { HAND_OVER_MS, HOLD_MS } from '../../src/core/ownership-lease.js';
+import { TAKEOVER_DELAY_MS, ORDER_LEASE_MS } from '../../src/core/ownership-lease.js';
 import { positionOf } from '../../src/core/store-position.js';
 import { OwnershipScene, SERVICE } from './ownership-scene.js';
 
@@ -12,7 +12,7 @@
 const PLAYED_MS = 30_000;
 const STEP_MS = 50;
 /** An order may arrive so long after it was sent. */
-const ORDER_ON_ITS_WAY_MS = HAND_OVER_MS - HOLD_MS;
+const ORDER_ON_ITS_WAY_MS = TAKEOVER_DELAY_MS - ORDER_LEASE_MS;
 /** Longer than between two proofs of an owner's lease. */
 const PROOF_PERIOD_MS = 1_000;
 
--- a/test/gateway/suspended-machine.test.ts
+++ b/test/gateway/suspended-machine.test.ts
@@ -66,7 +66,7 @@
   it('a proof of the configuration, and what readers have said of the directory, are old', () => {
     const provenAt = leaseNow();
     const lease = new ConfigurationLease();
-    lease.prove({ version: 0, provenAt });
+    lease.addProof({ version: 0, provenAt });
     const readers = new KnownReaders();
     readers.hear('r', { version: 1, platformAway: false, servingDigest: 1 }, 1, leaseNow());
     expect(readers.hearsAnswered(leaseNow())).toBe(true);
--- a/test/gateway/two-owners.test.ts
+++ b/test/gateway/two-owners.test.ts
@@ -11,7 +11,7 @@
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { firstCandidate } from '../../src/common/rendezvous.js';
-import { HOLD_MS } from '../../src/core/ownership-lease.js';
+import { ORDER_LEASE_MS } from '../../src/core/ownership-lease.js';
 import { OwnershipScene, SERVICE } from './ownership-scene.js';
 
 const ADDRESSES = ['one', 'two', 'three', 'four', 'five'];
@@ -149,7 +149,7 @@
 
   it('order nothing after a standstill, whatever they had proved before', async () => {
     const { owner } = await begin();
-    await vi.advanceTimersByTimeAsync(HOLD_MS + 100);
+    await vi.advanceTimersByTimeAsync(ORDER_LEASE_MS + 100);
     expect(scene.ownerships.get(owner)?.mayOrder()).toBe(false);
   });
 });
--- a/test/platform/configuration.test.ts
+++ b/test/platform/configuration.test.ts
@@ -2,7 +2,7 @@
 import { readConfiguration } from '../../platform/configuration.js';
 
 function patienceOf(route: Record<string, unknown>): number | undefined {
-  return readConfiguration({ version: 1, routes: [route] })?.routes[0]?.patienceMs;
+  return readConfiguration({ version: 1, routes: [route] })?.routes[0]?.callerTimeoutMs;
 }
 
 describe('readConfiguration', () => {
--- a/test/platform/store-restored.test.ts
+++ b/test/platform/store-restored.test.ts
@@ -62,7 +62,7 @@
       store.stop();
     });
     await sleep(300);
-    expect(backends.serving('service').length).toBe(2);
+    expect(backends.servingBackends('service').length).toBe(2);
     return { store, directory, backends, confirmed, version: () => version };
   }
 
@@ -119,7 +119,7 @@
       store.condition = 'sound';
       const servingIds = (): string =>
         backends
-          .serving('service')
+          .servingBackends('service')
           .map(({ id }) => id)
           .join();
       const knownAfterMs = await until(() => version() === 53 && servingIds() === 'r2');
@@ -135,7 +135,7 @@
       store.condition = 'sound';
       await sleep(KNOWN_WITHIN_MS);
       expect(version()).toBe(53);
-      expect(backends.serving('service').map(({ id }) => id)).toEqual(['r2']);
+      expect(backends.servingBackends('service').map(({ id }) => id)).toEqual(['r2']);
     },
   );
 });
--- a/test/platform/tenants.test.ts
+++ b/test/platform/tenants.test.ts
@@ -22,7 +22,7 @@
 describe('readTenants', () => {
   it('reads a limit, a priority and a public route', () => {
     const { tenants, problems } = read([{ ...LIMITED, ratePerS: 50, burst: 70, priority: 1 }]);
-    const limit = { unit: 'tokens', perSecond: 50, burst: 70, plainCharge: 200 };
+    const limit = { unit: 'tokens', perSecond: 50, burst: 70, defaultCharge: 200 };
     const keyDigests = ['k1', 'k2'].map(hashKey);
     expect(tenants).toEqual([{ name: 'a', keyDigests, priority: 1, limit }]);
     expect(problems).toEqual([]);
--- a/test/simulation/admission-ways.ts
+++ b/test/simulation/admission-ways.ts
@@ -9,7 +9,7 @@
 import { FIRST_PART_MS } from '../../src/core/hold-policy.js';
 import { SlotLeases } from './slot-leases.js';
 import { SlotQueue } from '../../src/core/admission/slot-queue.js';
-import { type SlotDecision, type SlotKeeping } from '../../src/core/admission/slot-keeping.js';
+import { type SlotDecision, type SlotAllocator } from '../../src/core/admission/slot-allocator.js';
 
 const DAEMONS = 60;
 const BACKENDS = 6;
@@ -107,7 +107,7 @@
   private now = 0;
   private tickets = 0;
   private readonly agenda = new Map<number, (() => void)[]>();
-  private readonly keepers: SlotKeeping[];
+  private readonly keepers: SlotAllocator[];
   private readonly running = Array.from({ length: BACKENDS }, () => 0);
   /** Requests that the backends themselves have queued. */
   private readonly queued: Attempt[][] = Array.from({ length: BACKENDS }, () => []);
@@ -151,7 +151,7 @@
     if (this.way === 'alone') return;
     if (this.now % REFRESH_MS === 0) this.refresh();
     for (const [backend, keeper] of this.keepers.entries()) {
-      this.answer(backend, keeper.look(this.now));
+      this.answer(backend, keeper.tick(this.now));
     }
   }
 
@@ -160,7 +160,7 @@
     for (const attempt of this.attempts.values()) if (attempt.tries > 0) this.ask(attempt);
     for (const { request, ticket, backend } of this.sent) {
       const { daemon, tenant, runMs } = request;
-      this.keepers[backend]!.take({ daemon, ticket, tenant, work: runMs }, this.now);
+      this.keepers[backend]!.recordUse({ daemon, ticket, tenant, work: runMs }, this.now);
     }
   }
 
@@ -220,7 +220,7 @@
         tenant,
         work: Math.round(runMs),
       };
-      this.answer(backend, keeper.ask(ask, this.now), isOwn);
+      this.answer(backend, keeper.request(ask, this.now), isOwn);
     });
   }
 
@@ -261,7 +261,7 @@
   private soonestBut(backend: number): { backend: number; waitMs: number } {
     const waits = this.keepers.map((keeper, index) => ({
       backend: index,
-      waitMs: index === backend ? Infinity : keeper.figures(this.now).expectedWaitMs,
+      waitMs: index === backend ? Infinity : keeper.status(this.now).expectedWaitMs,
     }));
     return waits.reduce((best, one) => (one.waitMs < best.waitMs ? one : best));
   }
@@ -338,7 +338,7 @@
     const keeper = this.keepers[backend];
     // Its daemon tells of its return unless it has waited there.
     if (waitedMs === 0 && keeper instanceof SlotQueue)
-      keeper.expectReturn(request.kind.rank, retryAfterMs, this.now);
+      keeper.expectRetry(request.kind.rank, retryAfterMs, this.now);
     const leavesAt = cameAt + request.kind.patienceMs;
     if (returns >= MOST_RETURNS || this.now + retryAfterMs > leavesAt) {
       return this.note(attempt, 'refused');
--- a/test/simulation/model-orders.property.test.ts
+++ b/test/simulation/model-orders.property.test.ts
@@ -7,9 +7,9 @@
 import { BackendLedger } from '../../src/core/backend-ledger.js';
 import { ModelDemand } from '../../src/core/model-demand.js';
 import { DEFAULT_POLICIES } from '../../src/core/policies.js';
-import { UnloadTimes } from '../../src/core/unload-times.js';
+import { UnloadTimeEstimator } from '../../src/core/unload-time-estimator.js';
 import { PlacementPlanner } from '../../src/core/placement-planner.js';
-import { hostOf, waitingFor } from '../core/gateway-fixtures.js';
+import { hostOf, demandSampleOf } from '../core/gateway-fixtures.js';
 import { SimulatedBackend, type OrderFate } from './simulated-backend.js';
 
 const MODELS = ['a', 'b', 'c', 'd', 'e', 'f'];
@@ -35,29 +35,29 @@
     for (const [index, ledger] of this.ledgers.entries()) {
       const report = this.backends[index]?.report();
       if (report !== undefined && (ledger.phase !== 'ready' || ledger.running !== undefined)) {
-        ledger.adopt(report, now);
+        ledger.applyReport(report, now);
       }
     }
-    const samples = wanted.map((model) => waitingFor(model));
-    this.demand.hear({ daemon: 'daemon', samples, use: [], failing: [] }, now);
+    const samples = wanted.map((model) => demandSampleOf(model));
+    this.demand.applyReport({ daemon: 'daemon', samples, use: [], failing: [] }, now);
     const input = { host: HOST, backends: this.ledgers, demand: this.demand, now };
     for (const planned of this.planner.plan({
       ...input,
       storeLoads: 1,
-      storePlaceWaits: [0],
-      unloadTimes: new UnloadTimes(),
+      storeSlotWaitsMs: [0],
+      unloadTimes: new UnloadTimeEstimator(),
       policies: DEFAULT_POLICIES,
     })) {
       const ledger = this.ledgers.find((candidate) => candidate.id === planned.backend);
       const backend = this.backends.find((candidate) => candidate.id === planned.backend);
       if (ledger === undefined || backend === undefined) continue;
       const expectedSequence = ledger.sequence;
-      ledger.send(planned.order);
+      ledger.recordSent(planned.order);
       const { epoch } = this;
       const fence = { holder: String(epoch), epoch, expectedSequence, maySend: () => true };
       const outcome = backend.order(planned.order, fence, fate(), now);
       if (outcome.type === 'fenced') this.fenced = true;
-      ledger.settle(planned.order, outcome, now, planned.durationMs);
+      ledger.recordOutcome(planned.order, outcome, now, planned.durationMs);
     }
   }
 }
--- a/test/simulation/simulated-limits.ts
+++ b/test/simulation/simulated-limits.ts
@@ -287,7 +287,7 @@
       this.send(index, Number(to.slice(2)), body);
     const live = (): readonly MemberView[] => this.seenBy(index);
     const shares = new LimitShares(self);
-    shares.renewed(leaseNow());
+    shares.recordRenewal(leaseNow());
     this.divisions[index] = shares;
     const broadcast = (body: PeerBody): void => {
       for (const to of this.daemons.keys()) if (to !== index) this.send(index, to, body);
--- a/test/simulation/simulated-pool.ts
+++ b/test/simulation/simulated-pool.ts
@@ -299,5 +299,5 @@
     sites: [],
     keyHashes: [],
   };
-  return { spec, allowed, quotaVersion: 1 };
+  return { spec, replicaLimit: allowed, quotaVersion: 1 };
 }
--- a/test/simulation/simulated-proofs.ts
+++ b/test/simulation/simulated-proofs.ts
@@ -113,7 +113,7 @@
       readStore: () => this.readStore(index),
       hearVersion: () => {},
     });
-    proofs.lease.configured(VERSION);
+    proofs.lease.setVersion(VERSION);
     return proofs;
   }
 
--- a/test/simulation/simulated-slots.ts
+++ b/test/simulation/simulated-slots.ts
@@ -4,7 +4,7 @@
  */
 import { vi } from 'vitest';
 import { silentLogger, type LogFields } from '../../src/common/logger.js';
-import type { SlotAnswer } from '../../src/core/admission/slot-keeping.js';
+import type { SlotResponse } from '../../src/core/admission/slot-allocator.js';
 import type { MemberView } from '../../src/core/membership-messages.js';
 import type { BackendRecord } from '../../src/core/service-configuration.js';
 import type { PeerBody } from '../../src/daemon/peer-transport.js';
@@ -20,7 +20,7 @@
 export interface SimulatedRequest {
   readonly daemon: number;
   readonly askedAt: number;
-  answers: SlotAnswer['type'][];
+  answers: SlotResponse['type'][];
   /** When it was sent to the backend; undefined if it was not. */
   sentAt: number | undefined;
   ended: boolean;
@@ -127,7 +127,7 @@
     }
   }
 
-  private answered(request: SimulatedRequest, answer: SlotAnswer): void {
+  private answered(request: SimulatedRequest, answer: SlotResponse): void {
     if (this.dead.has(request.daemon)) return;
     request.answers.push(answer.type);
     if (answer.type === 'granted') this.run(request);
--- a/test/simulation/slot-leases.ts
+++ b/test/simulation/slot-leases.ts
@@ -8,12 +8,12 @@
 import {
   decisionOn,
   ticketKey,
-  type SlotAsk,
+  type SlotRequest,
   type SlotDecision,
-  type SlotFigures,
-  type SlotKeeping,
+  type SlotStatus,
+  type SlotAllocator,
   type SlotUse,
-} from '../../src/core/admission/slot-keeping.js';
+} from '../../src/core/admission/slot-allocator.js';
 import { SlotTimes } from '../../src/core/admission/slot-times.js';
 
 /** A lent slot that rests goes back after so long: longer ones rest while others wait, shorter ones save no message. */
@@ -27,13 +27,13 @@
   until: number;
 }
 
-interface Waiter extends SlotAsk {
+interface Waiter extends SlotRequest {
   readonly since: number;
   readonly toldMs: number;
 }
 
 /** The slots of one backend, as their lender counts them. */
-export class SlotLeases implements SlotKeeping {
+export class SlotLeases implements SlotAllocator {
   private readonly loans = new Map<string, Loan>();
   /** Requests that have a slot, by daemon and ticket, and since when. */
   private readonly holders = new Map<string, SlotUse & { readonly since: number }>();
@@ -47,17 +47,17 @@
     return (this.loans.get(daemon)?.slots ?? 0) > this.used(daemon);
   }
 
-  ask(ask: SlotAsk, now: number): SlotDecision[] {
+  request(ask: SlotRequest, now: number): SlotDecision[] {
     const key = ticketKey(ask);
     if (this.holders.has(key)) return [decisionOn(ask, { type: 'granted' }, 0)];
     if (this.hasSpare(ask.daemon) || this.lend(ask.daemon, now)) {
-      this.take(ask, now);
+      this.recordUse(ask, now);
       return [decisionOn(ask, { type: 'granted' }, 0)];
     }
     const known = this.waiters.get(key);
     const ends = this.waiters.size + (known === undefined ? 1 : 0);
-    const expectedWaitMs = this.times.untilFree(ends, this.slots, 1, ask.rank);
-    if (known === undefined && this.times.isLearned && expectedWaitMs > ask.giveUpAt - now) {
+    const expectedWaitMs = this.times.expectedWaitMs(ends, this.slots, 1, ask.rank);
+    if (known === undefined && this.times.hasEnoughSamples && expectedWaitMs > ask.giveUpAt - now) {
       const retryAfterMs = Math.max(LEAST_RETRY_MS, expectedWaitMs);
       return [decisionOn(ask, { type: 'refused', retryAfterMs }, 0)];
     }
@@ -65,7 +65,7 @@
     return [decisionOn(ask, { type: 'queued', expectedWaitMs }, 0)];
   }
 
-  take(use: SlotUse, now: number): void {
+  recordUse(use: SlotUse, now: number): void {
     const { daemon, ticket, tenant, work } = use;
     this.waiters.delete(ticketKey(use));
     this.holders.set(ticketKey(use), { daemon, ticket, tenant, work, since: now });
@@ -79,23 +79,23 @@
     const holder = this.holders.get(key);
     if (holder === undefined) return [];
     this.holders.delete(key);
-    this.times.noteHold(now - holder.since, 1);
+    this.times.recordHold(now - holder.since, 1);
     this.renew(daemon, now);
     const next = this.first((waiter) => waiter.daemon === daemon);
     return next === undefined ? [] : [this.grant(next, now)];
   }
 
-  daemonGone(daemon: string, now: number): SlotDecision[] {
+  removeDaemon(daemon: string, now: number): SlotDecision[] {
     this.loans.delete(daemon);
     for (const [key, entry] of [...this.holders, ...this.waiters]) {
       if (entry.daemon !== daemon) continue;
       this.holders.delete(key);
       this.waiters.delete(key);
     }
-    return this.look(now);
+    return this.tick(now);
   }
 
-  look(now: number): SlotDecision[] {
+  tick(now: number): SlotDecision[] {
     for (const [daemon, loan] of this.loans) {
       if (loan.until > now) continue;
       loan.slots = Math.min(loan.slots, this.used(daemon));
@@ -110,24 +110,24 @@
     return decisions;
   }
 
-  figures(): SlotFigures {
+  status(): SlotStatus {
     const { slots } = this;
     const waiting = this.waiters.size;
     const isFull = this.lent() >= slots;
-    const expectedWaitMs = isFull ? this.times.untilFree(waiting + 1, slots, 1, 0) : 0;
+    const expectedWaitMs = isFull ? this.times.expectedWaitMs(waiting + 1, slots, 1, 0) : 0;
     return { slots, inFlight: this.holders.size, waiting, expectedWaitMs };
   }
 
   private grant(waiter: Waiter, now: number): SlotDecision {
     const waitedMs = now - waiter.since;
-    this.times.noteWait(waiter.rank, waiter.toldMs, waitedMs);
-    this.take(waiter, now);
+    this.times.recordWait(waiter.rank, waiter.toldMs, waitedMs);
+    this.recordUse(waiter, now);
     return decisionOn(waiter, { type: 'granted' }, waitedMs);
   }
 
   private refuse(waiter: Waiter, now: number): SlotDecision {
     this.waiters.delete(ticketKey(waiter));
-    const expected = this.times.untilFree(this.waiters.size + 1, this.slots, 1, waiter.rank);
+    const expected = this.times.expectedWaitMs(this.waiters.size + 1, this.slots, 1, waiter.rank);
     const retryAfterMs = Math.max(LEAST_RETRY_MS, expected);
     return decisionOn(waiter, { type: 'refused', retryAfterMs }, now - waiter.since);
   }
--- a/test/simulation/small-group.ts
+++ b/test/simulation/small-group.ts
@@ -3,7 +3,7 @@
 import { SimulatedLimits } from './simulated-limits.js';
 
 export const WINDOW = { windowMs: 4_000, excess: 0.1, slack: 400 };
-export const LIMIT = { unit: 'tokens', perSecond: 400, burst: 400, plainCharge: 100 } as const;
+export const LIMIT = { unit: 'tokens', perSecond: 400, burst: 400, defaultCharge: 100 } as const;
 /** What the tenant asks for on an ordinary day, as a share of its limit. */
 const USUAL = 0.55;
 /** Daemons run for longer than a window before callers come. */
--- a/test/simulation/tenant-limits.test.ts
+++ b/test/simulation/tenant-limits.test.ts
@@ -14,7 +14,7 @@
 const LEAD_SECONDS = 9;
 
 function groupOf(daemons: number, perSecond: number, seed = 1): SimulatedLimits {
-  const limit = { unit: 'tokens', perSecond, burst: perSecond, plainCharge: 200 } as const;
+  const limit = { unit: 'tokens', perSecond, burst: perSecond, defaultCharge: 200 } as const;
   return new SimulatedLimits({
     daemons,
     limit,
