--- a/src/core/attempt-policy.ts
+++ b/src/core/attempt-policy.ts
@@ -42,7 +42,7 @@
 const MIN_STALL_TIMEOUT_MS = 600;
 
 /** Decides the next step after a failed attempt; `history` includes that attempt. */
-export function nextStepAfterFailure(
+export function stepAfterFailure(
   route: Route,
   attempt: FailedAttempt,
   history: AttemptHistory,
--- a/src/gateway/request-exchange.ts
+++ b/src/gateway/request-exchange.ts
@@ -5,11 +5,7 @@
  */
 import type http from 'node:http';
 import type { Ran } from '../common/errors.js';
-import {
-  nextStepAfterFailure,
-  firstByteTimeoutMs,
-  stallTimeoutMs,
-} from '../core/attempt-policy.js';
+import { stepAfterFailure, firstByteTimeoutMs, stallTimeoutMs } from '../core/attempt-policy.js';
 import { isDifferentStart } from '../core/backend-starts.js';
 import { FIRST_PART_MS, type HoldDecision } from '../core/hold-policy.js';
 import type { RouteMatch } from '../core/routing-table.js';
@@ -255,7 +251,7 @@
     const { route } = this.match;
     const now = steadyNow();
     const waitedMs = now - this.request.arrivedAt;
-    const { hasComeBack } = this;
+    const { hasComeBack: isRetry } = this;
     const remainingMs = Math.min(this.deadlineAt - now, route.callerTimeoutMs - waitedMs);
     const { goalMs } = route;
     return this.context.hold.decide({
@@ -263,7 +259,7 @@
       waitedMs,
       remainingMs,
       readyInMs,
-      isRetry: hasComeBack,
+      isRetry,
     });
   }
 
@@ -451,7 +447,7 @@
       this.lastRan = end.ran;
     }
     const history = { runs: this.runs, sends: this.sends };
-    const step = nextStepAfterFailure(this.match.route, end, history);
+    const step = stepAfterFailure(this.match.route, end, history);
     const examined = end.cutOff ? this.suspicion.brokeOff(backend) : undefined;
     if (step === 'retry') return this.dispatchAfter(examined);
     if (end.answer !== undefined && !this.answer.hasBegun) {
--- a/test/core/gateway-policies.test.ts
+++ b/test/core/gateway-policies.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { nextStepAfterFailure } from '../../src/core/attempt-policy.js';
+import { stepAfterFailure } from '../../src/core/attempt-policy.js';
 import type { BackendList } from '../../src/core/backend-presence.js';
 import { BackendDirectory } from '../../src/core/backend-directory.js';
 import { BackendHealth } from '../../src/core/backend-health.js';
@@ -56,20 +56,20 @@
 
   it('retries a request that has not run, regardless of its repeatability', () => {
     const failed = { ran: 'no', reached: true } as const;
-    expect(nextStepAfterFailure(route('once'), failed, { runs: 0, sends: 1 })).toBe('retry');
+    expect(stepAfterFailure(route('once'), failed, { runs: 0, sends: 1 })).toBe('retry');
   });
 
   it('retries a request that may have run only if it is repeatable, up to the maximum of attempts', () => {
     const failed = { ran: 'unknown', reached: true } as const;
-    expect(nextStepAfterFailure(route('once'), failed, { runs: 1, sends: 1 })).toBe('fail');
-    expect(nextStepAfterFailure(route('stream_once'), failed, { runs: 1, sends: 1 })).toBe('fail');
-    expect(nextStepAfterFailure(route('repeatable'), failed, { runs: 1, sends: 1 })).toBe('retry');
-    expect(nextStepAfterFailure(route('repeatable'), failed, { runs: 2, sends: 2 })).toBe('fail');
+    expect(stepAfterFailure(route('once'), failed, { runs: 1, sends: 1 })).toBe('fail');
+    expect(stepAfterFailure(route('stream_once'), failed, { runs: 1, sends: 1 })).toBe('fail');
+    expect(stepAfterFailure(route('repeatable'), failed, { runs: 1, sends: 1 })).toBe('retry');
+    expect(stepAfterFailure(route('repeatable'), failed, { runs: 2, sends: 2 })).toBe('fail');
   });
 
   it('refuses a request with a retry time after repeated refusals by backends', () => {
     const failed = { ran: 'no', reached: true } as const;
-    expect(nextStepAfterFailure(route('once'), failed, { runs: 0, sends: 4 })).toBe('refuse');
+    expect(stepAfterFailure(route('once'), failed, { runs: 0, sends: 4 })).toBe('refuse');
   });
 });
 
