--- a/src/gateway/request-exchange.ts
+++ b/src/gateway/request-exchange.ts
@@ -254,13 +254,7 @@
     const { hasComeBack: isRetry } = this;
     const remainingMs = Math.min(this.deadlineAt - now, route.callerTimeoutMs - waitedMs);
     const { goalMs } = route;
-    return this.context.hold.decide({
-      goalMs,
-      waitedMs,
-      remainingMs,
-      readyInMs,
-      isRetry,
-    });
+    return this.context.hold.decide({ goalMs, waitedMs, remainingMs, readyInMs, isRetry });
   }
 
   private refuseFull(
