--- a/src/gateway/backend-permits.ts
+++ b/src/gateway/backend-permits.ts
@@ -1,6 +1,6 @@
 /**
- * Requests to a backend that has named a rate limit: each needs a permit first, which one daemon grants for all
- * (`shared-limits.ts`). What an answer of any backend says of its limit is known at once here, and told to the others.
+ * Permits for requests to backends that announce a rate limit. One daemon, the holder, grants the permits on behalf of all
+ * daemons (`shared-limits.ts`). A daemon applies a limit announced in a backend's answer at once and sends it to the other daemons.
  */
 import type { Logger } from '../common/logger.js';
 import type { LimitDecision } from '../core/admission/rate-ledger.js';
@@ -14,17 +14,17 @@
 import { backendProcessOf, type BackendProcess } from '../core/announced-shutdowns.js';
 import type { BackendRecord } from '../core/service-configuration.js';
 import type { PeerBody } from '../daemon/peer-transport.js';
-import type { BackendRateLimits as RateLimitNews } from '../proto/gen/internal_pb.js';
+import type { BackendRateLimits as RateLimitsMessage } from '../proto/gen/internal_pb.js';
 import { DigestGossip, type GossipLinks } from './digest-gossip.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
 import { decodeRateLimits, encodeRateLimitQuestion, encodeRateLimits } from './rate-limit-codec.js';
 import type { SharedLimits } from './shared-limits.js';
 import { steadyNow } from './steady-clock.js';
 
-/** Without a decision of the holder, another permit is asked for after so long. */
-const UNKNOWN_RETRY_MS = 250;
-/** Backends that are remembered to have no permit left; names of ended ones must not fill the memory. */
-const MOST_EXHAUSTED = 2_000;
+/** Delay before another permit is requested if the holder has made no decision. */
+const UNDECIDED_RETRY_MS = 250;
+/** Maximum number of backends recorded as having no permit left. Names of ended backends must not exhaust the memory. */
+const MAX_EXHAUSTED_BACKENDS = 2_000;
 
 /** The decision on a request for a permit. */
 export type PermitDecision =
@@ -36,11 +36,11 @@
   readonly metrics: GatewayMetrics;
   /** Counts for all daemons, under the limits that {@link BackendPermits.limitOf} gives. */
   readonly limits: Pick<SharedLimits, 'admit' | 'giveBack'>;
-  /** Some limit has changed: what waits looks again. */
+  /** Called when a limit has changed, so that waiting requests are checked again. */
   readonly onChange: () => void;
 }
 
-/** One request's permit for one backend, from the ask to its use or return. */
+/** One request's permit for one backend, from the request for the permit until it is used or returned. */
 export class BackendPermit {
   private state: 'asked' | 'granted' | 'done' = 'asked';
 
@@ -49,11 +49,12 @@
     private readonly limits: BackendPermitsOptions['limits'],
   ) {}
 
+  /** Whether the decision is pending. */
   get isWanted(): boolean {
     return this.state === 'asked';
   }
 
-  /** Takes the decision; false if nobody waits for it any more. */
+  /** Applies the decision. Returns false if the request no longer waits for it; a granted permit is then returned. */
   settle(decision: LimitDecision): boolean {
     const { isWanted } = this;
     const isGranted = decision.type === 'granted';
@@ -62,23 +63,23 @@
     return isWanted;
   }
 
-  /** The request is sent. */
+  /** Marks the permit as used: the request is sent. */
   use(): void {
     this.state = 'done';
   }
 
-  /** The request is not sent there: another may have the permit. */
+  /** Returns the permit: the request is not sent to this backend, so another request may have the permit. */
   release(): void {
     if (this.state === 'granted') this.limits.giveBack(this.name, 1);
     this.state = 'done';
   }
 }
 
-/** One daemon's part. */
+/** The permits and recorded rate limits of one daemon. */
 export class BackendPermits {
   private readonly rates = new BackendRateLimits();
   private readonly gossip: DigestGossip<RecordedRateLimit>;
-  /** Steady times until which no permit is expected, by the name of the limit. */
+  /** Times of the steady clock until which no permit is expected, by the name of the limit. */
   private readonly exhaustedUntil = new Map<string, number>();
 
   constructor(private readonly options: BackendPermitsOptions) {
@@ -91,30 +92,30 @@
     });
   }
 
-  /** What is believed of a backend's limit; to be kept with a request that is sent. */
+  /** Returns the recorded limit of a backend. The caller stores it with each request that it sends. */
   believed(backend: BackendProcess): RecordedRateLimit | undefined {
     return this.rates.limitOf(backend);
   }
 
-  /** Requests a second that a backend takes from all daemons; undefined if it names no limit. */
+  /** Returns the requests per second that a backend accepts from all daemons together; undefined if it announces no limit. */
   perSecond(backend: BackendProcess): number | undefined {
     return this.rates.limitOf(backend)?.perSecond;
   }
 
-  /** Whether no permit is expected now, so that a request that can goes elsewhere. */
+  /** Returns whether no permit is expected now, so that requests should prefer other backends. */
   isExhausted(backend: BackendProcess, now: number): boolean {
-    const believed = this.rates.limitOf(backend);
-    if (believed?.perSecond === undefined) return false;
-    return (this.exhaustedUntil.get(startKey(believed.backend)) ?? 0) > now;
+    const recorded = this.rates.limitOf(backend);
+    if (recorded?.perSecond === undefined) return false;
+    return (this.exhaustedUntil.get(startKey(recorded.backend)) ?? 0) > now;
   }
 
-  /** The limit that is kept under a name. */
+  /** Returns the limit recorded under a name, or undefined. */
   limitOf(name: string): ReturnType<typeof permitLimit> | undefined {
     const perSecond = this.rates.perSecondOf(name);
     return perSecond === undefined ? undefined : permitLimit(perSecond);
   }
 
-  /** Takes what an answer to a request says of its backend's limit. */
+  /** Records the limit that a backend announces in its answer to a request. `sentUnder` is the limit recorded when the request was sent. */
   answered(
     backend: BackendRecord,
     notice: RateLimitNotice,
@@ -122,14 +123,14 @@
     request: string | undefined,
   ): void {
     const former = this.perSecond(backend);
-    const belief = this.rates.recordAnswer(backendProcessOf(backend), notice, sentUnder);
-    if (belief === undefined) return;
-    this.log(belief, former, { source: 'answer', request });
-    this.gossip.tell(belief);
+    const recorded = this.rates.recordAnswer(backendProcessOf(backend), notice, sentUnder);
+    if (recorded === undefined) return;
+    this.log(recorded, former, { source: 'answer', request });
+    this.gossip.tell(recorded);
     this.options.onChange();
   }
 
-  /** A permit for a backend that names a limit; the decision may come at once. */
+  /** Requests a permit for a backend that announces a limit. `onDecision` is called in a later turn of the event loop. */
   ask(
     backend: BackendRecord,
     request: string | undefined,
@@ -138,43 +139,43 @@
     const name = startKey(this.rates.limitOf(backend)?.backend ?? backend);
     const { limits } = this.options;
     const permit = new BackendPermit(name, limits);
-    // The decision comes in a later turn: the caller has the permit object by then.
+    // The decision is made in a later turn of the event loop, when the caller has the permit object.
     setImmediate(() => {
       if (!permit.isWanted) return;
       limits.admit(name, 1, (decision) => {
-        if (permit.settle(decision)) onDecision(this.decided(name, request, decision));
+        if (permit.settle(decision)) onDecision(this.handleDecision(name, request, decision));
       });
     });
     return permit;
   }
 
-  /** Looks at the clock; call it a few times a second. */
+  /** Runs periodic work; call it a few times a second. */
   tick(): void {
     this.gossip.tick();
   }
 
-  /** Takes a message of another daemon; false if it is of another kind. */
+  /** Handles a message of another daemon. Returns false if it is of another kind. */
   receive(from: string, body: PeerBody): boolean {
     if (body.case !== 'backendRateLimits') return false;
     const { knownDigest } = body.value;
-    if (knownDigest === undefined) this.hear(from, body.value);
+    if (knownDigest === undefined) this.mergeFrom(from, body.value);
     else this.gossip.answer(from, knownDigest);
     return true;
   }
 
-  private hear(from: string, message: RateLimitNews): void {
-    const heard = decodeRateLimits(message);
+  private mergeFrom(from: string, message: RateLimitsMessage): void {
+    const received = decodeRateLimits(message);
     const former = new Map(
-      heard.map(({ backend }) => [startKey(backend), this.perSecond(backend)]),
+      received.map(({ backend }) => [startKey(backend), this.perSecond(backend)]),
     );
-    const news = this.rates.merge(heard);
-    for (const belief of news) {
-      this.log(belief, former.get(startKey(belief.backend)), { source: 'peer', from });
+    const newer = this.rates.merge(received);
+    for (const recorded of newer) {
+      this.log(recorded, former.get(startKey(recorded.backend)), { source: 'peer', from });
     }
-    if (news.length > 0) this.options.onChange();
+    if (newer.length > 0) this.options.onChange();
   }
 
-  private decided(
+  private handleDecision(
     name: string,
     request: string | undefined,
     decision: LimitDecision,
@@ -182,8 +183,8 @@
     this.options.metrics.permits.inc({ answer: decision.type });
     if (decision.type === 'granted') return decision;
     const isRefused = decision.type === 'over_limit';
-    const retryAfterMs = isRefused ? decision.retryAfterMs : UNKNOWN_RETRY_MS;
-    this.noteExhausted(name, steadyNow() + retryAfterMs);
+    const retryAfterMs = isRefused ? decision.retryAfterMs : UNDECIDED_RETRY_MS;
+    this.recordExhausted(name, steadyNow() + retryAfterMs);
     this.options.logger.info('permit_refused', {
       request,
       backend: name,
@@ -194,10 +195,10 @@
     return { type: 'refused', retryAfterMs };
   }
 
-  private noteExhausted(name: string, until: number): void {
+  private recordExhausted(name: string, until: number): void {
     this.exhaustedUntil.delete(name);
     this.exhaustedUntil.set(name, until);
-    if (this.exhaustedUntil.size <= MOST_EXHAUSTED) return;
+    if (this.exhaustedUntil.size <= MAX_EXHAUSTED_BACKENDS) return;
     const [oldest] = this.exhaustedUntil.keys();
     if (oldest !== undefined) this.exhaustedUntil.delete(oldest);
   }
--- a/src/gateway/capacity-codec.ts
+++ b/src/gateway/capacity-codec.ts
@@ -1,4 +1,4 @@
-/** Between what is learned of capacity and the fields of the internal protocol's messages. */
+/** Converts learned capacity to and from the message fields of the internal protocol. */
 import { create } from '@bufbuild/protobuf';
 import type { GapReport } from '../core/capacity/gap-samples.js';
 import type { CapacityFigures } from '../core/capacity/learned-capacity.js';
@@ -13,39 +13,39 @@
   type StreamGaps,
 } from '../proto/gen/internal_pb.js';
 
-/** Shares travel as thousandths. */
-const THOUSANDTHS = 1_000;
-/** Entries of a report that are read; a daemon of our own tells fewer. */
-const MOST_ENTRIES = 256;
+/** Shares are encoded in thousandths. */
+const THOUSANDTHS_PER_UNIT = 1_000;
+/** Maximum number of entries decoded from a report. Daemons of this build send fewer. */
+const MAX_ENTRIES = 256;
 
-/** Gaps as fields of a demand message. */
+/** Encodes gaps as fields of a demand message. */
 export function encodeGaps(report: GapReport | undefined): {
   gaps: StreamGaps[];
   pauseClasses: number[];
 } {
   const samples = report?.samples ?? [];
   const gaps = samples.map((sample) => {
-    const pauseGoalMs = Math.round(Math.min(sample.pauseGoalMs, LONGEST_GOAL_MS));
+    const pauseGoalMs = Math.round(Math.min(sample.pauseGoalMs, MAX_GOAL_MS));
     return create(StreamGapsSchema, { ...sample, pauseGoalMs });
   });
   return { gaps, pauseClasses: [...(report?.pauseClasses ?? [])] };
 }
 
-/** The largest number that the field holds stands for no goal. */
-const LONGEST_GOAL_MS = 2 ** 32 - 1;
+/** The largest value of the field, an unsigned 32-bit integer, encodes that there is no goal. */
+const MAX_GOAL_MS = 2 ** 32 - 1;
 
-/** Gaps out of a demand message; undefined if it tells of none. */
+/** Decodes the gaps of a demand message; undefined if it contains none. */
 export function decodeGaps(message: ServiceDemand): GapReport | undefined {
   const { gaps, pauseClasses } = message;
   if (gaps.length === 0 && pauseClasses.length === 0) return undefined;
-  const samples = gaps.slice(0, MOST_ENTRIES).map((entry) => {
+  const samples = gaps.slice(0, MAX_ENTRIES).map((entry) => {
     const { backend, model, gaps: count, logSum, pauseGoalMs } = entry;
     return { backend, model, gaps: count, logSum, pauseGoalMs };
   });
   return { samples, pauseClasses };
 }
 
-/** Figures as fields of a placement message. */
+/** Encodes learned capacity as fields of a placement message. */
 export function encodeFigures(figures: CapacityFigures | undefined): {
   speeds: BackendSpeed[];
   modelGaps: ModelGap[];
@@ -58,17 +58,17 @@
   const modelGaps = [...figures.gaps].map(([model, gapMs]) =>
     create(ModelGapSchema, { model, gapMs }),
   );
-  const pauseShares = figures.pauseShares.map((share) => Math.round(share * THOUSANDTHS));
+  const pauseShares = figures.pauseShares.map((share) => Math.round(share * THOUSANDTHS_PER_UNIT));
   return { speeds, modelGaps, pauseShares };
 }
 
-/** Figures out of a placement message; undefined if it tells of none. */
+/** Decodes the learned capacity of a placement message; undefined if it contains none. */
 export function decodeFigures(message: ServicePlacement): CapacityFigures | undefined {
   const { speeds, modelGaps, pauseShares } = message;
   if (speeds.length === 0 && modelGaps.length === 0 && pauseShares.length === 0) return undefined;
   return {
     speeds: new Map(speeds.map(({ backend, speed }) => [backend, speed])),
     gaps: new Map(modelGaps.map(({ model, gapMs }) => [model, gapMs])),
-    pauseShares: pauseShares.map((share) => share / THOUSANDTHS),
+    pauseShares: pauseShares.map((share) => share / THOUSANDTHS_PER_UNIT),
   };
 }
--- a/src/gateway/capacity-watch.ts
+++ b/src/gateway/capacity-watch.ts
@@ -1,4 +1,4 @@
-/** Learns the capacity of one service's backends at its owner, with logs and metrics. */
+/** Estimates the capacity of one service's backends at the service's owner, with log lines and metrics. */
 import type { Logger } from '../common/logger.js';
 import { CapacityEstimate } from '../core/capacity/capacity-estimate.js';
 import type { PlanningCapacity } from '../core/capacity/copy-quality.js';
@@ -6,8 +6,8 @@
 import type { DemandReport } from '../core/demand-report.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
 
-/** Between two fits: as often as daemons report. */
-const SETTLE_PERIOD_MS = 250;
+/** Minimum interval between two computations of the estimate; daemons report at the same interval. */
+const RECOMPUTE_INTERVAL_MS = 250;
 
 /** Options of {@link CapacityWatch}. */
 export interface CapacityWatchOptions {
@@ -15,29 +15,29 @@
   readonly epoch: number;
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
-  /** Whether the service has the backend: what is told of others is left out. */
+  /** Whether the service has the backend. Samples of other backends are ignored. */
   readonly isListed: (backend: string) => boolean;
 }
 
-/** What one owner learns; nothing of it outlives the owner. */
+/** The capacity estimate of one owner. It is discarded with the owner. */
 export class CapacityWatch {
   private readonly estimate = new CapacityEstimate();
-  private settledAt = -Infinity;
+  private recomputedAt = -Infinity;
 
   constructor(private readonly options: CapacityWatchOptions) {}
 
-  /** What is believed, for the daemons. */
+  /** The current estimate, which the owner sends to the daemons. */
   get figures(): CapacityFigures {
     return this.estimate.figures;
   }
 
-  /** What the planner goes by. */
+  /** Returns the capacity that the planner uses. */
   planned(): PlanningCapacity {
     const { estimate } = this;
     return { view: estimate.steadyView(), pauseGoalMs: (model) => estimate.pauseGoalMs(model) };
   }
 
-  /** Takes what a daemon has seen of streams. */
+  /** Adds the gaps between stream events that a daemon has measured. */
   hear(report: DemandReport, now: number): void {
     if (report.gaps === undefined) return;
     const { service, epoch, logger, isListed } = this.options;
@@ -47,16 +47,16 @@
     logger.warn('gaps_dropped', { service, epoch, daemon: report.daemon, dropped });
   }
 
-  /** Another process may have the backend's id from now on. */
+  /** Deletes the estimate of a backend. Another process may use its id from now on. */
   forget(backend: string): void {
     this.estimate.forget(backend);
     this.options.metrics.backendSpeed.remove({ service: this.options.service, backend });
   }
 
-  /** Works out what is believed; call it with each round. */
+  /** Recomputes the estimate if the interval has passed; call it in each planning round. */
   settle(now: number): void {
-    if (now - this.settledAt < SETTLE_PERIOD_MS) return;
-    this.settledAt = now;
+    if (now - this.recomputedAt < RECOMPUTE_INTERVAL_MS) return;
+    this.recomputedAt = now;
     const { service, epoch, logger, metrics } = this.options;
     for (const { backend, from, to, gaps, ageMs } of this.estimate.recompute(now)) {
       metrics.backendSpeed.set({ service, backend }, to);
--- a/src/gateway/crash-codec.ts
+++ b/src/gateway/crash-codec.ts
@@ -1,13 +1,13 @@
-/** Between what is known of requests that met crashes and the internal protocol's messages. */
+/** Converts crash records of requests to and from messages of the internal protocol. */
 import { create } from '@bufbuild/protobuf';
 import type { CrashRecord } from '../core/crash-records.js';
 import type { PeerBody } from '../daemon/peer-transport.js';
 import { CrashedRequestSchema, CrashNewsSchema, type CrashNews } from '../proto/gen/internal_pb.js';
 
-/** Records of a message that are read; a daemon of our own tells no more. */
-const MOST_RECORDS = 2_048;
+/** Maximum number of records decoded from a message. Daemons of this build send no more. */
+const MAX_RECORDS = 2_048;
 
-/** News, or all that is known. */
+/** Encodes crash records, either new ones or all. */
 export function encodeCrashes(records: readonly CrashRecord[]): PeerBody {
   const requests = records.map((record) =>
     create(CrashedRequestSchema, {
@@ -20,14 +20,14 @@
   return { case: 'crashNews', value: create(CrashNewsSchema, { requests }) };
 }
 
-/** A question to a daemon that may know something else. */
+/** Encodes a request for the records of a daemon whose digest differs from `knownDigest`. */
 export function encodeCrashQuestion(knownDigest: number): PeerBody {
   return { case: 'crashNews', value: create(CrashNewsSchema, { knownDigest }) };
 }
 
-/** Records out of a message. */
+/** Decodes the records of a message. */
 export function decodeCrashes({ requests }: CrashNews): CrashRecord[] {
-  return requests.slice(0, MOST_RECORDS).map(({ digest, starts, excused, ageMs }) => {
+  return requests.slice(0, MAX_RECORDS).map(({ digest, starts, excused, ageMs }) => {
     return { digest: Buffer.from(digest).toString('hex'), starts, excused, ageMs };
   });
 }
--- a/src/gateway/crash-watch.ts
+++ b/src/gateway/crash-watch.ts
@@ -1,6 +1,6 @@
 /**
- * Which requests crash the backends that run them, as this daemon sees it and hears it from the others, so that
- * one that has crashed several is sent to no other.
+ * Tracks which requests crash the backends that run them, from this daemon's observations and from records of the
+ * other daemons. A request that has crashed several backends is refused.
  */
 import net from 'node:net';
 import type { Logger } from '../common/logger.js';
@@ -15,24 +15,24 @@
 import type { GatewayMetrics } from './gateway-metrics.js';
 import { steadyNow } from './steady-clock.js';
 
-/** A backend that has not taken a connection by then may be cut off: nothing says that it has ended. */
+/** Timeout for a connection to a backend. A timeout does not show that the process has ended, since the backend may be unreachable. */
 const PROBE_TIMEOUT_MS = 350;
-/** Requests that break off together ask once. */
-const PROBE_VALID_MS = 200;
+/** Time for which the result of a probe is reused, so that requests that fail together share one probe. */
+const PROBE_REUSE_MS = 200;
 
 /** Options of {@link CrashWatch}. */
 export interface CrashWatchOptions extends GossipLinks {
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
-  /** A backend as it is listed now. */
+  /** Returns the current directory entry of a backend. */
   readonly listed: (backend: string) => BackendRecord | undefined;
-  /** Requests that wait, or are under way, look again whether they may be sent. */
+  /** Called when the set of refused requests has changed, so that waiting and running requests check again whether they may be sent. */
   readonly onCondemned: () => void;
 }
 
-/** A request that takes its turn with others. */
+/** A request under suspicion of crashing backends. No other suspect runs at its backend until the answer has begun. */
 export interface SuspectRequest {
-  /** Whether it has begun to answer. */
+  /** Whether the backend has begun to answer it. */
   readonly hasBegun: boolean;
 }
 
@@ -41,14 +41,14 @@
   readonly hasEnded: Promise<boolean>;
 }
 
-/** One daemon's knowledge of such requests. */
+/** The crash records of one daemon. */
 export class CrashWatch {
   private readonly records = new CrashRecords();
-  /** `spec/crashes.pml` */
+  /** Exchanges records with the other daemons; modelled in `spec/crashes.pml`. */
   private readonly gossip: DigestGossip<CrashRecord>;
-  /** By "ip:port". */
+  /** Recent probes by backend address, "ip:port". */
   private readonly probes = new Map<string, Probe>();
-  /** The suspect that has its turn, by backend. */
+  /** The suspect that has reserved a backend, by backend id. */
   private readonly running = new Map<string, SuspectRequest>();
   private condemned = new Set<string>();
 
@@ -62,34 +62,34 @@
     });
   }
 
-  /** Whether no request needs a look. */
+  /** Whether there are no records, so that requests need no check. */
   get isIdle(): boolean {
     return this.records.isEmpty;
   }
 
-  /** Looks at the clock; call it a few times a second. */
+  /** Deletes expired records and runs other periodic work; call it a few times a second. */
   tick(): void {
     const now = steadyNow();
     this.records.deleteExpired(now);
     for (const [address, { at }] of this.probes) {
-      if (now - at >= PROBE_VALID_MS) this.probes.delete(address);
+      if (now - at >= PROBE_REUSE_MS) this.probes.delete(address);
     }
     this.gossip.tick();
-    this.noteCondemned();
+    this.updateCondemned();
   }
 
   verdict(digest: string): CrashVerdict {
     return this.records.verdict(digest);
   }
 
-  /** Crashes that are held against a request. */
+  /** Returns the number of crashes attributed to a request. */
   crashesOf(digest: string): number {
     return this.records.attributedCrashes(digest);
   }
 
   /**
-   * A backend has broken a request off. Ends when it is known whether the backend's process has ended; only that counts, for
-   * connections break off for other reasons too.
+   * Records that a backend has aborted a request. Resolves when the daemon has determined whether the backend's process has
+   * ended. Only an ended process counts as a crash, because connections break for other reasons too.
    */
   async brokeOff(
     backend: BackendRecord,
@@ -107,77 +107,77 @@
     this.options.logger.warn('crash_met', { request, digest, backend: backend.id, crashes });
     this.options.metrics.crashesMet.inc();
     this.gossip.tell(record);
-    this.noteCondemned();
+    this.updateCondemned();
   }
 
-  /** A backend has answered the request in full. */
+  /** Records that a backend has answered the request completely. */
   answered(digest: string): void {
-    this.excuse(digest, 'crash_excused');
+    this.clearCrashes(digest, 'crash_excused');
   }
 
-  /** Digests of the requests that are refused, with the starts of backends that have crashed under them. */
+  /** Returns the records of all refused requests. */
   refusedRequests(): CrashRecord[] {
     const now = steadyNow();
     return this.records.all(now).filter(({ digest }) => this.condemned.has(digest));
   }
 
-  /** An operator has the request sent again, at all daemons; false if nothing is held against it. */
+  /** Allows a request again at all daemons, on an operator's order. Returns false if no crash is attributed to it. */
   lift(digest: string): boolean {
-    return this.excuse(digest, 'crash_lifted');
+    return this.clearCrashes(digest, 'crash_lifted');
   }
 
-  /** Holds nothing against a request any more, here and at the others; false if nothing was. */
-  private excuse(digest: string, event: 'crash_excused' | 'crash_lifted'): boolean {
+  /** Clears the crashes attributed to a request at all daemons. Returns false if there were none. */
+  private clearCrashes(digest: string, event: 'crash_excused' | 'crash_lifted'): boolean {
     const record = this.records.recordAnswer(digest, steadyNow());
     if (record === undefined) return false;
     this.options.logger.info(event, { digest, starts: record.excused.length });
     this.gossip.tell(record);
-    this.noteCondemned();
+    this.updateCondemned();
     return true;
   }
 
-  /** A request that is refused has come. */
+  /** Records that a caller has repeated a refused request. */
   repeated(digest: string): void {
     this.records.recordRepeat(digest, steadyNow());
   }
 
-  /** Whether no other suspect runs at a backend that has not begun to answer. */
+  /** Returns whether a suspect may run at a backend, which is so unless another suspect there has not begun to be answered. */
   isPlaceFree(backend: string, suspect: SuspectRequest): boolean {
     const holder = this.running.get(backend);
     return holder === undefined || holder === suspect || holder.hasBegun;
   }
 
-  /** Takes the one place for suspects at a backend; false if another suspect has it. */
+  /** Reserves a backend for a suspect. Returns false if another suspect has reserved it. */
   takePlace(backend: string, suspect: SuspectRequest): boolean {
     if (!this.isPlaceFree(backend, suspect)) return false;
     this.running.set(backend, suspect);
     return true;
   }
 
-  /** The suspect runs no more. */
+  /** Releases all reservations of a suspect that no longer runs. */
   leavePlace(suspect: SuspectRequest): void {
     for (const [backend, holder] of this.running) {
       if (holder === suspect) this.running.delete(backend);
     }
   }
 
-  /** Takes a message of another daemon; false if it is of another kind. */
+  /** Handles a message of another daemon. Returns false if it is of another kind. */
   receive(from: string, body: PeerBody): boolean {
     if (body.case !== 'crashNews') return false;
     const { knownDigest } = body.value;
-    if (knownDigest === undefined) this.hear(from, body.value);
+    if (knownDigest === undefined) this.mergeFrom(from, body.value);
     else this.gossip.answer(from, knownDigest);
     return true;
   }
 
-  private hear(from: string, message: CrashNews): void {
-    const news = this.records.mergeAll(decodeCrashes(message), steadyNow());
-    if (news.length === 0) return;
-    this.options.logger.info('crash_news', { from, requests: news.length });
-    this.noteCondemned();
+  private mergeFrom(from: string, message: CrashNews): void {
+    const newRecords = this.records.mergeAll(decodeCrashes(message), steadyNow());
+    if (newRecords.length === 0) return;
+    this.options.logger.info('crash_news', { from, requests: newRecords.length });
+    this.updateCondemned();
   }
 
-  private noteCondemned(): void {
+  private updateCondemned(): void {
     const { logger, metrics, onCondemned } = this.options;
     const condemned = new Set(this.records.condemnedDigests());
     const added = [...condemned].filter((digest) => !this.condemned.has(digest));
@@ -194,24 +194,24 @@
   private hasEnded(address: string): Promise<boolean> {
     const now = steadyNow();
     const known = this.probes.get(address);
-    if (known !== undefined && now - known.at < PROBE_VALID_MS) return known.hasEnded;
-    const hasEnded = isRefused(address);
+    if (known !== undefined && now - known.at < PROBE_REUSE_MS) return known.hasEnded;
+    const hasEnded = refusesConnection(address);
     this.probes.set(address, { at: now, hasEnded });
     return hasEnded;
   }
 }
 
-/** Whether nobody listens at an address any more. */
-function isRefused(address: string): Promise<boolean> {
+/** Returns whether a connection to an address is refused, so that no process listens there. */
+function refusesConnection(address: string): Promise<boolean> {
   const [host, port] = splitAddress(address);
   return new Promise((resolve) => {
     const socket = net.connect({ host, port, timeout: PROBE_TIMEOUT_MS });
-    const end = (hasEnded: boolean): void => {
+    const finish = (hasEnded: boolean): void => {
       socket.destroy();
       resolve(hasEnded);
     };
-    socket.once('connect', () => end(false));
-    socket.once('timeout', () => end(false));
-    socket.once('error', (fault: NodeJS.ErrnoException) => end(fault.code === 'ECONNREFUSED'));
+    socket.once('connect', () => finish(false));
+    socket.once('timeout', () => finish(false));
+    socket.once('error', (error: NodeJS.ErrnoException) => finish(error.code === 'ECONNREFUSED'));
   });
 }
--- a/src/gateway/gateway-codec.ts
+++ b/src/gateway/gateway-codec.ts
@@ -1,4 +1,4 @@
-/** Between the gateway's types and the internal protocol's messages. */
+/** Converts types of the gateway to and from messages of the internal protocol. */
 import { create } from '@bufbuild/protobuf';
 import type { EndedBackend } from '../core/backend-presence.js';
 import type { DemandReport } from '../core/demand-report.js';
@@ -25,7 +25,7 @@
 } from '../proto/gen/internal_pb.js';
 import { decodeFigures, decodeGaps, encodeFigures, encodeGaps } from './capacity-codec.js';
 
-/** A daemon's demand as a message. */
+/** Encodes a daemon's demand. */
 export function encodeDemand(
   service: string,
   report: DemandReport,
@@ -44,7 +44,7 @@
   return { case: 'serviceDemand', value };
 }
 
-/** A daemon's demand out of a message. */
+/** Decodes a daemon's demand. */
 export function decodeDemand(daemon: string, message: ServiceDemand): DemandReport {
   return {
     daemon,
@@ -67,7 +67,7 @@
   };
 }
 
-/** An owner's update as a message. */
+/** Encodes an owner's placement update. */
 export function encodePlacement(update: PlacementUpdate, configurationVersion: number): PeerBody {
   const { service, epoch, version, baseVersion } = update;
   const backends = [...update.backends].map(([backend, models]) =>
@@ -101,7 +101,7 @@
   return create(HeldModelSchema, { model: name, adapters: [...adapters], readyInMs, unloading });
 }
 
-/** An owner's update out of a message. */
+/** Decodes an owner's placement update. */
 export function decodePlacement(message: ServicePlacement): PlacementUpdate {
   const backends = new Map<string, PlacedModel[]>();
   for (const { backend, models } of message.backends) {
@@ -128,19 +128,19 @@
   };
 }
 
-/** What a daemon that reads the platform's directory closely tells the others. */
+/** A report to the other daemons, sent by a daemon that watches the platform's directory. */
 export interface DirectoryReport {
   readonly configurationVersion: number;
   readonly ended: readonly EndedBackend[];
-  /** Where backends are; nothing is told of what they hold. */
+  /** Backends with their locations, without the models that they hold. */
   readonly started: readonly BackendRecord[];
-  /** The platform does not answer the sender. */
+  /** Whether the platform does not answer the sender. */
   readonly platformAway: boolean;
-  /** Digest of the backends that the sender lists as serving; undefined if it does not tell. */
+  /** Digest of the backends that the sender lists as serving; undefined if the sender reports none. */
   readonly servingDigest: number | undefined;
 }
 
-/** News of the directory as a message. */
+/** Encodes a directory report. */
 export function encodeNews(news: DirectoryReport): PeerBody {
   const ends = news.ended.map(({ id, revision: position }) =>
     create(BackendEndSchema, { backend: id, ...placeOf(position) }),
@@ -162,9 +162,9 @@
 }
 
 /**
- * News of the directory out of a message.
+ * Decodes a directory report.
  *
- * @param presentEra - Of the store, as the receiver knows it: taken where an earlier build tells none.
+ * @param presentEra - The era of the store that the receiver knows. It applies to entries of earlier builds, which have no era.
  */
 export function decodeNews(message: DirectoryNews, presentEra: number): DirectoryReport {
   const ended = message.ends.map(({ backend, revision, era = presentEra }) => {
--- a/src/gateway/holder-leases.ts
+++ b/src/gateway/holder-leases.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps this daemon's leases on what it holds for all, and its words to other holders. A holder asks
- * a few keepers, whatever the size of the group; nothing is asked for what nobody uses. Leases are counted by the lease clock,
- * words by the steady one: on a machine that was suspended a lease ends in time, and a word is kept for longer.
+ * Manages the leases of this daemon as a holder, and its votes for other holders. A holder requests votes from
+ * a few voters, whatever the size of the group, and only for names that are in use. Leases are timed by the lease clock and
+ * votes by the steady clock: on a machine that was suspended, a lease still ends in time and a vote lasts longer.
  */
 import { create } from '@bufbuild/protobuf';
 import { leaseNow } from '../common/lease-clock.js';
@@ -23,91 +23,91 @@
 } from '../proto/gen/internal_pb.js';
 import { steadyNow } from './steady-clock.js';
 
-/** Between two questions of a lease that holds: it outlasts two that get no answer. */
-const RENEW_PERIOD_MS = 400;
-/** Between two questions without a lease: the keepers' word to a former holder may end any time. */
-const RETRY_PERIOD_MS = 100;
-/** After so long without a lease, well after any word to another has ended, questions are few. */
-const RETRIES_SLOW_AFTER_MS = 2_500;
-/** Between two questions then: who is cut off with callers of all tenants sends little into the void. */
-const SLOW_RETRY_PERIOD_MS = 2_000;
+/** Interval between renewals of a held lease. The lease outlasts two unanswered renewals. */
+const RENEW_INTERVAL_MS = 400;
+/** Interval between requests without a lease. The votes for a previous holder may expire at any time. */
+const RETRY_INTERVAL_MS = 100;
+/** Time without a lease after which requests become rarer. Any vote for another holder has expired well before. */
+const SLOW_RETRIES_AFTER_MS = 2_500;
+/** Interval between requests after that time, so that a disconnected daemon with callers of many tenants sends few datagrams. */
+const SLOW_RETRY_INTERVAL_MS = 2_000;
 /**
- * A member that has not been seen for so long is no keeper: by then the views of a split group
- * have settled, and each side counts its own share of the daemons only.
+ * A member that has not been seen for this time is no voter. By then the membership views on both sides of a partition
+ * have settled, and each side counts only the shares of its own daemons.
  */
-const SETTLED_MS = 10_000;
-/** Between two looks at who may be a keeper. */
-const LOOK_PERIOD_MS = 500;
-/** Between two log lines about a lease that is not got. */
-const LOG_PERIOD_MS = 5_000;
+const VOTER_UNSEEN_MS = 10_000;
+/** Interval between updates of the list of daemons that may be voters. */
+const CANDIDATE_REFRESH_MS = 500;
+/** Interval between log lines about a lease that is not granted. */
+const LOG_INTERVAL_MS = 5_000;
 
 /** Options of {@link HolderLeases}. */
 export interface HolderLeasesOptions {
   readonly self: string;
   readonly logger: Logger;
-  /** Daemons that have a share of the limits: all daemons choose keepers among the same. */
+  /** Daemons that have a share of the limits. All daemons choose the voters from this same list. */
   readonly members: () => readonly ShareMember[];
   readonly live: () => readonly Pick<ShareMember, 'address'>[];
-  /** Milliseconds for which keepers remember what former holders have told. */
+  /** Milliseconds for which voters keep the records of previous holders. */
   readonly rememberMs: number;
   /**
-   * Start of this process in Unix milliseconds: higher at each start of this daemon. Questions are numbered
-   * from it on, and it names the process to the keepers and the members ({@link HolderLeases.process}).
+   * Start of this process in Unix milliseconds, which is higher at each start of this daemon. Requests are numbered
+   * from it on, and it identifies the process to the voters and the members ({@link HolderLeases.process}).
    */
   readonly firstSequence: number;
-  /** Steady time of the process's start: words that a former process at this address gave are older. */
+  /** Start of the process by the steady clock. Votes of an earlier process at this address are older. */
   readonly processStartedAt: number;
   readonly sendDatagram: (to: string, body: PeerBody) => void;
 }
 
-/** What one lease is for. */
+/** Callbacks of the user of one lease. */
 export interface HeldDuty {
-  /** The most that the holder would lend to itself for now, told to the keepers for its successor. */
+  /** Returns the maximum number of units that the holder would grant to itself now. Voters report it to the holder's successor. */
   readonly ownCeiling: (now: number) => number;
-  /** A keeper has answered, and the lease holds; called with each answer from the majority's on. */
+  /** Called when a voter has replied and the lease is held: first when a majority is reached, then after each reply. */
   readonly onAnswered: (now: number) => void;
-  /** The lease is got, after `missingMs` without it. */
+  /** Called when the lease is granted, after `missingMs` milliseconds without it. */
   readonly onGained: (history: LeaseHistory, missingMs: number, now: number) => void;
 }
 
-interface WantedLease {
-  readonly duty: HeldDuty;
+interface RequestedLease {
+  readonly handler: HeldDuty;
   readonly lease: HolderLease;
-  /** Since when it is wanted, or was lost. */
+  /** Time at which the lease was first requested or was last lost. */
   missingSince: number;
-  /** Whether the lease held at the last look. */
+  /** Whether the lease was held at the last check. */
   held: boolean;
   loggedAt: number;
-  /** Keepers that have refused their word since the last question. */
+  /** Number of voters that have refused the last request. */
   refused: number;
 }
 
-/** One daemon's leases and words. */
+/** The leases and votes of one daemon. */
 export class HolderLeases {
-  private readonly wanted = new Map<string, WantedLease>();
-  private readonly keeper: LeaseVoter;
+  private readonly requested = new Map<string, RequestedLease>();
+  private readonly voter: LeaseVoter;
   private readonly startedAt = steadyNow();
   private sequence: number;
-  /** When each member was seen last. */
-  private readonly seenAt = new Map<string, number>();
+  /** Time at which each member was last seen, by address. */
+  private readonly lastSeenAt = new Map<string, number>();
   private candidates: readonly ShareMember[] = [];
-  private lookedAt = -Infinity;
-  /** Keepers by name, until the candidates change. */
-  private readonly keepers = new Map<string, readonly string[]>();
+  private refreshedAt = -Infinity;
+  /** Voters by name. Cleared at each update of the candidates. */
+  private readonly votersByName = new Map<string, readonly string[]>();
 
   constructor(private readonly options: HolderLeasesOptions) {
-    this.keeper = new LeaseVoter(options.processStartedAt, options.rememberMs);
+    this.voter = new LeaseVoter(options.processStartedAt, options.rememberMs);
     this.sequence = options.firstSequence;
   }
 
-  /** Asks for the lease on a name, and renews it until it is released. */
-  want(name: string, duty: HeldDuty): void {
-    if (this.wanted.has(name)) return;
+  /** Requests the lease on a name and renews it until it is released. */
+  want(name: string, handler: HeldDuty): void {
+    if (this.requested.has(name)) return;
     const now = steadyNow();
     const lease = new HolderLease();
-    const entry = { duty, lease, missingSince: now, held: false, loggedAt: now, refused: 0 };
-    this.wanted.set(name, entry);
-    this.ask(name, entry, now);
+    const entry = { handler, lease, missingSince: now, held: false, loggedAt: now, refused: 0 };
+    this.requested.set(name, entry);
+    this.sendRequests(name, entry, now);
   }
 
   /** Start of this process, in Unix milliseconds. */
@@ -115,90 +115,90 @@
     return this.options.firstSequence;
   }
 
-  /** Whether this daemon may lend now: to be asked in the same turn as it lends. */
+  /** Returns whether this daemon may grant units now. Call it in the same event loop turn as the grant. */
   holds(name: string): boolean {
-    return this.wanted.get(name)?.lease.isHeld(leaseNow()) ?? false;
+    return this.requested.get(name)?.lease.isHeld(leaseNow()) ?? false;
   }
 
-  /** The most that this daemon may lend to itself now, in units of what is counted; 0 if the lease is not wanted. */
+  /** Returns the maximum number of units that this daemon may grant to itself now; 0 if the lease was not requested. */
   ownCeiling(name: string): number {
-    return this.wanted.get(name)?.lease.ownCeiling() ?? 0;
+    return this.requested.get(name)?.lease.ownCeiling() ?? 0;
   }
 
-  /** This daemon would lend itself more than its ceiling: the keepers are told of a higher one. */
+  /** Requests a higher ceiling from the voters, because this daemon would grant itself more units than its ceiling allows. */
   raise(name: string, units: number): void {
-    const entry = this.wanted.get(name);
+    const entry = this.requested.get(name);
     if (entry === undefined) return;
-    if (entry.lease.hasRequested(units, RETRY_PERIOD_MS, leaseNow())) return;
-    this.ask(name, entry, steadyNow());
+    if (entry.lease.hasRequested(units, RETRY_INTERVAL_MS, leaseNow())) return;
+    this.sendRequests(name, entry, steadyNow());
   }
 
-  /** Lends no more: another may begin at once. */
+  /** Gives up the lease on a name, so that another daemon can obtain it at once. */
   release(name: string): void {
-    const entry = this.wanted.get(name);
+    const entry = this.requested.get(name);
     if (entry === undefined) return;
     const now = steadyNow();
-    this.wanted.delete(name);
+    this.requested.delete(name);
     entry.lease.release();
     const { self, logger, sendDatagram } = this.options;
     logger.info('holder_lease_released', { name });
     const value = create(HolderLeaseReleaseSchema, { name, sequence: this.sequence });
-    for (const keeper of this.keepersOf(name, now)) {
-      if (keeper === self) this.keeper.release(name, self, this.sequence);
-      else sendDatagram(keeper, { case: 'holderLeaseRelease', value });
+    for (const voter of this.votersFor(name, now)) {
+      if (voter === self) this.voter.release(name, self, this.sequence);
+      else sendDatagram(voter, { case: 'holderLeaseRelease', value });
     }
   }
 
-  /** Looks at the clock; call it ten times a second. */
+  /** Updates leases and sends requests that are due; call it ten times a second. */
   tick(): void {
     const now = steadyNow();
-    this.lookAtCandidates(now);
-    for (const [name, entry] of this.wanted) {
-      this.followLease(name, entry, now);
-      const sinceAskedMs = entry.lease.sinceRequestMs(leaseNow());
-      if (sinceAskedMs >= askPeriodMs(entry, now)) this.ask(name, entry, now);
+    this.refreshCandidates(now);
+    for (const [name, entry] of this.requested) {
+      this.updateLease(name, entry, now);
+      const sinceRequestMs = entry.lease.sinceRequestMs(leaseNow());
+      if (sinceRequestMs >= requestIntervalMs(entry, now)) this.sendRequests(name, entry, now);
     }
   }
 
-  /** Handles a message about leases; false if it is another kind. */
+  /** Handles a message about leases. Returns false if it is of another kind. */
   receive(from: string, body: PeerBody): boolean {
-    if (body.case === 'holderLeaseQuestion') this.answer(from, body.value);
+    if (body.case === 'holderLeaseQuestion') this.handleRequest(from, body.value);
     else if (body.case === 'holderLeaseAnswer') {
       const { name, sequence, isGiven, soleMs, formerHolder, formerCeiling } = body.value;
       const former =
         formerHolder === ''
           ? undefined
-          : { holder: formerHolder, ownCeiling: knownUnits(formerCeiling) };
-      this.hear(from, name, sequence, { isGiven, soleMs, former });
+          : { holder: formerHolder, ownCeiling: validUnits(formerCeiling) };
+      this.handleVote(from, name, sequence, { isGiven, soleMs, former });
     } else if (body.case === 'holderLeaseRelease') {
-      this.keeper.release(body.value.name, from, body.value.sequence);
+      this.voter.release(body.value.name, from, body.value.sequence);
     } else return false;
     return true;
   }
 
-  private ask(name: string, entry: WantedLease, now: number): void {
+  private sendRequests(name: string, entry: RequestedLease, now: number): void {
     const { self, firstSequence: process, sendDatagram } = this.options;
-    const keepers = this.keepersOf(name, now);
+    const voters = this.votersFor(name, now);
     this.sequence += 1;
     const { sequence } = this;
-    const ownCeiling = entry.duty.ownCeiling(now);
+    const ownCeiling = entry.handler.ownCeiling(now);
     entry.refused = 0;
-    entry.lease.recordRequest(sequence, ownCeiling, keepers, leaseNow());
+    entry.lease.recordRequest(sequence, ownCeiling, voters, leaseNow());
     const value = create(HolderLeaseQuestionSchema, { name, sequence, ownCeiling, process });
-    for (const keeper of keepers) {
-      if (keeper !== self) sendDatagram(keeper, { case: 'holderLeaseQuestion', value });
+    for (const voter of voters) {
+      if (voter !== self) sendDatagram(voter, { case: 'holderLeaseQuestion', value });
     }
-    if (!keepers.includes(self)) return;
-    const question = { name, holder: self, process, sequence, ownCeiling };
-    const own = this.keeper.handleRequest(question, now, keepers.length === 1);
-    this.hear(self, name, sequence, own);
+    if (!voters.includes(self)) return;
+    const request = { name, holder: self, process, sequence, ownCeiling };
+    const ownVote = this.voter.handleRequest(request, now, voters.length === 1);
+    this.handleVote(self, name, sequence, ownVote);
   }
 
-  private answer(to: string, asked: HolderLeaseQuestion): void {
-    const { name, process, sequence } = asked;
-    const ownCeiling = knownUnits(asked.ownCeiling);
-    const question = { name, holder: to, process, sequence, ownCeiling };
-    const { isGiven, soleMs, former } = this.keeper.handleRequest(question, steadyNow());
+  private handleRequest(to: string, message: HolderLeaseQuestion): void {
+    const { name, process, sequence } = message;
+    const ownCeiling = validUnits(message.ownCeiling);
+    const request = { name, holder: to, process, sequence, ownCeiling };
+    const { isGiven, soleMs, former } = this.voter.handleRequest(request, steadyNow());
     const value = create(HolderLeaseAnswerSchema, {
       name,
       sequence,
@@ -210,74 +210,80 @@
     this.options.sendDatagram(to, { case: 'holderLeaseAnswer', value });
   }
 
-  private hear(keeper: string, name: string, sequence: number, answer: LeaseVote): void {
-    const entry = this.wanted.get(name);
+  private handleVote(voter: string, name: string, sequence: number, vote: LeaseVote): void {
+    const entry = this.requested.get(name);
     if (entry === undefined) return;
     const now = steadyNow();
     const hadLease = entry.lease.isHeld(leaseNow());
-    if (!answer.isGiven) entry.refused += 1;
-    const history = entry.lease.recordVote(keeper, sequence, answer);
+    if (!vote.isGiven) entry.refused += 1;
+    const history = entry.lease.recordVote(voter, sequence, vote);
     if (history === undefined || !entry.lease.isHeld(leaseNow())) return;
-    if (!hadLease) this.gained(name, entry, history, now);
-    entry.duty.onAnswered(now);
+    if (!hadLease) this.recordGain(name, entry, history, now);
+    entry.handler.onAnswered(now);
   }
 
-  private gained(name: string, entry: WantedLease, history: LeaseHistory, now: number): void {
+  private recordGain(
+    name: string,
+    entry: RequestedLease,
+    history: LeaseHistory,
+    now: number,
+  ): void {
     entry.held = true;
     const missingMs = now - entry.missingSince;
     const waitedMs = Math.round(missingMs);
-    const { soleMs, previousHolders: formers } = history;
-    const former = formers[0]?.holder;
+    const { soleMs, previousHolders: previous } = history;
+    const former = previous[0]?.holder;
     this.options.logger.info('holder_lease_gained', { name, waitedMs, soleMs, former });
-    entry.duty.onGained(history, missingMs, now);
+    entry.handler.onGained(history, missingMs, now);
   }
 
-  /** Logs what has become of a lease, a line a change, and now and then while it is not got. */
-  private followLease(name: string, entry: WantedLease, now: number): void {
+  /** Logs the loss of a lease, and at intervals that it is not granted. */
+  private updateLease(name: string, entry: RequestedLease, now: number): void {
     const holds = entry.lease.isHeld(leaseNow());
     const isLost = entry.held && !holds;
     entry.held = holds;
     if (isLost) entry.missingSince = now;
-    if (holds || (!isLost && now - entry.loggedAt < LOG_PERIOD_MS)) return;
+    if (holds || (!isLost && now - entry.loggedAt < LOG_INTERVAL_MS)) return;
     entry.loggedAt = now;
     const age = entry.lease.ageMs(leaseNow());
     const ageMs = Number.isFinite(age) ? Math.round(age) : undefined;
     const { refused } = entry;
-    const fields = { name, ageMs, refused, keepers: this.keepersOf(name, now).join(' ') };
+    const fields = { name, ageMs, refused, keepers: this.votersFor(name, now).join(' ') };
     this.options.logger.warn(isLost ? 'holder_lease_lost' : 'holder_lease_not_given', fields);
   }
 
-  private keepersOf(name: string, now: number): readonly string[] {
-    this.lookAtCandidates(now);
-    const known = this.keepers.get(name);
+  private votersFor(name: string, now: number): readonly string[] {
+    this.refreshCandidates(now);
+    const known = this.votersByName.get(name);
     if (known !== undefined) return known;
-    const keepers = votersOf(name, this.candidates);
-    this.keepers.set(name, keepers);
-    return keepers;
+    const voters = votersOf(name, this.candidates);
+    this.votersByName.set(name, voters);
+    return voters;
   }
 
-  private lookAtCandidates(now: number): void {
-    if (now - this.lookedAt < LOOK_PERIOD_MS) return;
-    this.lookedAt = now;
+  private refreshCandidates(now: number): void {
+    if (now - this.refreshedAt < CANDIDATE_REFRESH_MS) return;
+    this.refreshedAt = now;
     const { members, live } = this.options;
-    for (const { address } of live()) this.seenAt.set(address, now);
+    for (const { address } of live()) this.lastSeenAt.set(address, now);
     const isCandidate = ({ address }: ShareMember): boolean =>
-      now - (this.seenAt.get(address) ?? this.startedAt) < SETTLED_MS;
+      now - (this.lastSeenAt.get(address) ?? this.startedAt) < VOTER_UNSEEN_MS;
     const all = members();
     const addresses = new Set([...all, ...live()].map(({ address }) => address));
-    for (const seen of this.seenAt.keys()) if (!addresses.has(seen)) this.seenAt.delete(seen);
+    for (const address of this.lastSeenAt.keys())
+      if (!addresses.has(address)) this.lastSeenAt.delete(address);
     this.candidates = all.filter(isCandidate);
-    this.keepers.clear();
+    this.votersByName.clear();
   }
 }
 
-function askPeriodMs({ lease, missingSince }: WantedLease, now: number): number {
-  if (lease.isHeld(leaseNow())) return RENEW_PERIOD_MS;
-  const isSlow = now - missingSince >= RETRIES_SLOW_AFTER_MS;
-  return isSlow ? SLOW_RETRY_PERIOD_MS : RETRY_PERIOD_MS;
+function requestIntervalMs({ lease, missingSince }: RequestedLease, now: number): number {
+  if (lease.isHeld(leaseNow())) return RENEW_INTERVAL_MS;
+  const isSlow = now - missingSince >= SLOW_RETRIES_AFTER_MS;
+  return isSlow ? SLOW_RETRY_INTERVAL_MS : RETRY_INTERVAL_MS;
 }
 
-/** Units as another daemon tells them; what is no number of units counts as none. */
-function knownUnits(units: number): number {
+/** Validates units from another daemon's message: negative and non-finite values become 0. */
+function validUnits(units: number): number {
   return Number.isFinite(units) ? Math.max(0, units) : 0;
 }
--- a/src/gateway/limit-group.ts
+++ b/src/gateway/limit-group.ts
@@ -1,4 +1,4 @@
-/** Who counts which limit, and which share of it each daemon may count, as one daemon sees the group. */
+/** Which daemon is the holder of a limit, and which share of it each daemon may use, as one daemon sees the group. */
 import { leaseNow } from '../common/lease-clock.js';
 import { firstCandidate } from '../common/rendezvous.js';
 import type { LimitShares } from '../core/admission/limit-shares.js';
@@ -16,9 +16,9 @@
   readonly shares: LimitShares;
 }
 
-/** One daemon's view. Times are milliseconds of a steady clock. */
+/** One daemon's view of the group. Times are milliseconds of a steady clock. */
 export class LimitGroup {
-  /** Since when the same daemons may hold: the holders among them have counted all since. */
+  /** Time since which the candidates for holder are the same. Holders have counted all units since then. */
   candidatesSince: number;
   private candidates: string[] = [];
   private liveCount = 0;
@@ -33,17 +33,17 @@
     this.candidatesSince = now;
   }
 
-  /** Whether anybody may hold: nobody may as long as the division of limits is not known, or no daemon is seen that has a share. */
+  /** Whether there is a candidate for holder. There is none while the share record is unknown or no daemon with a share is live. */
   get hasCandidates(): boolean {
     return this.candidates.length > 0;
   }
 
-  /** The set of live daemons has changed, or the division of limits. */
+  /** Notes that the set of live daemons or the share record has changed. */
   changed(): void {
     this.hasChanged = true;
   }
 
-  /** Takes a change of the live daemons in; returns whether other daemons may hold now. */
+  /** Applies a noted change. Returns whether the candidates for holder have changed. */
   follow(now: number): boolean {
     if (!this.hasChanged) return false;
     this.hasChanged = false;
@@ -60,33 +60,33 @@
     return true;
   }
 
-  /** The daemon that counts under the limit of a name. */
+  /** Returns the holder of a name: the daemon that counts units under its limit. */
   holderOf(name: string): string {
     const { kind, self } = this.options;
     return firstCandidate(heldName(kind, name), this.candidates) ?? self;
   }
 
-  /** Whether this daemon counts under the limit of a name. */
+  /** Returns whether this daemon is the holder of a name. */
   isHolder(name: string): boolean {
     return this.holderOf(name) === this.options.self;
   }
 
-  /** Whether this daemon may count as a holder. */
+  /** Whether this daemon may use its share, and so may grant units as a holder. */
   get mayCount(): boolean {
     return this.options.shares.mayUseShare(leaseNow());
   }
 
-  /** Units of a window that this daemon may admit alone: all together pass no limit. */
+  /** Returns the units per window that this daemon may admit without the holder. The shares of all daemons together exceed no limit. */
   ownShare(limit: RateLimit): number {
     return this.unitsOf(limit) * this.options.shares.ownShare(leaseNow());
   }
 
-  /** Units of a window that each daemon with a share may admit alone. */
+  /** Returns the units per window that each daemon with a share may admit without the holder. */
   usualShare(limit: RateLimit): number {
     return this.unitsOf(limit) * this.options.shares.sharePerMember;
   }
 
-  /** What a holder counts. */
+  /** Returns the number of live daemons and the fraction of the limits that a holder may grant. */
   view(): HolderView {
     const share = this.options.shares.combinedShare(this.sharerCount, leaseNow());
     return { daemons: Math.max(1, this.liveCount), share };
@@ -96,7 +96,7 @@
     return (perSecond * this.options.kind.windowMs) / 1_000 + burst;
   }
 
-  /** Addresses of the live daemons. */
+  /** Returns the addresses of the live daemons. */
   liveAddresses(): Set<string> {
     return new Set(this.options.live().map((member) => member.address));
   }
--- a/src/gateway/limit-holder.ts
+++ b/src/gateway/limit-holder.ts
@@ -1,6 +1,6 @@
 /**
- * The part of a daemon that counts under limits for all. It grants under a lease that ends before the next
- * holder counts, and answers the questions of the others and its own.
+ * The holder's role of a daemon: it counts units under limits on behalf of all daemons. It grants units under a lease that
+ * ends before the next holder counts, and replies to requests of the other daemons and its own.
  */
 import { create } from '@bufbuild/protobuf';
 import type { Logger } from '../common/logger.js';
@@ -13,15 +13,16 @@
 import { heldName, type LimitKind } from './limit-kind.js';
 import { steadyNow } from './steady-clock.js';
 
-/** Without an answer by then whoever asks decides alone. */
+/** Timeout of a request to the holder. Without a reply by then the requesting daemon decides by its own share. */
 export const ANSWER_WITHIN_MS = 200;
-/** A ledger that counts for nobody any more is dropped after so many windows. */
-const LEDGER_WINDOWS = 2;
-/** The most questions on one name that wait for the lease; a daemon that gets no answer asks again. */
-const MOST_WAITING = 1_000;
+/** Number of windows without use after which a ledger is deleted. */
+const UNUSED_LEDGER_WINDOWS = 2;
+/** Maximum number of requests per name that wait for the lease. A daemon that gets no reply sends its request again. */
+const MAX_WAITING_REQUESTS = 1_000;
 /**
- * A holder tells its keepers of so much more than its own callers have used, as a part of that or of
- * its share: enough that it seldom asks for more, little enough that a successor loses not much.
+ * Headroom of the announced ceiling over the units of the holder's own callers, as a fraction of these units or of
+ * its share. It is large enough that the holder seldom requests a higher ceiling, and small enough that a successor
+ * loses few units to it.
  */
 const CEILING_HEADROOM = 0.25;
 
@@ -31,69 +32,69 @@
   readonly kind: LimitKind;
   readonly logger: Logger;
   readonly group: LimitGroup;
-  /** The leases under which this daemon grants. */
+  /** The leases under which this daemon grants units. */
   readonly leases: HolderLeases;
-  /** The limit in force on a name; undefined if there is none. */
+  /** Returns the limit in force on a name; undefined if there is none. */
   readonly limitOf: (name: string) => RateLimit | undefined;
-  /** Units that this daemon has admitted for its own callers in the window that ends now. */
+  /** Returns the units that this daemon has admitted for its own callers in the window that ends now. */
   readonly ownUnits: (name: string, now: number) => number;
-  /** Sends to a daemon, which may be this one. */
+  /** Sends a message to a daemon, which may be this one. */
   readonly deliver: (to: string, body: PeerBody) => void;
   readonly broadcast: (body: PeerBody) => void;
 }
 
 interface HeldLedger {
   readonly ledger: RateLedger;
-  /** As it was announced to the other daemons last. */
+  /** Whether the last announcement to the other daemons said that requests need the holder's decision. */
   announcedTight: boolean;
   usedAt: number;
-  /** Questions that came before the lease, by daemon and number. */
-  readonly waiting: Map<string, WaitingQuestion>;
+  /** Requests that arrived before the lease or the ceiling was granted, by daemon and number. */
+  readonly waiting: Map<string, WaitingRequest>;
 }
 
-interface WaitingQuestion {
+interface WaitingRequest {
   readonly from: string;
   readonly charge: LimitCharge;
-  readonly cameAt: number;
+  readonly arrivedAt: number;
 }
 
-/** One daemon's ledgers. */
+/** The ledgers of one daemon as a holder. */
 export class LimitHolder {
   private readonly ledgers = new Map<string, HeldLedger>();
 
   constructor(private readonly options: LimitHolderOptions) {}
 
   /**
-   * Decides on a request of this daemon's own callers; `undefined` if the lease, or the keepers' answer to a higher
-   * ceiling, must come first, so that it has to be asked for like that of another daemon.
+   * Decides on a request of this daemon's own callers. Returns `undefined` if the lease or the voters' reply to a higher
+   * ceiling is still missing; the request must then be sent like that of another daemon.
    */
   admitOwn(name: string, units: number, now: number): LimitDecision | undefined {
     const held = this.held(name, now);
     if (held === undefined) return { type: 'granted' };
-    return this.mayLendItself(name, units, now) ? held.ledger.admit(units, now) : undefined;
+    return this.mayGrantOwn(name, units, now) ? held.ledger.admit(units, now) : undefined;
   }
 
-  /** Counts units of this daemon's own callers, or gives them back. */
+  /** Counts units of this daemon's own callers. Negative units are returned ones. */
   countOwn(name: string, units: number, now: number): void {
     this.held(name, now)?.ledger.count(units, now);
   }
 
-  /** Counts what this daemon has admitted before it held. */
+  /** Counts units that this daemon admitted before it became the holder. */
   recallOwn(name: string, units: number, now: number): void {
     this.held(name, now)?.ledger.countReported(units, now);
   }
 
-  /** Other daemons may hold now. */
+  /** Requests and releases leases after the candidates for holder have changed. */
   followGroup(): void {
-    for (const [name, held] of this.ledgers) this.followLease(name, held);
+    for (const [name, held] of this.ledgers) this.updateLease(name, held);
   }
 
-  /** Looks at the ledgers; call it a few times a second. */
+  /** Announces changes and deletes unused ledgers; call it a few times a second. */
   tick(now: number): void {
-    for (const [name, held] of this.ledgers) this.tellTightness(name, held, now);
+    for (const [name, held] of this.ledgers) this.updateTightness(name, held, now);
   }
 
-  /** Counts what a daemon tells, and answers what it asks. */
+  /** Counts units that a daemon reports, or replies to its request. */
   hearCharge(from: string, charge: LimitCharge): void {
     const { tenant: name, units, question, isRecalled } = charge;
     const now = steadyNow();
@@ -104,55 +105,55 @@
       if (isRecalled) ledger.countReported(units, now);
       else ledger.count(units, now);
       const isTight = ledger.requiresApproval(now);
-      if (!this.mayLend(name) || !(isTight || charge.wantsWord)) return;
-      return this.answer(from, name, 0, { type: 'granted' }, isTight);
+      if (!this.mayGrant(name) || !(isTight || charge.wantsWord)) return;
+      return this.reply(from, name, 0, { type: 'granted' }, isTight);
     }
-    if (!this.mayAnswer(from, charge, now)) return this.keepWaiting(from, charge, held, now);
+    if (!this.mayReply(from, charge, now)) return this.queueRequest(from, charge, held, now);
     const decision = ledger.admit(units, now);
-    this.answer(from, name, question, decision, ledger.requiresApproval(now));
+    this.reply(from, name, question, decision, ledger.requiresApproval(now));
   }
 
-  /** Whether this daemon may grant to others now: its lease holds, and it may count shares. */
-  private mayLend(name: string): boolean {
+  /** Returns whether this daemon may grant units to others now: it holds the lease and may use its share. */
+  private mayGrant(name: string): boolean {
     const { group, leases } = this.options;
     return group.mayCount && leases.holds(this.leaseName(name));
   }
 
-  /** Whether it may serve its own callers: its successor must be able to know of it. */
-  private mayLendItself(name: string, units: number, now: number): boolean {
+  /** Returns whether this daemon may grant units to its own callers. They must be within the ceiling, from which its successor learns of them. */
+  private mayGrantOwn(name: string, units: number, now: number): boolean {
     const own = this.options.ownUnits(name, now) + units;
-    return this.mayLend(name) && own <= this.options.leases.ownCeiling(this.leaseName(name));
+    return this.mayGrant(name) && own <= this.options.leases.ownCeiling(this.leaseName(name));
   }
 
-  private mayAnswer(from: string, charge: LimitCharge, now: number): boolean {
+  private mayReply(from: string, charge: LimitCharge, now: number): boolean {
     const { tenant: name, units } = charge;
-    if (from !== this.options.self) return this.mayLend(name);
-    return this.mayLendItself(name, units, now);
+    if (from !== this.options.self) return this.mayGrant(name);
+    return this.mayGrantOwn(name, units, now);
   }
 
-  /** A question waits for the lease, or for the keepers' answer to a higher ceiling. */
-  private keepWaiting(from: string, charge: LimitCharge, held: HeldLedger, now: number): void {
-    if (held.waiting.size >= MOST_WAITING) return;
-    held.waiting.set(`${from} ${charge.question}`, { from, charge, cameAt: now });
+  /** Queues a request until the lease or a higher ceiling is granted. */
+  private queueRequest(from: string, charge: LimitCharge, held: HeldLedger, now: number): void {
+    if (held.waiting.size >= MAX_WAITING_REQUESTS) return;
+    held.waiting.set(`${from} ${charge.question}`, { from, charge, arrivedAt: now });
     const { tenant: name, units } = charge;
-    if (from !== this.options.self || !this.mayLend(name)) return;
+    if (from !== this.options.self || !this.mayGrant(name)) return;
     const own = this.options.ownUnits(name, now);
     this.options.leases.raise(this.leaseName(name), own + units);
   }
 
-  private answerWaiting(held: HeldLedger, now: number): void {
+  private replyToWaiting(held: HeldLedger, now: number): void {
     if (held.waiting.size === 0) return;
     const waiting = [...held.waiting.values()];
     held.waiting.clear();
-    for (const { from, charge, cameAt } of waiting) {
-      if (now - cameAt < ANSWER_WITHIN_MS) this.hearCharge(from, charge);
+    for (const { from, charge, arrivedAt } of waiting) {
+      if (now - arrivedAt < ANSWER_WITHIN_MS) this.hearCharge(from, charge);
     }
   }
 
-  /** Who asked has decided alone since. */
-  private forgetWaiting({ waiting }: HeldLedger, now: number): void {
-    for (const [key, { cameAt }] of waiting) {
-      if (now - cameAt >= ANSWER_WITHIN_MS) waiting.delete(key);
+  /** Deletes requests that have timed out. The requesting daemon has decided by its own share. */
+  private deleteTimedOut({ waiting }: HeldLedger, now: number): void {
+    for (const [key, { arrivedAt }] of waiting) {
+      if (now - arrivedAt >= ANSWER_WITHIN_MS) waiting.delete(key);
     }
   }
 
@@ -171,22 +172,22 @@
     const held = { ledger, announcedTight: true, usedAt: now, waiting: new Map() };
     this.ledgers.set(name, held);
     logger.info('limit_held', { [kind.subject]: name, share: view.share });
-    this.followLease(name, held);
+    this.updateLease(name, held);
     return held;
   }
 
-  /** Asks for the lease on a count that this daemon holds, and gives it back with the count. */
-  private followLease(name: string, held: HeldLedger): void {
+  /** Requests the lease on a name if this daemon is its holder, otherwise releases it. */
+  private updateLease(name: string, held: HeldLedger): void {
     const { leases, group } = this.options;
     if (!group.isHolder(name)) return leases.release(this.leaseName(name));
     leases.want(this.leaseName(name), {
       ownCeiling: (now) => this.ownCeiling(name, held, now),
       onGained: (history, missingMs, now) => this.leaseGained(name, held, history, missingMs, now),
-      onAnswered: (now) => this.answerWaiting(held, now),
+      onAnswered: (now) => this.replyToWaiting(held, now),
     });
   }
 
-  /** Units that the holder tells the keepers as the most that it admits for its own callers in a window. */
+  /** Returns the ceiling to announce to the voters: the maximum number of units per window that the holder admits for its own callers. */
   private ownCeiling(name: string, held: HeldLedger, now: number): number {
     const { self, group, limitOf, ownUnits } = this.options;
     const limit = limitOf(name);
@@ -206,51 +207,51 @@
   ): void {
     const { limitOf, kind, group, logger } = this.options;
     const limit = limitOf(name);
-    // Nobody was answered meanwhile: other daemons may have counted their shares alone.
-    const wasSilent = missingMs >= ANSWER_WITHIN_MS;
-    const mayHaveOthersUnits = wasSilent || history.soleMs < kind.windowMs;
+    // Requests were not answered in the meantime, so other daemons may have used their own shares.
+    const wasUnanswered = missingMs >= ANSWER_WITHIN_MS;
+    const mayHaveOthersUnits = wasUnanswered || history.soleMs < kind.windowMs;
     if (limit === undefined || !mayHaveOthersUnits) return;
-    const unseen = this.unseenUnits(history, group.usualShare(limit));
-    const forgotten = this.forgottenUnits(history);
+    const unseen = this.departedHolderUnits(history, group.usualShare(limit));
+    const forgotten = this.previousProcessUnits(history);
     held.ledger.restartFrom(now, unseen);
     if (forgotten > 0) held.ledger.countReported(forgotten, now);
-    // Who has heard a former process of this daemon tells it again what it has admitted.
-    if (forgotten > 0) this.tellAll(name, true);
+    // Daemons that know the previous process of this daemon reply with the units that they have admitted.
+    if (forgotten > 0) this.broadcastTightness(name, true);
     logger.info('limit_counted_from', { [kind.subject]: name, unseen, forgotten });
   }
 
-  /** Units that former holders which are gone can have admitted for themselves beyond their share of the limit. */
-  private unseenUnits({ previousHolders: formers }: LeaseHistory, share: number): number {
+  /** Returns the maximum number of units that a previous holder, no longer live, can have admitted for itself beyond its share. */
+  private departedHolderUnits({ previousHolders: previous }: LeaseHistory, share: number): number {
     const live = this.options.group.liveAddresses();
-    const gone = formers.filter(({ holder }) => !live.has(holder));
-    return gone.reduce((most, { ownCeiling }) => Math.max(most, ownCeiling - share), 0);
+    const departed = previous.filter(({ holder }) => !live.has(holder));
+    return departed.reduce((most, { ownCeiling }) => Math.max(most, ownCeiling - share), 0);
   }
 
-  /** Units that a former process of this daemon has admitted for itself at most. */
-  private forgottenUnits({ previousHolders: formers }: LeaseHistory): number {
-    const own = formers.filter(({ holder }) => holder === this.options.self);
+  /** Returns the maximum number of units that a previous process of this daemon can have admitted for itself. */
+  private previousProcessUnits({ previousHolders: previous }: LeaseHistory): number {
+    const own = previous.filter(({ holder }) => holder === this.options.self);
     return own.reduce((most, { ownCeiling }) => Math.max(most, ownCeiling), 0);
   }
 
-  private tellTightness(name: string, held: HeldLedger, now: number): void {
+  private updateTightness(name: string, held: HeldLedger, now: number): void {
     const { kind } = this.options;
-    if (now - held.usedAt > LEDGER_WINDOWS * kind.windowMs) {
+    if (now - held.usedAt > UNUSED_LEDGER_WINDOWS * kind.windowMs) {
       this.ledgers.delete(name);
       this.options.leases.release(this.leaseName(name));
       return;
     }
-    this.forgetWaiting(held, now);
-    if (!this.mayLend(name)) return;
+    this.deleteTimedOut(held, now);
+    if (!this.mayGrant(name)) return;
     const isTight = held.ledger.requiresApproval(now);
     if (isTight === held.announcedTight) return;
     held.announcedTight = isTight;
     const used = Math.round(held.ledger.used(now));
     const capacity = Math.round(held.ledger.capacity());
     this.options.logger.info('limit_tight', { [kind.subject]: name, isTight, used, capacity });
-    this.tellAll(name, isTight);
+    this.broadcastTightness(name, isTight);
   }
 
-  private answer(
+  private reply(
     to: string,
     tenant: string,
     question: number,
@@ -266,7 +267,7 @@
     this.options.deliver(to, { case: 'limitAnswer', value: create(LimitAnswerSchema, fields) });
   }
 
-  private tellAll(tenant: string, isTight: boolean): void {
+  private broadcastTightness(tenant: string, isTight: boolean): void {
     const { leases, kind } = this.options;
     const { process } = leases;
     const value = create(LimitNewsSchema, {
@@ -278,7 +279,7 @@
     this.options.broadcast({ case: 'limitNews', value });
   }
 
-  /** Names the lease on a count. */
+  /** Returns the name of the lease on a limit. */
   private leaseName(name: string): string {
     return heldName(this.options.kind, name);
   }
--- a/src/gateway/limit-kind.ts
+++ b/src/gateway/limit-kind.ts
@@ -1,26 +1,26 @@
-/** What differs between the limits that daemons keep together: on tenants, and on backends that name one. */
+/** The kinds of limits that all daemons apply together: on tenants, and on backends that announce a limit. */
 import { LimitLedger, type LimitWindow } from '../core/admission/limit-ledger.js';
 import { PermitLedger } from '../core/admission/permit-ledger.js';
 import type { HolderView, RateLedger, RateLimit } from '../core/admission/rate-ledger.js';
 
-/** Milliseconds in which backends count arrivals under their limit. */
+/** Window in which backends count arrivals under their limit. */
 const BACKEND_WINDOW_MS = 4_000;
 
-/** Limits of one kind. */
+/** Properties of one kind of limit. */
 export interface LimitKind {
-  /** Names what a limit is on, as the key of log lines. */
+  /** What the limit applies to; the key of its name in log lines. */
   readonly subject: 'tenant' | 'backend';
-  /** Tells the kinds apart in messages. */
+  /** Distinguishes the kinds in messages. */
   readonly isOfBackend: boolean;
-  /** Names of leases, and ranks of holders, begin with it. */
+  /** Prefix of lease names and of the keys that rank the holders. */
   readonly leasePrefix: string;
-  /** Milliseconds in which units are counted. */
+  /** Length of the window in which units are counted, in milliseconds. */
   readonly windowMs: number;
-  /** @param startedAt - Steady time from which on the holder counts for all. */
+  /** @param startedAt - Time of the steady clock from which on the holder counts the units of all daemons. */
   makeLedger(limit: RateLimit, view: HolderView, startedAt: number): RateLedger;
 }
 
-/** Limits that the operator gives tenants. */
+/** Limits on tenants, which the operator configures. */
 export function tenantLimitKind(window: LimitWindow): LimitKind {
   return {
     subject: 'tenant',
@@ -31,7 +31,7 @@
   };
 }
 
-/** Limits that backends name. */
+/** Limits that backends announce. */
 export const backendLimitKind: LimitKind = {
   subject: 'backend',
   isOfBackend: true,
@@ -40,7 +40,7 @@
   makeLedger: (limit, view, startedAt) => new PermitLedger(limit, view, startedAt),
 };
 
-/** The name under which a limit is held: of its lease, and of its holder's rank. */
+/** Returns the name of a limit's lease, which is also the key that ranks its holders. */
 export function heldName({ leasePrefix }: LimitKind, name: string): string {
   return `${leasePrefix}/${name}`;
 }
--- a/src/gateway/rate-limit-codec.ts
+++ b/src/gateway/rate-limit-codec.ts
@@ -1,4 +1,4 @@
-/** Between beliefs of backends' rate limits and the internal protocol's messages. */
+/** Converts recorded rate limits of backends to and from messages of the internal protocol. */
 import { create } from '@bufbuild/protobuf';
 import type { RecordedRateLimit } from '../core/backend-rate-limits.js';
 import type { PeerBody } from '../daemon/peer-transport.js';
@@ -8,26 +8,26 @@
   type BackendRateLimits,
 } from '../proto/gen/internal_pb.js';
 
-/** Entries of a message that are read; a daemon of our own tells no more. */
-const MOST_ENTRIES = 2_048;
+/** Maximum number of entries decoded from a message. Daemons of this build send no more. */
+const MAX_ENTRIES = 2_048;
 
-/** News, or all that is known. */
-export function encodeRateLimits(beliefs: readonly RecordedRateLimit[]): PeerBody {
-  const limits = beliefs.map(({ backend, generation, perSecond }) => {
+/** Encodes recorded limits, either new ones or all. */
+export function encodeRateLimits(recorded: readonly RecordedRateLimit[]): PeerBody {
+  const limits = recorded.map(({ backend, generation, perSecond }) => {
     const { id, start = '' } = backend;
     return create(BackendRateLimitSchema, { id, start, generation, perSecond });
   });
   return { case: 'backendRateLimits', value: create(BackendRateLimitsSchema, { limits }) };
 }
 
-/** A question to a daemon that may know something else. */
+/** Encodes a request for the limits of a daemon whose digest differs from `knownDigest`. */
 export function encodeRateLimitQuestion(knownDigest: number): PeerBody {
   return { case: 'backendRateLimits', value: create(BackendRateLimitsSchema, { knownDigest }) };
 }
 
-/** Beliefs out of a message; an entry with a limit that is no rate is passed over. */
+/** Decodes recorded limits. Entries whose limit is negative or not finite are skipped. */
 export function decodeRateLimits({ limits }: BackendRateLimits): RecordedRateLimit[] {
-  return limits.slice(0, MOST_ENTRIES).flatMap(({ id, start, generation, perSecond }) => {
+  return limits.slice(0, MAX_ENTRIES).flatMap(({ id, start, generation, perSecond }) => {
     const isRate = perSecond === undefined || (Number.isFinite(perSecond) && perSecond >= 0);
     const backend = { id, ...(start === '' ? {} : { start }) };
     return isRate ? [{ backend, generation, perSecond }] : [];
--- a/src/gateway/rate-limiting.ts
+++ b/src/gateway/rate-limiting.ts
@@ -1,4 +1,4 @@
-/** All limits that this daemon keeps together with the others: of tenants, and of backends that name one. */
+/** All limits that this daemon applies together with the others: of tenants, and of backends that announce a limit. */
 import type { Logger } from '../common/logger.js';
 import type { LimitShares } from '../core/admission/limit-shares.js';
 import type { LimitWindow } from '../core/admission/limit-ledger.js';
@@ -22,18 +22,18 @@
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
   readonly tenantWindow: LimitWindow;
-  /** How limits are divided among the daemons, as this one knows it. */
+  /** The division of limits among the daemons, as this daemon knows it. */
   readonly shares: LimitShares;
   readonly store: RecordStore;
-  /** Whether a daemon has ended, as far as the platform's list tells. */
+  /** Returns whether a daemon has ended, according to the platform's list. */
   readonly hasEnded: (address: string) => boolean;
   readonly tenantLimit: (tenant: string) => RateLimit | undefined;
   readonly areTenantsLimited: () => boolean;
-  /** A backend's limit has changed. */
+  /** Called when a backend's limit has changed. */
   readonly onChange: () => void;
 }
 
-/** One daemon's part. */
+/** The limits of one daemon. */
 export class RateLimiting {
   readonly tenants: SharedLimits;
   readonly permits: BackendPermits;
@@ -51,19 +51,19 @@
     this.permits = new BackendPermits({ ...links, logger, metrics, limits, onChange });
   }
 
-  /** Reads how limits are divided; call it when messages from the others can come. */
+  /** Starts to read the division of limits; call it when messages from other daemons can arrive. */
   start(): void {
     this.agreement.tick();
   }
 
-  /** The set of live daemons has changed, or the division of limits. */
+  /** Call this when the set of live daemons or the division of limits has changed. */
   groupChanged(): void {
     this.agreement.groupChanged();
     this.tenants.groupChanged();
     this.backends.groupChanged();
   }
 
-  /** Looks at the clock; call it ten times a second. */
+  /** Runs periodic work; call it ten times a second. */
   tick(): void {
     this.agreement.tick();
     this.leases.tick();
@@ -72,13 +72,13 @@
     this.permits.tick();
   }
 
-  /** Handles a message about limits; false if it is another kind. */
+  /** Handles a message about limits. Returns false if it is of another kind. */
   receive(from: string, body: PeerBody): boolean {
     const receivers = [this.agreement, this.leases, this.tenants, this.backends, this.permits];
     return receivers.some((receiver) => receiver.receive(from, body));
   }
 
-  /** Puts the limits of listed backends into the metrics. */
+  /** Sets the metric of each listed backend's limit. */
   refreshMetrics(backends: readonly BackendRecord[]): void {
     const { backendRateLimit } = this.options.metrics;
     backendRateLimit.reset();
--- a/src/gateway/share-agreement.ts
+++ b/src/gateway/share-agreement.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps this daemon's knowledge of how limits are divided among the daemons, and changes the division where it coordinates
- * changes. The record stands in the platform's store; daemons tell each other of it, so that a change costs the store a few
- * calls, however many daemons there are, and a daemon that starts while the store is away hears of it.
+ * Keeps this daemon's copy of the share record, which divides the limits among the daemons, and changes the record if this
+ * daemon is the coordinator. The record is stored in the platform's store. Daemons also send it to each other, so that a change
+ * costs the store a few calls, however many daemons there are, and a daemon that starts while the store is unavailable receives it.
  */
 import { create } from '@bufbuild/protobuf';
 import { leaseNow } from '../common/lease-clock.js';
@@ -26,27 +26,27 @@
 import { ShareRecordStore } from './share-record-store.js';
 import { steadyNow } from './steady-clock.js';
 
-/** Daemons rank the coordinator of changes under this name. */
+/** Key by which daemons rank the candidates for coordinator. */
 const COORDINATOR_RANK = 'limit-shares';
-/** From a reading that failed, or found nothing, to the next; twice as long after each. */
-const FIRST_RETRY_MS = 300;
-const LONGEST_RETRY_MS = 4_000;
-/** Between two tries to write a change. */
-const WRITE_PERIOD_MS = 500;
-/** Between two questions of a daemon that has not read the store. */
-const UNREAD_QUESTION_MS = 300;
-/** Between two questions to members about a change. */
-const CHANGE_QUESTION_MS = 300;
-/** Between two questions of each daemon, to one other after another: news may be lost with a connection. */
-const USUAL_QUESTION_MS = 5_000;
-/** Questions of which an answer still counts. */
-const OPEN_QUESTIONS = 16;
-/** The first question of a process has a number below this, by the time of its start. */
-const FIRST_SEQUENCES = 2 ** 30;
-/** Between two log lines about members that do not answer. */
-const LOG_PERIOD_MS = 5_000;
-/** Members that such a line names. */
-const MOST_NAMED = 3;
+/** Delay after a read that failed or found no record. It doubles with each such read, up to the maximum. */
+const MIN_RETRY_MS = 300;
+const MAX_RETRY_MS = 4_000;
+/** Minimum interval between attempts to write a change. */
+const WRITE_INTERVAL_MS = 500;
+/** Interval between requests of a daemon that has not read the store. */
+const UNREAD_REQUEST_INTERVAL_MS = 300;
+/** Interval between requests to members that have not acknowledged a change. */
+const MEMBER_REQUEST_INTERVAL_MS = 300;
+/** Interval between the regular requests of each daemon, to the other daemons in turn. An announcement may be lost with a connection. */
+const REGULAR_REQUEST_INTERVAL_MS = 5_000;
+/** Minimum number of latest requests to which replies are still accepted. */
+const MIN_OPEN_REQUESTS = 16;
+/** Upper bound of a process's first sequence number, which is derived from its start time. */
+const FIRST_SEQUENCE_BOUND = 2 ** 30;
+/** Interval between log lines about members that do not reply. */
+const LOG_INTERVAL_MS = 5_000;
+/** Maximum number of members named in such a line. */
+const MAX_NAMED_MEMBERS = 3;
 
 /** Options of {@link ShareAgreement}. */
 export interface ShareAgreementOptions {
@@ -54,36 +54,36 @@
   readonly logger: Logger;
   readonly shares: LimitShares;
   readonly store: Pick<RecordStore, 'read' | 'write'>;
-  /** Daemons that may be given duties, this one among them. */
+  /** Returns the daemons that may have shares, including this one. */
   readonly live: () => readonly DutyMember[];
-  /** Whether a daemon that is not live has ended, as far as the platform's list tells. */
+  /** Returns whether a daemon that is not live has ended, according to the platform's list. */
   readonly hasEnded: (address: string) => boolean;
   readonly send: (to: string, body: PeerBody) => void;
   readonly sendDatagram: (to: string, body: PeerBody) => void;
   readonly broadcast: (body: PeerBody) => void;
-  /** Another record is known, or this daemon may count by it, or no longer. */
+  /** Called when a newer record is known, or when this daemon gains or loses permission to use its share. */
   readonly onChange: () => void;
 }
 
-/** One daemon's part. */
+/** One daemon's copy of the share record, and its part in changes. */
 export class ShareAgreement {
   private readonly changes = new ShareChanges();
-  /** When the last questions were asked, by the lease clock. */
-  private readonly questions = new Map<number, number>();
-  /** An answer to a question of a former process is none to this one's. */
-  private sequence = Date.now() % FIRST_SEQUENCES;
-  private turn = 0;
-  /** Which daemon coordinates changes; undefined until the live daemons have been looked at. */
+  /** Times of the latest requests by the lease clock, by sequence number. */
+  private readonly openRequests = new Map<number, number>();
+  /** Starts at a different number in each process, so that replies to a previous process are not accepted. */
+  private sequence = Date.now() % FIRST_SEQUENCE_BOUND;
+  private peerIndex = 0;
+  /** The daemon that coordinates changes; undefined until it is determined from the live daemons. */
   private coordinator: string | undefined;
   private isBusy = false;
   private isAbsent = false;
-  private mayCount = false;
+  private mayUseShare = false;
   private retryAt = -Infinity;
   private writeAt = -Infinity;
-  private retryMs = FIRST_RETRY_MS;
-  private askedUnreadAt = -Infinity;
-  private askedMembersAt = -Infinity;
-  private askedUsualAt = -Infinity;
+  private retryMs = MIN_RETRY_MS;
+  private unreadRequestAt = -Infinity;
+  private memberRequestAt = -Infinity;
+  private regularRequestAt = -Infinity;
   private loggedAt = -Infinity;
   private readonly records: ShareRecordStore;
 
@@ -91,35 +91,36 @@
     this.records = new ShareRecordStore(options);
   }
 
-  /** Looks at the clock; call it ten times a second. */
+  /** Sends requests and calls the store where that is due; call it ten times a second. */
   tick(): void {
     const now = steadyNow();
     const { shares } = this.options;
-    if (!shares.hasReadStore) this.askWithoutReading(now);
+    if (!shares.hasReadStore) this.requestUntilRead(now);
     const isUnknown = shares.record === undefined || !shares.hasReadStore;
     if (isUnknown && now >= this.retryAt) this.callStore(() => this.readOrCreate());
     if (this.isCoordinator()) this.followChange(now);
-    this.askPeriodically(now);
-    this.noteMayCount();
+    this.requestRegularly(now);
+    this.updateMayUseShare();
   }
 
-  /** The set of live daemons has changed. */
+  /** Call this when the set of live daemons has changed. */
   groupChanged(): void {
     this.coordinator = undefined;
   }
 
-  /** Handles a message about shares; false if it is another kind. */
+  /** Handles a message about shares. Returns false if it is of another kind. */
   receive(from: string, body: PeerBody): boolean {
     if (body.case === 'shareNews') {
       const record = decodeShares(body.value);
-      if (record !== undefined) this.noteTaken(this.options.shares.recordAnnounced(record), from);
-    } else if (body.case === 'shareQuestion') this.answer(from, body.value);
-    else if (body.case === 'shareAnswer') this.hearAnswer(from, body.value);
+      if (record !== undefined)
+        this.handleAccepted(this.options.shares.recordAnnounced(record), from);
+    } else if (body.case === 'shareQuestion') this.handleRequest(from, body.value);
+    else if (body.case === 'shareAnswer') this.handleReply(from, body.value);
     else return false;
     return true;
   }
 
-  /** The store's calls follow one another. */
+  /** Runs a step that calls the store, unless another one is running. */
   private callStore(step: () => Promise<void>): void {
     if (this.isBusy) return;
     this.isBusy = true;
@@ -137,24 +138,24 @@
     const reading = await this.records.read();
     this.isAbsent = reading.type === 'absent';
     this.retryAt = steadyNow() + this.retryMs;
-    this.retryMs = reading.type === 'read' ? FIRST_RETRY_MS : this.nextRetryMs();
-    if (reading.type === 'read') return this.noteTaken(reading.isNew, 'store');
+    this.retryMs = reading.type === 'read' ? MIN_RETRY_MS : this.nextRetryMs();
+    if (reading.type === 'read') return this.handleAccepted(reading.isNew, 'store');
     if (!this.isAbsent || this.knownNumber > 0) return;
-    // Whoever should write the first record may not reach the store: after a while anybody does.
+    // The coordinator may be unable to reach the store: after a second read without a record, any daemon writes the first one.
     if (!this.isCoordinator() && !wasAbsent) return;
     const first = initialRecord(this.view());
     if (first !== undefined) await this.write(undefined, first);
   }
 
   private nextRetryMs(): number {
-    return Math.min(LONGEST_RETRY_MS, this.retryMs * 2);
+    return Math.min(MAX_RETRY_MS, this.retryMs * 2);
   }
 
   private get knownNumber(): number {
     return this.options.shares.record?.number ?? 0;
   }
 
-  /** Of all live daemons one coordinates changes; two that see different ones are kept apart by the store. */
+  /** Returns whether this daemon coordinates changes. If two daemons with different views both do, the store detects the conflict. */
   private isCoordinator(): boolean {
     const { live, self, shares } = this.options;
     if (!shares.hasReadStore) return false;
@@ -171,10 +172,10 @@
     this.changes.recordReply(this.options.self, record.number, now);
     const step = this.changes.nextStep(record, this.view(), now);
     if (step === undefined) return;
-    this.askMembers(step.unanswered, record.number, now);
+    this.requestFromMembers(step.unanswered, record.number, now);
     const { next } = step;
     if (next === undefined || now < this.writeAt) return;
-    this.writeAt = now + WRITE_PERIOD_MS;
+    this.writeAt = now + WRITE_INTERVAL_MS;
     this.callStore(() => this.write(record, next));
   }
 
@@ -188,53 +189,53 @@
     };
   }
 
-  private askMembers(unanswered: readonly string[], number: number, now: number): void {
-    if (now - this.askedMembersAt < CHANGE_QUESTION_MS) return;
-    this.askedMembersAt = now;
-    for (const address of unanswered) this.ask(address);
-    if (unanswered.length === 0 || now - this.loggedAt < LOG_PERIOD_MS) return;
+  private requestFromMembers(unanswered: readonly string[], number: number, now: number): void {
+    if (now - this.memberRequestAt < MEMBER_REQUEST_INTERVAL_MS) return;
+    this.memberRequestAt = now;
+    for (const address of unanswered) this.sendRequest(address);
+    if (unanswered.length === 0 || now - this.loggedAt < LOG_INTERVAL_MS) return;
     this.loggedAt = now;
-    const named = unanswered.slice(0, MOST_NAMED).join(' ');
+    const named = unanswered.slice(0, MAX_NAMED_MEMBERS).join(' ');
     const fields = { number, unanswered: unanswered.length, named };
     this.options.logger.info('limit_shares_waiting', fields);
   }
 
-  private async write(former: ShareRecord | undefined, next: ShareRecord): Promise<void> {
-    const reading = await this.records.replace(former, next);
+  private async write(expected: ShareRecord | undefined, next: ShareRecord): Promise<void> {
+    const reading = await this.records.replace(expected, next);
     if (reading.type !== 'read') return;
-    this.noteTaken(reading.isNew, 'store');
+    this.handleAccepted(reading.isNew, 'store');
     const { record } = this.options.shares;
     if (record === undefined) return;
     this.options.broadcast({ case: 'shareNews', value: encodeShares(record) });
   }
 
-  private askWithoutReading(now: number): void {
-    if (now - this.askedUnreadAt < UNREAD_QUESTION_MS) return;
-    this.askedUnreadAt = now;
-    this.askNextOther();
+  private requestUntilRead(now: number): void {
+    if (now - this.unreadRequestAt < UNREAD_REQUEST_INTERVAL_MS) return;
+    this.unreadRequestAt = now;
+    this.requestFromNextPeer();
   }
 
-  private askPeriodically(now: number): void {
-    if (now - this.askedUsualAt < USUAL_QUESTION_MS) return;
-    this.askedUsualAt = now;
-    this.askNextOther();
+  private requestRegularly(now: number): void {
+    if (now - this.regularRequestAt < REGULAR_REQUEST_INTERVAL_MS) return;
+    this.regularRequestAt = now;
+    this.requestFromNextPeer();
   }
 
-  private askNextOther(): void {
+  private requestFromNextPeer(): void {
     const { live, self } = this.options;
     const others = live().filter(({ address }) => address !== self);
-    this.turn += 1;
-    const other = others[this.turn % Math.max(1, others.length)];
-    if (other !== undefined) this.ask(other.address);
+    this.peerIndex += 1;
+    const other = others[this.peerIndex % Math.max(1, others.length)];
+    if (other !== undefined) this.sendRequest(other.address);
   }
 
-  private ask(to: string): void {
+  private sendRequest(to: string): void {
     this.sequence += 1;
-    this.questions.set(this.sequence, leaseNow());
-    const oldest = this.sequence - Math.max(OPEN_QUESTIONS, 2 * this.options.live().length);
-    for (const sequence of this.questions.keys()) {
+    this.openRequests.set(this.sequence, leaseNow());
+    const oldest = this.sequence - Math.max(MIN_OPEN_REQUESTS, 2 * this.options.live().length);
+    for (const sequence of this.openRequests.keys()) {
       if (sequence > oldest) break;
-      this.questions.delete(sequence);
+      this.openRequests.delete(sequence);
     }
     const value = create(ShareQuestionSchema, {
       sequence: this.sequence,
@@ -243,36 +244,36 @@
     this.options.sendDatagram(to, { case: 'shareQuestion', value });
   }
 
-  private answer(to: string, { sequence, number }: ShareQuestion): void {
+  private handleRequest(to: string, { sequence, number }: ShareQuestion): void {
     const { shares, send, sendDatagram } = this.options;
     const { record } = shares;
     const mayTell = shares.mayAnnounce(leaseNow());
     const isNewer = record !== undefined && record.number > number;
-    const news = isNewer ? { news: encodeShares(record) } : {};
-    const fields = { sequence, number: this.knownNumber, mayTell, ...news };
+    const update = isNewer ? { news: encodeShares(record) } : {};
+    const fields = { sequence, number: this.knownNumber, mayTell, ...update };
     const body = { case: 'shareAnswer', value: create(ShareAnswerSchema, fields) } as const;
-    // The addresses of a large group fill more than a datagram.
+    // The addresses of a large group do not fit into a datagram.
     if (isNewer) send(to, body);
     else sendDatagram(to, body);
   }
 
-  private hearAnswer(from: string, { sequence, number, mayTell, news }: ShareAnswer): void {
+  private handleReply(from: string, { sequence, number, mayTell, news }: ShareAnswer): void {
     const { shares, send } = this.options;
-    const askedAt = this.questions.get(sequence);
-    const sent = news === undefined ? undefined : decodeShares(news);
+    const requestedAt = this.openRequests.get(sequence);
+    const attached = news === undefined ? undefined : decodeShares(news);
     const { record } = shares;
     if (record !== undefined && number < record.number) {
       send(from, { case: 'shareNews', value: encodeShares(record) });
     }
     this.changes.recordReply(from, number, steadyNow());
     const isKnown = record !== undefined && number === record.number;
-    const heard = sent ?? (isKnown ? record : undefined);
-    if (heard === undefined || askedAt === undefined) return;
-    if (mayTell) this.noteTaken(shares.recordMemberReply(heard, askedAt), from);
-    else this.noteTaken(shares.recordAnnounced(heard), from);
+    const received = attached ?? (isKnown ? record : undefined);
+    if (received === undefined || requestedAt === undefined) return;
+    if (mayTell) this.handleAccepted(shares.recordMemberReply(received, requestedAt), from);
+    else this.handleAccepted(shares.recordAnnounced(received), from);
   }
 
-  private noteTaken(isNew: boolean, source: string): void {
+  private handleAccepted(isNew: boolean, source: string): void {
     const { shares, logger, onChange } = this.options;
     const { record } = shares;
     if (!isNew || record === undefined) return;
@@ -283,14 +284,14 @@
     onChange();
   }
 
-  /** Whether this daemon may count changes with the clock. */
-  private noteMayCount(): void {
+  /** Checks whether this daemon may use its share, which also changes with time. */
+  private updateMayUseShare(): void {
     const { shares, logger, onChange } = this.options;
-    const mayCount = shares.mayUseShare(leaseNow());
-    if (mayCount === this.mayCount) return;
-    this.mayCount = mayCount;
+    const mayUseShare = shares.mayUseShare(leaseNow());
+    if (mayUseShare === this.mayUseShare) return;
+    this.mayUseShare = mayUseShare;
     const fields = { number: this.knownNumber, share: shares.ownShare(leaseNow()) };
-    logger.info(mayCount ? 'limit_share_held' : 'limit_share_lost', fields);
+    logger.info(mayUseShare ? 'limit_share_held' : 'limit_share_lost', fields);
     onChange();
   }
 }
--- a/src/gateway/shared-limits.ts
+++ b/src/gateway/shared-limits.ts
@@ -1,7 +1,8 @@
 /**
- * Limits over all daemons, of one kind. Each name has a holder, by rank among the live daemons, which counts for all
- * (`limit-holder.ts`). Far below a limit a daemon may admit at once and tell the holder; near it, the holder is asked first. A
- * daemon that hears nothing of a holder has its own share (`core/admission/limit-shares.ts`).
+ * Limits of one kind, shared by all daemons. Each name has a holder, the first by rank among the live daemons, which counts the
+ * units of all daemons (`limit-holder.ts`). Far below a limit, a daemon admits requests at once and reports them to the holder;
+ * near it, a daemon requests the holder's decision first. Without a reply from a holder, a daemon may use its own share
+ * (`core/admission/limit-shares.ts`).
  */
 import { create, type MessageInitShape } from '@bufbuild/protobuf';
 import type { Logger } from '../common/logger.js';
@@ -18,8 +19,8 @@
 import { ANSWER_WITHIN_MS, LimitHolder } from './limit-holder.js';
 import { steadyNow } from './steady-clock.js';
 
-/** A question is sent again after so long: a datagram may be lost. */
-const ASK_AGAIN_MS = 60;
+/** Delay after which a request to the holder is sent again, because a datagram may be lost. */
+const REQUEST_RETRY_MS = 60;
 
 /** Options of {@link SharedLimits}. */
 export interface SharedLimitsOptions {
@@ -31,109 +32,111 @@
   readonly live: () => readonly MemberView[];
   /** How limits are divided among the daemons. */
   readonly shares: LimitShares;
-  /** The limit in force on a name; undefined if there is none. */
+  /** Returns the limit in force on a name; undefined if there is none. */
   readonly limitOf: (name: string) => RateLimit | undefined;
   readonly sendDatagram: (to: string, body: PeerBody) => void;
   readonly broadcast: (body: PeerBody) => void;
 }
 
-/** What this daemon knows of a name under whose limit it admits requests. */
+/** This daemon's state for a name under whose limit it admits requests. */
 interface MemberState {
   holder: string;
-  /** The holder's process, by its last message; 0 before the first. */
+  /** Identifies the holder's process, from its last message; 0 before the first message. */
   holderProcess: number;
-  /** The holder wants to be asked first. */
+  /** Whether requests need the holder's decision before they are admitted. */
   isTight: boolean;
   /** Units that this daemon has admitted. */
-  readonly own: SlidingSum;
-  readonly silence: HolderContact;
-  /** Units that it has admitted while no holder was heard. */
-  readonly alone: SlidingSum;
+  readonly admitted: SlidingSum;
+  readonly contact: HolderContact;
+  /** Units that this daemon has admitted without a reply from a holder. */
+  readonly admittedAlone: SlidingSum;
 }
 
-/** What each message of a holder holds. */
+/** Fields common to all messages of a holder. */
 type HolderMessage = Pick<LimitAnswer, 'tenant' | 'isTight' | 'process'>;
 
 type LimitBody = Extract<PeerBody, { case: 'limitCharge' | 'limitAnswer' | 'limitNews' }>;
 
-interface OpenQuestion {
+interface OpenRequest {
   readonly name: string;
   readonly units: number;
-  readonly answer: (decision: LimitDecision) => void;
+  readonly onDecision: (decision: LimitDecision) => void;
   timer: NodeJS.Timeout;
 }
 
-/** One daemon's part in counting, as one that admits and as a holder. */
+/** One daemon's part in the limits of one kind: it admits requests, and may be a holder. */
 export class SharedLimits {
   private readonly members = new Map<string, MemberState>();
-  private readonly questions = new Map<number, OpenQuestion>();
+  private readonly openRequests = new Map<number, OpenRequest>();
   private readonly group: LimitGroup;
-  private readonly asHolder: LimitHolder;
+  private readonly holderRole: LimitHolder;
   private sequence = 0;
 
   constructor(private readonly options: SharedLimitsOptions) {
     const { self, kind, logger, leases, live, shares, limitOf, broadcast } = options;
     this.group = new LimitGroup({ self, kind, live, shares }, steadyNow());
-    this.asHolder = new LimitHolder({
+    this.holderRole = new LimitHolder({
       self,
       kind,
       logger,
       group: this.group,
       leases,
       limitOf,
-      ownUnits: (name, now) => this.members.get(name)?.own.total(now) ?? 0,
+      ownUnits: (name, now) => this.members.get(name)?.admitted.total(now) ?? 0,
       deliver: (to, body) => this.deliver(to, body),
       broadcast,
     });
   }
 
-  /** Decides on a request under a limit; calls back at once or after the holder's decision. */
-  admit(name: string, units: number, answer: (decision: LimitDecision) => void): void {
+  /** Decides on a request under a limit. Calls `onDecision` at once or after the holder's decision. */
+  admit(name: string, units: number, onDecision: (decision: LimitDecision) => void): void {
     const now = steadyNow();
-    this.followGroup(now);
-    if (!this.group.hasCandidates) return answer({ type: 'unknown' });
+    this.updateGroup(now);
+    if (!this.group.hasCandidates) return onDecision({ type: 'unknown' });
     const state = this.memberState(name);
-    if (state.holder === this.options.self) return this.admitAsHolder(name, state, units, answer);
-    if (state.isTight || !this.mayPass(name, state, units, now)) {
-      return this.ask(name, state, units, answer);
+    if (state.holder === this.options.self)
+      return this.admitAsHolder(name, state, units, onDecision);
+    if (state.isTight || !this.mayAdmitNow(name, state, units, now)) {
+      return this.requestDecision(name, state, units, onDecision);
     }
-    state.own.add(units, now);
-    const wantsWord = state.silence.recordReported(units, now);
-    this.charge(state.holder, { tenant: name, units, wantsWord });
-    answer({ type: 'granted' });
+    state.admitted.add(units, now);
+    const wantsWord = state.contact.recordReported(units, now);
+    this.sendCharge(state.holder, { tenant: name, units, wantsWord });
+    onDecision({ type: 'granted' });
   }
 
-  /** Gives the units of a request back that was admitted and has not run. */
+  /** Returns the units of a request that was admitted but has not run. */
   giveBack(name: string, units: number): void {
     const now = steadyNow();
     const state = this.memberState(name);
-    state.own.add(-units, now);
-    if (state.holder === this.options.self) this.asHolder.countOwn(name, -units, now);
-    else this.charge(state.holder, { tenant: name, units: -units });
+    state.admitted.add(-units, now);
+    if (state.holder === this.options.self) this.holderRole.countOwn(name, -units, now);
+    else this.sendCharge(state.holder, { tenant: name, units: -units });
   }
 
-  /** The set of live daemons has changed, or the division of limits. */
+  /** Call this when the set of live daemons or the division of limits has changed. */
   groupChanged(): void {
     this.group.changed();
   }
 
-  /** Looks at the clock, the group and the ledgers; call it a few times a second. */
+  /** Updates the group and the ledgers; call it a few times a second. */
   tick(): void {
     const now = steadyNow();
-    this.followGroup(now);
-    this.asHolder.tick(now);
+    this.updateGroup(now);
+    this.holderRole.tick(now);
   }
 
-  /** Handles a message about limits of this kind; false if it is another one. */
+  /** Handles a message about limits of this kind. Returns false if it is another message. */
   receive(from: string, body: PeerBody): boolean {
-    if (!isOfLimits(body) || body.value.isOfBackend !== this.options.kind.isOfBackend) return false;
-    if (body.case === 'limitCharge') this.asHolder.hearCharge(from, body.value);
-    else if (body.case === 'limitAnswer') this.hearAnswer(from, body.value);
-    else this.hearHolder(from, body.value);
+    if (!isLimitBody(body) || body.value.isOfBackend !== this.options.kind.isOfBackend)
+      return false;
+    if (body.case === 'limitCharge') this.holderRole.hearCharge(from, body.value);
+    else if (body.case === 'limitAnswer') this.handleReply(from, body.value);
+    else this.handleHolderMessage(from, body.value);
     return true;
   }
 
-  /** The daemon that counts under the limit of a name, as this one sees the group. */
+  /** Returns the holder of a name, as this daemon sees the group. */
   holderOf(name: string): string {
     return this.group.holderOf(name);
   }
@@ -142,139 +145,148 @@
     name: string,
     state: MemberState,
     units: number,
-    answer: (decision: LimitDecision) => void,
+    onDecision: (decision: LimitDecision) => void,
   ): void {
     const now = steadyNow();
-    const decision = this.asHolder.admitOwn(name, units, now);
-    if (decision === undefined) return this.ask(name, state, units, answer);
-    state.silence.recordReply(now);
-    if (decision.type === 'granted') state.own.add(units, now);
-    answer(decision);
+    const decision = this.holderRole.admitOwn(name, units, now);
+    if (decision === undefined) return this.requestDecision(name, state, units, onDecision);
+    state.contact.recordReply(now);
+    if (decision.type === 'granted') state.admitted.add(units, now);
+    onDecision(decision);
   }
 
-  /** Whether a request may pass before the holder's decision: it is heard, or this daemon keeps to its share. */
-  private mayPass(name: string, state: MemberState, units: number, now: number): boolean {
+  /** Returns whether a request may be admitted without the holder's decision: the holder is responsive, or the request fits into this daemon's share. */
+  private mayAdmitNow(name: string, state: MemberState, units: number, now: number): boolean {
     const limit = this.options.limitOf(name);
     if (limit === undefined) return true;
     const share = this.group.ownShare(limit);
-    return state.silence.isResponsive(units, share, now) || state.own.total(now) + units <= share;
+    return (
+      state.contact.isResponsive(units, share, now) || state.admitted.total(now) + units <= share
+    );
   }
 
-  private followGroup(now: number): void {
+  private updateGroup(now: number): void {
     if (!this.group.follow(now)) return;
-    for (const [name, state] of this.members) this.followHolder(name, state, now);
-    this.asHolder.followGroup();
+    for (const [name, state] of this.members) this.updateHolder(name, state, now);
+    this.holderRole.followGroup();
   }
 
-  private ask(
+  private requestDecision(
     name: string,
     state: MemberState,
     units: number,
-    answer: (decision: LimitDecision) => void,
+    onDecision: (decision: LimitDecision) => void,
   ): void {
     this.sequence += 1;
     const question = this.sequence;
     const send = (): void => {
-      state.silence.recordReplyRequested(steadyNow());
-      this.charge(state.holder, { tenant: name, units, question });
+      state.contact.recordReplyRequested(steadyNow());
+      this.sendCharge(state.holder, { tenant: name, units, question });
     };
     const timer = setTimeout(() => {
       send();
-      open.timer = setTimeout(() => this.decideAlone(question), ANSWER_WITHIN_MS - ASK_AGAIN_MS);
-    }, ASK_AGAIN_MS);
-    const open: OpenQuestion = { name, units, answer, timer };
-    this.questions.set(question, open);
+      open.timer = setTimeout(
+        () => this.decideAlone(question),
+        ANSWER_WITHIN_MS - REQUEST_RETRY_MS,
+      );
+    }, REQUEST_RETRY_MS);
+    const open: OpenRequest = { name, units, onDecision, timer };
+    this.openRequests.set(question, open);
     send();
   }
 
-  /** The holder is gone or cut off: an equal share for each daemon passes no limit. */
+  /** Decides without the holder, which has ended or is unreachable. If each daemon keeps to its equal share, no limit is exceeded. */
   private decideAlone(question: number): void {
-    const open = this.questions.get(question);
+    const open = this.openRequests.get(question);
     const limit = open && this.options.limitOf(open.name);
     if (open === undefined || limit === undefined)
-      return this.settle(question, { type: 'granted' });
+      return this.complete(question, { type: 'granted' });
     const now = steadyNow();
     const { kind, logger } = this.options;
     const { name, units } = open;
     const state = this.memberState(name);
-    const isAlone = state.silence.mayUseOwnShare(now);
-    const isWithin = isAlone && state.own.total(now) + units <= this.group.ownShare(limit);
-    if (isWithin) state.alone.add(units, now);
+    const mayUseOwnShare = state.contact.mayUseOwnShare(now);
+    const isWithin =
+      mayUseOwnShare && state.admitted.total(now) + units <= this.group.ownShare(limit);
+    if (isWithin) state.admittedAlone.add(units, now);
     const fields = { [kind.subject]: name, units, holder: state.holder, isGranted: isWithin };
     logger.warn('limit_holder_silent', fields);
-    this.settle(question, isWithin ? { type: 'granted' } : { type: 'unknown' });
+    this.complete(question, isWithin ? { type: 'granted' } : { type: 'unknown' });
   }
 
-  private settle(question: number, decision: LimitDecision): void {
-    const open = this.questions.get(question);
+  private complete(question: number, decision: LimitDecision): void {
+    const open = this.openRequests.get(question);
     if (open === undefined) return;
-    this.questions.delete(question);
+    this.openRequests.delete(question);
     clearTimeout(open.timer);
     const now = steadyNow();
-    if (decision.type === 'granted') this.memberState(open.name).own.add(open.units, now);
-    open.answer(decision);
+    if (decision.type === 'granted') this.memberState(open.name).admitted.add(open.units, now);
+    open.onDecision(decision);
   }
 
-  /** Sends to another daemon; what goes to this one itself arrives at once. */
+  /** Sends a message to a daemon. A message to this daemon is handled at once. */
   private deliver(to: string, body: PeerBody): void {
     if (to === this.options.self) this.receive(to, body);
     else this.options.sendDatagram(to, body);
   }
 
-  private charge(to: string, fields: MessageInitShape<typeof LimitChargeSchema>): void {
+  private sendCharge(to: string, fields: MessageInitShape<typeof LimitChargeSchema>): void {
     const { isOfBackend } = this.options.kind;
     const value = create(LimitChargeSchema, { ...fields, isOfBackend });
     this.deliver(to, { case: 'limitCharge', value });
   }
 
-  private hearAnswer(from: string, answer: LimitAnswer): void {
-    const { question, isGranted, retryAfterMs } = answer;
-    this.hearHolder(from, answer);
+  private handleReply(from: string, reply: LimitAnswer): void {
+    const { question, isGranted, retryAfterMs } = reply;
+    this.handleHolderMessage(from, reply);
     const refused: LimitDecision = { type: 'over_limit', retryAfterMs };
-    this.settle(question, isGranted ? { type: 'granted' } : refused);
+    this.complete(question, isGranted ? { type: 'granted' } : refused);
   }
 
-  /** A holder that counts has sent a message: it is sent what it cannot know. */
-  private hearHolder(from: string, { tenant: name, isTight, process }: HolderMessage): void {
+  /** Handles a message of a holder with a lease. Reports the units to it that it cannot know of. */
+  private handleHolderMessage(
+    from: string,
+    { tenant: name, isTight, process }: HolderMessage,
+  ): void {
     const state = this.members.get(name);
     if (state === undefined || state.holder !== from) return;
     state.isTight = isTight;
     const now = steadyNow();
-    state.silence.recordReply(now);
-    const hasForgotten = state.holderProcess !== 0 && state.holderProcess !== process;
+    state.contact.recordReply(now);
+    const hasRestarted = state.holderProcess !== 0 && state.holderProcess !== process;
     state.holderProcess = process;
-    const alone = state.alone.takeTotal(now);
-    const units = hasForgotten ? state.own.total(now) : alone;
-    if (units > 0) this.charge(from, { tenant: name, units, isRecalled: true });
+    const admittedAlone = state.admittedAlone.takeTotal(now);
+    const units = hasRestarted ? state.admitted.total(now) : admittedAlone;
+    if (units > 0) this.sendCharge(from, { tenant: name, units, isRecalled: true });
   }
 
   private memberState(name: string): MemberState {
     const known = this.members.get(name);
     if (known !== undefined) return known;
-    const own = new SlidingSum(this.options.kind.windowMs);
-    const alone = new SlidingSum(this.options.kind.windowMs);
-    const silence = new HolderContact();
+    const admitted = new SlidingSum(this.options.kind.windowMs);
+    const admittedAlone = new SlidingSum(this.options.kind.windowMs);
+    const contact = new HolderContact();
     const holder = this.holderOf(name);
-    const state = { holder, holderProcess: 0, isTight: true, own, silence, alone };
+    const state = { holder, holderProcess: 0, isTight: true, admitted, contact, admittedAlone };
     this.members.set(name, state);
     return state;
   }
 
-  /** A holder that has not counted this daemon's requests is sent them, and asked before each request until it says otherwise. */
-  private followHolder(name: string, state: MemberState, now: number): void {
+  /** Applies a change of the holder. Reports this daemon's units to the new holder, whose decision is required for each request until it announces otherwise. */
+  private updateHolder(name: string, state: MemberState, now: number): void {
     const holder = this.holderOf(name);
     if (holder === state.holder) return;
     state.holder = holder;
     state.holderProcess = 0;
     state.isTight = true;
-    state.alone.takeTotal(now);
-    const units = state.own.total(now);
+    state.admittedAlone.takeTotal(now);
+    const units = state.admitted.total(now);
     if (units === 0) return;
-    if (holder === this.options.self) this.asHolder.recallOwn(name, units, now);
-    else this.charge(holder, { tenant: name, units, isRecalled: true });
+    if (holder === this.options.self) this.holderRole.recallOwn(name, units, now);
+    else this.sendCharge(holder, { tenant: name, units, isRecalled: true });
   }
 }
 
-function isOfLimits(body: PeerBody): body is LimitBody {
+function isLimitBody(body: PeerBody): body is LimitBody {
   return body.case === 'limitCharge' || body.case === 'limitAnswer' || body.case === 'limitNews';
 }
