--- a/test/gateway/backend-backoffs.test.ts
+++ b/test/gateway/backend-backoffs.test.ts
@@ -1,7 +1,7 @@
 /*
- * A backend turned a gateway away with 503 and `Retry-After: 3`, and got 4 and 8 requests of it in that time: one caller's, sent
- * four times 250 ms apart, and then the next caller's. The time that a backend asks for was not read; a refusal kept one
- * request from one backend for 250 ms.
+ * Guards against ignoring a backend's `Retry-After`. A backend that refused requests with 503 and `Retry-After: 3` received 4 and
+ * 8 requests within that time: each caller's request was sent four times, 250 ms apart. The header was not parsed, and a
+ * refusal kept only the one request from the backend, for 250 ms.
  */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { BackendBackoffs } from '../../src/core/backend-backoffs.js';
@@ -14,20 +14,20 @@
   type CallerView,
 } from './gateway-harness.js';
 
-/** Turns requests away, and wants none for so many seconds. */
-function asksForRest(seconds: string): BackendHandler {
+/** Refuses each request with 503 and the given `Retry-After`. */
+function refuseWithRetryAfter(seconds: string): BackendHandler {
   return (_request, response) => {
     response.writeHead(503, { 'not-run': 'yes', 'retry-after': seconds }).end();
   };
 }
 
-describe('a backend that asks for rest', () => {
+describe('a backend that sends Retry-After', () => {
   let harness: GatewayHarness;
   let one: TestBackend;
   let two: TestBackend;
 
   beforeEach(async () => {
-    one = new TestBackend('one', asksForRest('0.8'));
+    one = new TestBackend('one', refuseWithRetryAfter('0.8'));
     two = new TestBackend('two');
     harness = await GatewayHarness.startBefore([one, two]);
   });
@@ -43,10 +43,10 @@
     return answers;
   }
 
-  it('gets no request until the end of that time, and is used again then', async () => {
-    two.handle = asksForRest('0.6');
-    const begun = performance.now();
-    while (performance.now() - begun < 500) {
+  it('receives no request until that time has passed, and is used again afterwards', async () => {
+    two.handle = refuseWithRetryAfter('0.6');
+    const startedAt = performance.now();
+    while (performance.now() - startedAt < 500) {
       const [answer] = await callMany(1);
       expect(answer?.status).toBe(503);
       await pause(20);
@@ -57,20 +57,20 @@
     expect((await harness.call({ id: 'later' })).status).toBe(200);
   });
 
-  it('has its callers told at once when the first of several is back', async () => {
-    two.handle = asksForRest('3');
+  it('has its callers refused at once, with the time until the first of several backends is available', async () => {
+    two.handle = refuseWithRetryAfter('3');
     await callMany(2);
-    const begun = performance.now();
+    const startedAt = performance.now();
     const answer = await harness.call({ id: 'told' });
-    expect(performance.now() - begun).toBeLessThan(100);
+    expect(performance.now() - startedAt).toBeLessThan(100);
     expect(answer.status).toBe(503);
     expect(answer.headers['x-ran']).toBe('no');
-    const told = Number(answer.headers['retry-after']);
-    expect(told).toBeGreaterThan(0);
-    expect(told).toBeLessThanOrEqual(0.8);
+    const retryAfter = Number(answer.headers['retry-after']);
+    expect(retryAfter).toBeGreaterThan(0);
+    expect(retryAfter).toBeLessThanOrEqual(0.8);
   });
 
-  it('is left by what waits for it, also on a granted slot', async () => {
+  it('is left by requests that wait for it, even with a granted slot', async () => {
     harness.list([one.record()]);
     await callMany(1);
     const waiting = harness.call({ id: 'waits', headers: { deadline: '3000' } });
@@ -83,9 +83,9 @@
   });
 
   it.each(['', '-3', 'soon', 'Wed, 21 Oct 2026 07:28:00 GMT', '1e3', 'NaN', '0'])(
-    'asks for nothing with %j',
+    'is not avoided after the value %j, which specifies no valid delay',
     async (value) => {
-      one.handle = asksForRest(value);
+      one.handle = refuseWithRetryAfter(value);
       harness.list([one.record()]);
       await callMany(1);
       one.handle = answerWhole;
@@ -94,7 +94,7 @@
     },
   );
 
-  it('asks another daemon for nothing, and a later process under its id neither', () => {
+  it('does not affect other daemons or a later process under its id', () => {
     const backoffs = new BackendBackoffs();
     backoffs.recordBackoff({ id: 'a', start: '1' }, 3_000, 0);
     expect(backoffs.remainingMs({ id: 'a', start: '1' }, 2_999)).toBe(1);
@@ -103,7 +103,7 @@
     expect(new BackendBackoffs().remainingMs({ id: 'a', start: '1' }, 1)).toBe(0);
   });
 
-  it('is not shortened by a later word, and never kept out for days at once', () => {
+  it('is not used earlier because of a later, shorter value, and is avoided for at most one hour', () => {
     const backoffs = new BackendBackoffs();
     backoffs.recordBackoff({ id: 'a' }, 3_000, 0);
     backoffs.recordBackoff({ id: 'a' }, 500, 100);
--- a/test/gateway/backend-names-rate-limit.test.ts
+++ b/test/gateway/backend-names-rate-limit.test.ts
@@ -1,6 +1,6 @@
 /*
- * A backend named a limit of 1 request a second in its answers, and two gateways that had passed such answers on sent it 8 and 6
- * requests in 4 s, where 11 are allowed. Nothing read the limit.
+ * Guards against ignoring a rate limit that a backend announces in its answers. A backend announced 1 request per second, but two
+ * gateways that had received such answers sent it 8 and 6 requests in 4 s, where 11 are allowed in total. The limit was not parsed.
  */
 import { afterEach, describe, expect, it } from 'vitest';
 import {
@@ -14,31 +14,31 @@
 } from './gateway-harness.js';
 
 const WINDOW_MS = 4_000;
-/** Requests keep coming for so long: more than one window. */
+/** Duration for which requests are sent; it is longer than one window. */
 const CALLING_MS = 4_600;
 
-/** Arrivals that a backend's limit allows in any window, as backends count. */
+/** Returns the arrivals that a backend's limit allows in any window, as backends count them. */
 function allowedArrivals(perSecond: number): number {
   return Math.floor((1.5 * perSecond * WINDOW_MS) / 1_000 + 5);
 }
 
-/** Answers as usual, and names a limit. */
-function naming(limit: () => string | undefined, arrivedAt: number[]): BackendHandler {
+/** Answers each request completely and announces a limit. */
+function answerWithLimit(limit: () => string | undefined, arrivedAt: number[]): BackendHandler {
   return (request, response) => {
     arrivedAt.push(performance.now());
-    const named = limit();
-    if (named !== undefined) response.setHeader('rate-limit', named);
+    const header = limit();
+    if (header !== undefined) response.setHeader('rate-limit', header);
     answerWhole(request, response);
   };
 }
 
-/** The most times within one window. */
-function mostInWindow(times: readonly number[]): number {
+/** Returns the largest number of times within any window. */
+function maxInWindow(times: readonly number[]): number {
   const counts = times.map((end) => times.filter((at) => at <= end && end - at <= WINDOW_MS));
   return Math.max(0, ...counts.map(({ length }) => length));
 }
 
-describe('a backend that names a rate limit', () => {
+describe('a backend that announces a rate limit', () => {
   const daemons: GatewayHarness[] = [];
   const backends: TestBackend[] = [];
 
@@ -65,37 +65,38 @@
       daemon.configure(testConfiguration());
       daemon.list(backends.map((backend) => backend.record()));
     }
-    const seesAll = (daemon: GatewayHarness): boolean =>
+    const seesAllMembers = (daemon: GatewayHarness): boolean =>
       daemon.gateway['peers'].live().length === count;
-    for (let look = 0; look < 60 && !daemons.every(seesAll); look++) await pause(100);
-    expect(daemons.every(seesAll)).toBe(true);
+    for (let attempt = 0; attempt < 60 && !daemons.every(seesAllMembers); attempt++)
+      await pause(100);
+    expect(daemons.every(seesAllMembers)).toBe(true);
   }
 
-  /** Calls the daemons in turn. */
+  /** Calls the daemons in turn and returns the statuses. */
   async function callMany(perSecond: number, forMs = CALLING_MS): Promise<number[]> {
     const answers: Promise<number>[] = [];
-    const begun = performance.now();
-    for (let call = 0; performance.now() - begun < forMs; call++) {
+    const startedAt = performance.now();
+    for (let call = 0; performance.now() - startedAt < forMs; call++) {
       const daemon = daemons[call % daemons.length] as GatewayHarness;
       answers.push(daemon.call({ id: `c${call}` }).then(({ status }) => status));
-      await pause(begun + ((call + 1) * 1_000) / perSecond - performance.now());
+      await pause(startedAt + ((call + 1) * 1_000) / perSecond - performance.now());
     }
     return Promise.all(answers);
   }
 
-  it('gets no more than that from several gateways together', async () => {
+  it('receives no more requests than that from several gateways together', async () => {
     const [one] = (await startBackends('one', 'two')) as [TestBackend];
     const arrivedAt: number[] = [];
-    one.handle = naming(() => '2.5', arrivedAt);
+    one.handle = answerWithLimit(() => '2.5', arrivedAt);
     await startGroup(6);
     const statuses = await callMany(20);
-    expect(mostInWindow(arrivedAt)).toBeLessThanOrEqual(allowedArrivals(2.5));
+    expect(maxInWindow(arrivedAt)).toBeLessThanOrEqual(allowedArrivals(2.5));
     expect(statuses).toEqual(statuses.map(() => 200));
   }, 20_000);
 
-  it('is left by a daemon that has had no answer of it, also one that joins later', async () => {
+  it('is avoided by daemons that have received no answer from it, including one that joins later', async () => {
     const [one] = (await startBackends('one', 'two')) as [TestBackend];
-    one.handle = naming(() => '0', []);
+    one.handle = answerWithLimit(() => '0', []);
     await startGroup(2);
     const [first, second] = daemons as [GatewayHarness, GatewayHarness];
     first.list([one.record()]);
@@ -106,30 +107,30 @@
     for (let call = 0; call < 20; call++) await second.call({ id: `s${call}` });
     expect(one.arrivals.length).toBeLessThanOrEqual(before + 1);
     const { peerPort } = first.settings;
-    const joined = { name: 'late', address: '127.0.0.9', seeds: ['127.0.0.1'], peerPort };
-    const late = await GatewayHarness.start(joined);
-    daemons.push(late);
-    late.configure(testConfiguration());
-    late.list(backends.map((backend) => backend.record()));
-    const knows = (): boolean => late.context().permits.perSecond(one.record()) === 0;
-    for (let look = 0; look < 30 && !knows(); look++) await pause(100);
-    expect(knows()).toBe(true);
-    const events = late.lines.filter(({ event }) => event === 'rate_limit_named');
+    const settings = { name: 'late', address: '127.0.0.9', seeds: ['127.0.0.1'], peerPort };
+    const lateDaemon = await GatewayHarness.start(settings);
+    daemons.push(lateDaemon);
+    lateDaemon.configure(testConfiguration());
+    lateDaemon.list(backends.map((backend) => backend.record()));
+    const hasLimit = (): boolean => lateDaemon.context().permits.perSecond(one.record()) === 0;
+    for (let attempt = 0; attempt < 30 && !hasLimit(); attempt++) await pause(100);
+    expect(hasLimit()).toBe(true);
+    const events = lateDaemon.lines.filter(({ event }) => event === 'rate_limit_named');
     expect(events[0]?.fields).toMatchObject({ backend: 'one', perSecond: 0, source: 'peer' });
   }, 20_000);
 
-  it('gets as many as before once it names none any more, at all daemons', async () => {
+  it('receives requests from all daemons without a limit again once it announces none', async () => {
     const [one] = (await startBackends('one')) as [TestBackend];
     let limit: string | undefined = '0';
-    one.handle = naming(() => limit, []);
+    one.handle = answerWithLimit(() => limit, []);
     await startGroup(2);
     const [first, second] = daemons as [GatewayHarness, GatewayHarness];
     await first.call({ id: 'names' });
     limit = undefined;
     const hasEnded = (daemon: GatewayHarness): boolean =>
       daemon.lines.some(({ event }) => event === 'rate_limit_ended');
-    const begun = performance.now();
-    for (let call = 0; !daemons.every(hasEnded) && performance.now() - begun < 9_000; call++) {
+    const startedAt = performance.now();
+    for (let call = 0; !daemons.every(hasEnded) && performance.now() - startedAt < 9_000; call++) {
       await Promise.all([pause(300), first.call({ id: `e${call}`, headers: { deadline: '300' } })]);
     }
     const statuses = await Promise.all(
@@ -138,9 +139,9 @@
     expect(statuses).toEqual(statuses.map(() => 200));
   }, 20_000);
 
-  it('has callers wait for a permit that comes in time, and the others told when to come back', async () => {
+  it('has callers wait for a permit granted in time, and refuses the others with Retry-After', async () => {
     const [one] = (await startBackends('one')) as [TestBackend];
-    one.handle = naming(() => '4', []);
+    one.handle = answerWithLimit(() => '4', []);
     await startGroup(1);
     const [daemon] = daemons as [GatewayHarness];
     const route = testRoute({ goalMs: 600 });
@@ -166,27 +167,27 @@
     expect(lines[0]?.fields).toMatchObject({ backend: 'one', perSecond: 4, reason: 'over_limit' });
   }, 20_000);
 
-  it('gets a request that waits for a permit as soon as its limit has ended', async () => {
+  it('receives a request that waits for a permit as soon as its limit has been lifted', async () => {
     const [one] = (await startBackends('one')) as [TestBackend];
-    one.handle = naming(() => '0', []);
+    one.handle = answerWithLimit(() => '0', []);
     await startGroup(1);
     const [daemon] = daemons as [GatewayHarness];
     const route = testRoute({ goalMs: 6_000 });
     daemon.configure(testConfiguration({ version: 2, routes: [route] }));
     await daemon.call({ id: 'names' });
-    const begun = performance.now();
+    const startedAt = performance.now();
     const answer = daemon.call({ id: 'waits', headers: { deadline: '6000' } });
     const isRefused = (): boolean => daemon.lines.some(({ event }) => event === 'permit_refused');
-    for (let look = 0; look < 30 && !isRefused(); look++) await pause(50);
+    for (let attempt = 0; attempt < 30 && !isRefused(); attempt++) await pause(50);
     expect(isRefused()).toBe(true);
     const { permits } = daemon.context();
-    const believed = permits.believed(one.record());
-    permits.answered(one.record(), { type: 'unlimited' }, believed, 'other');
+    const recorded = permits.believed(one.record());
+    permits.answered(one.record(), { type: 'unlimited' }, recorded, 'other');
     expect((await answer).status).toBe(200);
-    expect(performance.now() - begun).toBeLessThan(2_500);
+    expect(performance.now() - startedAt).toBeLessThan(2_500);
   }, 20_000);
 
-  it('is sent nothing more than before by the headers of another process at its address', async () => {
+  it('gets no limit from the headers of another process at its address', async () => {
     const [one] = (await startBackends('one', 'two')) as [TestBackend];
     one.handle = (_request, response) => {
       response.writeHead(421, { 'not-run': 'yes', 'rate-limit': '0' }).end();
--- a/test/gateway/backend-restarts.test.ts
+++ b/test/gateway/backend-restarts.test.ts
@@ -1,4 +1,4 @@
-/** A backend that has ended and started again under its id, at a whole gateway. */
+/** Tests at a complete gateway how it handles a backend that has restarted under the same id. */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import {
   answerEvents,
@@ -9,7 +9,7 @@
   testRoute,
 } from './gateway-harness.js';
 
-describe('a backend that starts again under its id', () => {
+describe('a backend that restarts under its id', () => {
   let harness: GatewayHarness;
   let earlier: TestBackend;
   let later: TestBackend;
@@ -30,7 +30,7 @@
     later.stop();
   });
 
-  it('is not avoided for the failures of its earlier start', async () => {
+  it('is not avoided because of failures of its earlier process', async () => {
     earlier.handle = (request) => request.socket.destroy();
     for (let failures = 0; failures < 4; failures++) await harness.call({ id: `f${failures}` });
     const { health } = harness.context();
@@ -41,20 +41,20 @@
     expect((await harness.call({ id: 'a' })).status).toBe(200);
   });
 
-  it('ends what is in flight at the address of its earlier start, and tells of it', async () => {
+  it('has requests in flight at the address of its earlier process ended, and logs the restart', async () => {
     earlier.handle = () => {};
     const call = harness.call({ id: 'a' });
     await pause(100);
     harness.list([later.record({ start: 'two', revision: 2 })]);
-    const begun = performance.now();
+    const startedAt = performance.now();
     expect((await call).headers['x-ran']).toBe('unknown');
-    expect(performance.now() - begun).toBeLessThan(500);
+    expect(performance.now() - startedAt).toBeLessThan(500);
     const line = harness.lines.find(({ event }) => event === 'backend_restarted');
     expect(line?.fields).toMatchObject({ backend: 'one', earlierStart: 'one', start: 'two' });
     expect((await harness.call({ id: 'b' })).body).toBe('done b');
   });
 
-  it('is not blamed for what its earlier start leaves unfinished', async () => {
+  it('is not blamed for unfinished requests of its earlier process', async () => {
     earlier.handle = () => {};
     const call = harness.call({ id: 'a' });
     await pause(100);
@@ -65,7 +65,7 @@
     expect(harness.context().tracker.inFlightAt('one')).toBe(0);
   });
 
-  it('may end what it took itself before its start was known here', async () => {
+  it('may finish a request that it accepted before its start was known to the gateway', async () => {
     const { address } = earlier;
     earlier.handle = answerEvents(1, 6, 50);
     const call = harness.call({ id: 'a' });
@@ -77,7 +77,7 @@
     expect(harness.context().tracker.inFlightAt('one')).toBe(0);
   });
 
-  it('is sent nothing on the connections of its earlier start', async () => {
+  it('receives nothing on connections of its earlier process', async () => {
     await harness.call({ id: 'a' });
     expect(harness.restingConnections(earlier.address)).toBe(true);
     harness.list([earlier.record({ start: 'two', revision: 2 })]);
--- a/test/gateway/crashing-requests.test.ts
+++ b/test/gateway/crashing-requests.test.ts
@@ -1,8 +1,8 @@
 /*
- * One request that crashes whatever runs it came again and again with the same path, caller and body, and ended 13 backends of a
- * service in half a minute: each attempt was sent to a second backend after the first had broken off, and each repeat started
- * from nothing at whichever daemon it came to. In the logs five daemons have `attempt_failed reached=true reason=aborted` for
- * both of the only two backends that hold the model, 0.23 s apart, and connections to them are refused from then on.
+ * Guards against a repeated request that crashes each backend that runs it. Such a request, with the same path, caller and body,
+ * ended 13 backends of a service in half a minute: each attempt was retried at a second backend after the first had crashed, and
+ * each daemon that received a repeat handled it as a new request. Five daemons logged `attempt_failed reached=true reason=aborted` for both of the
+ * only two backends that hold the model, 0.23 s apart, and connections to these were refused from then on.
  */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { findFreePorts } from '../../src/testbed/free-ports.js';
@@ -18,10 +18,10 @@
 
 const ADDRESSES = ['127.0.0.1', '127.0.0.2'] as const;
 const BACKENDS = 6;
-/** A backend that has crashed is back after so long, with another id. */
-const BACK_AFTER_MS = 300;
-/** All daemons that are in touch know after so long. */
-const TOLD_WITHIN_MS = 1_500;
+/** Delay after which a crashed backend is replaced by one with another id. */
+const REPLACED_AFTER_MS = 300;
+/** Time within which crash records reach all connected daemons. */
+const RECORDS_SPREAD_MS = 1_500;
 const ROUTE = testRoute({ maxAttempts: 3, goalMs: 2_000 });
 
 describe('a request that crashes the backends that run it', () => {
@@ -38,8 +38,8 @@
     revision = 1;
     [peerPort = 0] = await findFreePorts(1);
     for (let index = 0; index < BACKENDS; index++) await addBackend(`b${index}`);
-    for (const address of ADDRESSES) await join(address, ADDRESSES);
-    await meet(2);
+    for (const address of ADDRESSES) await startDaemon(address, ADDRESSES);
+    await waitForMembers(2);
   });
 
   afterEach(() => {
@@ -47,7 +47,7 @@
     for (const backend of backends) backend.stop();
   });
 
-  async function join(address: string, seeds: readonly string[]): Promise<GatewayHarness> {
+  async function startDaemon(address: string, seeds: readonly string[]): Promise<GatewayHarness> {
     const others = seeds.filter((seed) => seed !== address);
     const daemon = await GatewayHarness.start({ address, peerPort, seeds: others });
     daemon.configure(testConfiguration({ routes: [ROUTE] }));
@@ -56,11 +56,12 @@
     return daemon;
   }
 
-  async function meet(count: number): Promise<void> {
-    const seesAll = (daemon: GatewayHarness): boolean =>
+  async function waitForMembers(count: number): Promise<void> {
+    const seesAllMembers = (daemon: GatewayHarness): boolean =>
       daemon.gateway['peers'].live().length === count;
-    for (let look = 0; look < 60 && !daemons.every(seesAll); look++) await pause(100);
-    expect(daemons.every(seesAll)).toBe(true);
+    for (let attempt = 0; attempt < 60 && !daemons.every(seesAllMembers); attempt++)
+      await pause(100);
+    expect(daemons.every(seesAllMembers)).toBe(true);
   }
 
   async function addBackend(id: string): Promise<void> {
@@ -78,10 +79,10 @@
     crashes += 1;
     backend.stop();
     backends = backends.filter((other) => other !== backend);
-    setTimeout(() => void addBackend(`${backend.id}'`), BACK_AFTER_MS);
+    setTimeout(() => void addBackend(`${backend.id}'`), REPLACED_AFTER_MS);
   }
 
-  /** The list shows backends that have crashed for as long as they are not back. */
+  /** Updates the list at all daemons. A crashed backend stays listed until its replacement starts, as `crash` does not call this. */
   function listAll(): void {
     revision += 1;
     for (const daemon of daemons) {
@@ -93,7 +94,7 @@
     return daemons[daemon]!.call({ id, body });
   }
 
-  /** The same request again and again, by turns at both daemons. */
+  /** Repeats the same request, alternating between both daemons. */
   async function repeat(body: string, times: number): Promise<CallerView[]> {
     const answers: CallerView[] = [];
     for (let index = 0; index < times; index++) {
@@ -103,7 +104,7 @@
     return answers;
   }
 
-  it('ends three of them, and is refused at once from then on, at each daemon', async () => {
+  it('crashes three of them and is then refused at once at each daemon', async () => {
     const answers = await repeat('crash', 12);
     expect(crashes).toBe(3);
     const refused = answers.slice(1);
@@ -115,42 +116,42 @@
     }
   });
 
-  it('leaves other requests of the same path served', async () => {
+  it('does not prevent other requests of the same path', async () => {
     await repeat('crash', 4);
-    await pause(2 * BACK_AFTER_MS);
+    await pause(2 * REPLACED_AFTER_MS);
     expect((await call(0, 'other', 'sound')).status).toBe(200);
     expect((await call(1, 'other', 'sound')).status).toBe(200);
   });
 
-  it('is known to a daemon that starts later, and to one that starts again', async () => {
+  it('is refused by a daemon that starts later', async () => {
     await repeat('crash', 4);
     expect(crashes).toBe(3);
-    const joined = await join('127.0.0.3', ADDRESSES);
-    await meet(3);
-    await pause(TOLD_WITHIN_MS);
+    const joined = await startDaemon('127.0.0.3', ADDRESSES);
+    await waitForMembers(3);
+    await pause(RECORDS_SPREAD_MS);
     expect((await joined.call({ id: 'later', body: 'crash' })).status).toBe(503);
     expect(crashes).toBe(3);
   });
 
-  it('is sent again once an operator has said so to one daemon', async () => {
+  it('is sent again at all daemons after an operator has allowed it at one', async () => {
     await repeat('crash', 4);
-    await pause(2 * BACK_AFTER_MS);
+    await pause(2 * REPLACED_AFTER_MS);
     const [first, second] = daemons as [GatewayHarness, GatewayHarness];
-    const { crashes: watch } = first.context();
-    const [refused] = watch.refusedRequests();
+    const { crashes: tracker } = first.context();
+    const [refused] = tracker.refusedRequests();
     expect(refused?.starts).toHaveLength(3);
-    expect(watch.lift('no such digest')).toBe(false);
-    expect(watch.lift(refused?.digest ?? '')).toBe(true);
+    expect(tracker.lift('no such digest')).toBe(false);
+    expect(tracker.lift(refused?.digest ?? '')).toBe(true);
     await pause(100);
     expect(second.context().crashes.refusedRequests()).toEqual([]);
     await second.call({ id: 'lifted', body: 'crash' });
     expect(crashes).toBeGreaterThan(3);
   });
 
-  it('leaves its turn at a backend also where it is not sent after all', async () => {
+  it('releases its reservation of a backend where it is not sent', async () => {
     const { bounds } = daemons[0]!.settings;
-    const part = { address: '127.0.0.4', bounds: { ...bounds, retrySlack: 0, retryRatio: 0 } };
-    const daemon = await GatewayHarness.start({ ...part, peerPort, seeds: [] });
+    const options = { address: '127.0.0.4', bounds: { ...bounds, retrySlack: 0, retryRatio: 0 } };
+    const daemon = await GatewayHarness.start({ ...options, peerPort, seeds: [] });
     daemon.configure(testConfiguration({ routes: [ROUTE] }));
     daemons.push(daemon);
     listAll();
@@ -160,8 +161,8 @@
       backend.handle = (_request, response) => response.writeHead(503, { 'not-run': '1' }).end();
     }
     expect((await daemon.call({ id: 'three', body: 'crash' })).status).toBe(503);
-    const free = { hasBegun: false };
-    const watch = daemon.context().crashes;
-    expect(backends.every(({ id }) => watch.isPlaceFree(id, free))).toBe(true);
+    const suspect = { hasBegun: false };
+    const tracker = daemon.context().crashes;
+    expect(backends.every(({ id }) => tracker.isPlaceFree(id, suspect))).toBe(true);
   });
 });
--- a/test/gateway/holder-leases.test.ts
+++ b/test/gateway/holder-leases.test.ts
@@ -6,16 +6,16 @@
 import { HolderLeases, type HeldDuty } from '../../src/gateway/holder-leases.js';
 
 const TICK_MS = 100;
-const DUTY: HeldDuty = { ownCeiling: () => 7, onGained: () => {}, onAnswered: () => {} };
+const CALLBACKS: HeldDuty = { ownCeiling: () => 7, onGained: () => {}, onAnswered: () => {} };
 
 beforeEach(() =>
   vi.useFakeTimers({ toFake: ['setTimeout', 'clearTimeout', 'performance', 'Date'] }),
 );
 afterEach(() => vi.useRealTimers());
 
-/** Daemons whose messages arrive at once, but not across a cut. */
+/** Daemons whose messages arrive at once, except to and from disconnected daemons. */
 class Group {
-  private readonly cut = new Set<string>();
+  private readonly disconnected = new Set<string>();
   readonly sent = { datagrams: 0 };
   private readonly members = new Map<string, HolderLeases>();
 
@@ -27,13 +27,13 @@
     return this.members.get(name) as HolderLeases;
   }
 
-  /** Nobody reaches the daemon any more, and it sees nobody. */
-  cutOff(name: string): void {
-    this.cut.add(name);
+  /** Disconnects a daemon from all others in both directions. */
+  disconnect(name: string): void {
+    this.disconnected.add(name);
   }
 
   run(milliseconds: number): void {
-    for (let passed = 0; passed < milliseconds; passed += TICK_MS) {
+    for (let elapsed = 0; elapsed < milliseconds; elapsed += TICK_MS) {
       vi.advanceTimersByTime(TICK_MS);
       for (const leases of this.members.values()) leases.tick();
     }
@@ -54,7 +54,7 @@
   }
 
   private reaches(from: string, to: string): boolean {
-    return from === to || !(this.cut.has(from) || this.cut.has(to));
+    return from === to || !(this.disconnected.has(from) || this.disconnected.has(to));
   }
 
   private send(from: string, to: string, body: PeerBody): void {
@@ -64,61 +64,61 @@
 }
 
 describe('the leases of a group', () => {
-  it('are held by one daemon at a time, and by the next when the first is cut off', () => {
+  it('are held by one daemon at a time, and by the next one after the first is disconnected', () => {
     const group = new Group(['a', 'b', 'c', 'd']);
     group.run(2_000);
-    group.at('a').want('n', DUTY);
+    group.at('a').want('n', CALLBACKS);
     expect(group.at('a').holds('n')).toBe(true);
-    group.at('b').want('n', DUTY);
+    group.at('b').want('n', CALLBACKS);
     group.run(5_000);
     expect(group.at('a').holds('n')).toBe(true);
     expect(group.at('b').holds('n')).toBe(false);
-    group.cutOff('a');
-    for (let passed = 0; passed < 2_000; passed += TICK_MS) {
+    group.disconnect('a');
+    for (let elapsed = 0; elapsed < 2_000; elapsed += TICK_MS) {
       group.run(TICK_MS);
       expect(group.at('a').holds('n') && group.at('b').holds('n')).toBe(false);
     }
     expect(group.at('b').holds('n')).toBe(true);
   });
 
-  it('pass on at once when they are released', () => {
+  it('can be obtained by another daemon as soon as they are released', () => {
     const group = new Group(['a', 'b', 'c', 'd', 'e', 'f', 'g']);
     group.run(2_000);
-    group.at('a').want('n', DUTY);
+    group.at('a').want('n', CALLBACKS);
     group.at('a').release('n');
-    group.at('b').want('n', DUTY);
+    group.at('b').want('n', CALLBACKS);
     expect(group.at('a').holds('n')).toBe(false);
     expect(group.at('b').holds('n')).toBe(true);
   });
 
-  it('are not given to a daemon that is cut off, also if it has wanted none for long', () => {
+  it('are not granted to a disconnected daemon, even if it has requested none for a long time', () => {
     const group = new Group(['a', 'b', 'c', 'd']);
-    group.at('a').want('m', DUTY);
+    group.at('a').want('m', CALLBACKS);
     group.run(2_000);
     group.at('a').release('m');
     group.run(20_000);
-    group.cutOff('a');
-    group.at('a').want('n', DUTY);
+    group.disconnect('a');
+    group.at('a').want('n', CALLBACKS);
     group.run(5_000);
     expect(group.at('a').holds('n')).toBe(false);
     expect(group.at('a').ownCeiling('n')).toBe(7);
   });
 
-  it('cost a few datagrams a second, whatever the size of the group', () => {
+  it('need a few datagrams per second, whatever the size of the group', () => {
     const group = new Group([...Array(330).keys()].map((index) => `d-${index}`));
-    group.at('d-1').want('n', DUTY);
+    group.at('d-1').want('n', CALLBACKS);
     group.run(2_000);
     const before = group.sent.datagrams;
     group.run(10_000);
     expect(group.at('d-1').holds('n')).toBe(true);
-    // Questions to six keepers at most, and their answers, two and a half times a second.
+    // Requests to at most six voters and their replies, two and a half times per second.
     expect(group.sent.datagrams - before).toBeLessThanOrEqual(12 * 25);
   });
 
-  it('bear messages of nobody and about nothing', () => {
+  it('ignore invalid replies of unknown daemons and messages of other kinds', () => {
     const group = new Group(['a', 'b']);
-    const answer = { name: 'n', sequence: NaN, isGiven: true, soleMs: 0, formerCeiling: NaN };
-    const value = create(HolderLeaseAnswerSchema, answer);
+    const reply = { name: 'n', sequence: NaN, isGiven: true, soleMs: 0, formerCeiling: NaN };
+    const value = create(HolderLeaseAnswerSchema, reply);
     expect(group.at('a').receive('x', { case: 'holderLeaseAnswer', value })).toBe(true);
     expect(group.at('a').holds('n')).toBe(false);
     const other = create(LimitNewsSchema);
--- a/test/gateway/limits-under-lease.test.ts
+++ b/test/gateway/limits-under-lease.test.ts
@@ -1,9 +1,9 @@
 /*
- * A tenant's limit was exceeded when the daemon that counted for all was cut off: it went on granting for up
- * to 2.9 s beside the next one, because it held no lease. The lease was there, but a policy that was on only
- * where settings named it, and the settings of the soak and of most tests name none. In the log of soak seed 59
- * no line `holder_lease_*` stands at all, `limit_held` at a second daemon stands 0.1 s before `limit_tight` of
- * the first one, and 2,800 to 3,100 of 2,600 units ran in a window.
+ * Guards against a holder that grants units without a lease. A tenant's limit was exceeded when the holder was disconnected: it
+ * continued to grant units for up to 2.9 s beside the next holder. Leases were a policy that was off unless the settings enabled
+ * it, and the settings of the soak test and of most tests did not. The log of soak seed 59 has no line `holder_lease_*`;
+ * `limit_held` at a second daemon comes 0.1 s before `limit_tight` at the first one, and 2,800 to 3,100 units ran in a window
+ * with a limit of 2,600.
  */
 import { afterEach, describe, expect, it } from 'vitest';
 import { hashKey } from '../../src/core/admission/api-keys.js';
@@ -19,7 +19,7 @@
   limit: LIMIT,
 };
 
-/** Settings as an operator writes them, with these policies. */
+/** Parses settings as an operator writes them, with the given policies. */
 function settingsWith(policies: Record<string, boolean> | undefined): GatewaySettings {
   const bounds = {
     stopSeconds: 8,
@@ -60,7 +60,7 @@
     backend?.stop();
   });
 
-  it('is granted under a lease whatever policies settings name', async () => {
+  it('is granted under a lease whichever policies the settings contain', async () => {
     await expectLease(undefined);
     await expectLease({ leasedLimits: false });
   });
--- a/test/gateway/suspended-machine.test.ts
+++ b/test/gateway/suspended-machine.test.ts
@@ -1,8 +1,8 @@
 /*
- * A suspended owner gave orders after its successor: its steady clock had not counted the 5.4 s for which its machine stood
- * still, so the proof of its lease seemed milliseconds old when it woke, and no line `standstill` stands in its log. It unloaded a
- * model 60 ms after it woke and loaded another 80 ms after, 1.3 s after its successor's first order; that it stopped at 230 ms
- * was somebody's word of the higher epoch, by chance.
+ * Guards against an owner that gives orders after its machine was suspended and a successor has taken over. The owner's steady
+ * clock had not counted the 5.4 s of suspension, so the proof of its lease seemed milliseconds old after the resume, and its log has
+ * no line `standstill`. It unloaded a model 60 ms after the resume and loaded another one 80 ms after it, 1.3 s after its
+ * successor's first order. It stopped at 230 ms only because it happened to receive a message with the higher epoch.
  */
 import { create } from '@bufbuild/protobuf';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
@@ -16,8 +16,8 @@
 
 const SUSPENDED_MS = 5_400;
 
-/** The machine wakes: the time of day has gone on, the steady clock has not. */
-function suspend(): void {
+/** Simulates suspend and resume: the time of day advances, the steady clock does not. */
+function simulateSuspend(): void {
   vi.setSystemTime(Date.now() + SUSPENDED_MS);
 }
 
@@ -29,53 +29,53 @@
     vi.useRealTimers();
   });
 
-  it('an owner whose backends check no epochs orders nothing until it has proved its claim anew', async () => {
+  it('an owner whose backends check no epochs gives no orders until it has proved its claim again', async () => {
     const scene = new OwnershipScene(false);
     const owner = scene.join('one', 1_000);
     await scene.runHeard(4_000);
     expect(owner.mayOrder()).toBe(true);
-    suspend();
+    simulateSuspend();
     expect(owner.mayOrder()).toBe(false);
     await scene.runHeard(200);
     expect(owner.mayOrder()).toBe(true);
     expect(owner.epoch).toBe(1);
   });
 
-  it('who counts for all lends nothing until most keepers have given their word anew', () => {
+  it('a holder grants nothing until a majority of voters has voted for it again', () => {
     const leases = leasesOf('a');
     leases.want('n', { ownCeiling: () => 7, onAnswered: () => {}, onGained: () => {} });
     expect(leases.holds('n')).toBe(true);
-    suspend();
+    simulateSuspend();
     expect(leases.holds('n')).toBe(false);
   });
 
-  it('a keeper keeps its word to another, whatever the time of day says', () => {
-    const keeper = leasesOf('a');
-    const heard: boolean[] = [];
-    answered = (isGiven) => heard.push(isGiven);
+  it('a voter keeps its vote for another holder for the full time by the steady clock', () => {
+    const voter = leasesOf('a');
+    const votes: boolean[] = [];
+    onVote = (isGiven) => votes.push(isGiven);
     vi.advanceTimersByTime(2_000);
-    ask(keeper, 'b', 1);
-    suspend();
-    ask(keeper, 'c', 2);
-    expect(heard).toEqual([true, false]);
+    requestVote(voter, 'b', 1);
+    simulateSuspend();
+    requestVote(voter, 'c', 2);
+    expect(votes).toEqual([true, false]);
     vi.advanceTimersByTime(2_000);
-    ask(keeper, 'c', 3);
-    expect(heard).toEqual([true, false, true]);
+    requestVote(voter, 'c', 3);
+    expect(votes).toEqual([true, false, true]);
   });
 
-  it('a proof of the configuration, and what readers have said of the directory, are old', () => {
+  it('a proof of the configuration and reports of directory readers are outdated', () => {
     const provenAt = leaseNow();
     const lease = new ConfigurationLease();
     lease.addProof({ version: 0, provenAt });
     const readers = new KnownReaders();
     readers.hear('r', { version: 1, platformAway: false, servingDigest: 1 }, 1, leaseNow());
     expect(readers.hearsAnswered(leaseNow())).toBe(true);
-    suspend();
+    simulateSuspend();
     expect(lease.ageMs(leaseNow())).toBeGreaterThanOrEqual(SUSPENDED_MS);
     expect(readers.hearsAnswered(leaseNow())).toBe(false);
   });
 
-  it('an owner that waits for orders of a former one waits no shorter', async () => {
+  it('an owner waits for the full time in which a previous owner may still give orders', async () => {
     const scene = new OwnershipScene(false);
     scene.record = {
       name: 'models',
@@ -84,7 +84,7 @@
     };
     const owner = scene.join('one', 1_000);
     while (owner.epoch === undefined) await scene.runHeard(50);
-    suspend();
+    simulateSuspend();
     await scene.runHeard(1_000);
     expect(owner.epoch).toBe(5);
     expect(owner.mayOrder()).toBe(false);
@@ -92,8 +92,8 @@
     expect(owner.mayOrder()).toBe(true);
   });
 
-  /** Whether the keeper has given its word. */
-  let answered: (isGiven: boolean) => void = () => {};
+  /** Receives whether the voter has voted for the requesting holder. */
+  let onVote: (isGiven: boolean) => void = () => {};
 
   function leasesOf(self: string): HolderLeases {
     const member = { address: self, zone: 'z' };
@@ -106,14 +106,14 @@
       firstSequence: 1,
       processStartedAt: performance.now(),
       sendDatagram: (_to, body) => {
-        if (body.case === 'holderLeaseAnswer') answered(body.value.isGiven);
+        if (body.case === 'holderLeaseAnswer') onVote(body.value.isGiven);
       },
     });
   }
 
-  function ask(keeper: HolderLeases, holder: string, sequence: number): void {
+  function requestVote(voter: HolderLeases, holder: string, sequence: number): void {
     const fields = { name: 'n', sequence, ownCeiling: 1, process: 1 };
     const value = create(HolderLeaseQuestionSchema, fields);
-    keeper.receive(holder, { case: 'holderLeaseQuestion', value });
+    voter.receive(holder, { case: 'holderLeaseQuestion', value });
   }
 });
