--- a/src/gateway/capacity-watch.ts
+++ b/src/gateway/capacity-watch.ts
@@ -9,7 +9,7 @@
 /** Minimum interval between two computations of the estimate; daemons report at the same interval. */
 const RECOMPUTE_INTERVAL_MS = 250;
 
-/** Options of {@link CapacityWatch}. */
+/** Options of {@link CapacityTracker}. */
 export interface CapacityWatchOptions {
   readonly service: string;
   readonly epoch: number;
--- a/src/gateway/crash-watch.ts
+++ b/src/gateway/crash-watch.ts
@@ -20,7 +20,7 @@
 /** Time for which the result of a probe is reused, so that requests that fail together share one probe. */
 const PROBE_REUSE_MS = 200;
 
-/** Options of {@link CrashWatch}. */
+/** Options of {@link CrashTracker}. */
 export interface CrashWatchOptions extends GossipLinks {
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
@@ -32,7 +32,7 @@
 
 /** A request under suspicion of crashing backends. No other suspect runs at its backend until the answer has begun. */
 export interface SuspectRequest {
-  /** Whether the backend has begun to answer it. */
+  /** Whether its answer has begun. */
   readonly hasBegun: boolean;
 }
 
@@ -141,7 +141,7 @@
     this.records.recordRepeat(digest, steadyNow());
   }
 
-  /** Returns whether a suspect may run at a backend, which is so unless another suspect there has not begun to be answered. */
+  /** Returns whether a suspect may run at a backend. It may not while another suspect runs there whose answer has not begun. */
   isPlaceFree(backend: string, suspect: SuspectRequest): boolean {
     const holder = this.running.get(backend);
     return holder === undefined || holder === suspect || holder.hasBegun;
