--- a/src/gateway/shared-limits.ts
+++ b/src/gateway/shared-limits.ts
@@ -155,7 +155,10 @@
     onDecision(decision);
   }
 
-  /** Returns whether a request may be admitted without the holder's decision: the holder is responsive, or the request fits into this daemon's share. */
+  /**
+   * Returns whether a request may be admitted without the holder's decision: the holder is responsive, or the request
+   * fits into this daemon's share.
+   */
   private mayAdmitNow(name: string, state: MemberState, units: number, now: number): boolean {
     const limit = this.options.limitOf(name);
     if (limit === undefined) return true;
@@ -272,7 +275,10 @@
     return state;
   }
 
-  /** Applies a change of the holder. Reports this daemon's units to the new holder, whose decision is required for each request until it announces otherwise. */
+  /**
+   * Applies a change of the holder. Reports this daemon's units to the new holder, whose decision is required for each
+   * request until it announces otherwise.
+   */
   private updateHolder(name: string, state: MemberState, now: number): void {
     const holder = this.holderOf(name);
     if (holder === state.holder) return;
