--- a/src/client/admin-client.ts
+++ b/src/client/admin-client.ts
@@ -1,4 +1,4 @@
-/** The administration API as the command line and the tools use it. */
+/** Client of the administration API, used by the command line and the tools. */
 import { Result } from 'true-myth';
 import { serviceError, type ErrorKind, type ServiceError } from '../common/errors.js';
 import { HttpClient, parseJson, type HttpRequest } from '../common/http-client.js';
@@ -6,7 +6,7 @@
 import type { VersionedDocument } from '../daemon/admin-api.js';
 import type { StatusReport } from '../daemon/status.js';
 
-/** Milliseconds until a call is given up. */
+/** Timeout of a call. */
 const CALL_TIMEOUT_MS = 15_000;
 
 /** Collections of the API. */
@@ -18,7 +18,7 @@
 }
 
 /**
- * Speaks to the administration API of any daemon.
+ * Client of the administration API; any daemon can serve the calls.
  *
  * @example
  * const client = new AdminClient('127.0.0.1:7080', key);
@@ -48,7 +48,7 @@
     return this.call('GET', `${collection}/${encodeURIComponent(name)}`);
   }
 
-  /** Writes a document; with `version`, only if it still stands at that version. */
+  /** Writes a document; with `version`, only if that is its current version. */
   put(
     collection: Collection,
     name: string,
@@ -59,7 +59,7 @@
     return this.call('PUT', path, document, version);
   }
 
-  /** Deletes a document. */
+  /** Deletes a document; with `version`, only if that is its current version. */
   remove(
     collection: Collection,
     name: string,
@@ -98,13 +98,13 @@
       return Result.err(serviceError('not_ready', `${this.server}: ${answer.error.message}`));
     }
     const parsed = parseJson(answer.value.body);
-    if (parsed.isErr) return Result.err(serviceError('internal', 'the answer is not JSON'));
+    if (parsed.isErr) return Result.err(serviceError('internal', 'the response body is not JSON'));
     if (answer.value.status < 300) return Result.ok(parsed.value as Body);
     return Result.err(errorOf(parsed.value));
   }
 }
 
-interface ErrorAnswerBody {
+interface ErrorResponseBody {
   readonly error?: {
     readonly code: ErrorKind;
     readonly message: string;
@@ -114,8 +114,9 @@
 }
 
 function errorOf(body: unknown): ServiceError {
-  const error = (body as ErrorAnswerBody).error;
-  if (error === undefined) return serviceError('internal', 'an answer without an error');
+  const error = (body as ErrorResponseBody).error;
+  if (error === undefined)
+    return serviceError('internal', 'the error response has no `error` field');
   const version = error.current_version;
   return serviceError(error.code, error.message, {
     ...(error.retry_after === null ? {} : { retryAfterSeconds: error.retry_after }),
--- a/src/client/model-client.ts
+++ b/src/client/model-client.ts
@@ -1,11 +1,11 @@
-/** A caller: sends a chat request as any OpenAI client would, and measures the answer. */
+/** Test caller: sends a chat request like an OpenAI client and measures the response. */
 import http from 'node:http';
 import type { ErrorKind, Ran } from '../common/errors.js';
 import { parseJson, splitAddress } from '../common/http-client.js';
 
 /** One call. */
 export interface ModelCall {
-  /** A daemon's callers' address, "ip:port". */
+  /** A daemon's address for callers, "ip:port". */
   readonly server: string;
   readonly key: string;
   readonly model: string;
@@ -16,15 +16,15 @@
   readonly headers?: Readonly<Record<string, string>>;
   /** Milliseconds after which the caller gives up. */
   readonly timeoutMs: number;
-  /** Called at each token. */
+  /** Called for each token. */
   readonly onToken?: () => void;
-  /** Connections are shared through this. */
+  /** Connection pool shared between calls. */
   readonly agent?: http.Agent;
 }
 
-/** How a call ended, in the caller's own words. Times are Unix milliseconds. */
+/** Result of a call as the caller observed it. Times are Unix milliseconds. */
 export interface ModelAnswer {
-  /** `whole`: the answer ended as it should. `refused`: an error of the closed list. `lost`: no end. */
+  /** `whole`: the response is complete. `refused`: the service returned an error. `lost`: the response never finished. */
   readonly outcome: 'whole' | 'refused' | 'lost';
   readonly status: number;
   readonly text: string;
@@ -48,32 +48,32 @@
   readonly error?: { readonly code: ErrorKind; readonly ran: Ran; readonly message: string };
 }
 
-/** Gathers what arrives on one call. */
-class AnswerReader {
+/** Accumulates the response of one call. */
+class ResponseReader {
   private readonly startedAt = Date.now();
   private firstTokenAt: number | undefined;
   private text = '';
   private tokens = 0;
   private finished = false;
   private error: Chunk['error'];
-  private rest = '';
+  private pending = '';
 
   constructor(private readonly onToken: () => void) {}
 
-  /** Takes in a piece of the body. */
+  /** Processes a piece of the body. */
   read(piece: string, stream: boolean): void {
     if (!stream) {
-      this.rest += piece;
+      this.pending += piece;
       return;
     }
-    const lines = (this.rest + piece).split('\n');
-    this.rest = lines.pop() ?? '';
+    const lines = (this.pending + piece).split('\n');
+    this.pending = lines.pop() ?? '';
     for (const line of lines) if (line.startsWith('data: ')) this.readEvent(line.slice(6));
   }
 
-  /** The answer when the connection has ended. */
+  /** The result, once the connection has ended. */
   result(incoming: http.IncomingMessage | undefined, reason: string): ModelAnswer {
-    if (this.rest !== '') this.readBody(this.rest);
+    if (this.pending !== '') this.readBody(this.pending);
     const retryAfter = incoming?.headers['retry-after'];
     const requestId = incoming?.headers['x-request-id'];
     return {
@@ -119,7 +119,7 @@
 
 /** Makes a call. Never throws. */
 export function callModel(call: ModelCall): Promise<ModelAnswer> {
-  const reader = new AnswerReader(call.onToken ?? (() => {}));
+  const reader = new ResponseReader(call.onToken ?? (() => {}));
   const [host, port] = splitAddress(call.server);
   const payload = JSON.stringify({
     model: call.model,
@@ -128,13 +128,13 @@
     stream: call.stream,
   });
   return new Promise((resolve) => {
-    let answered: http.IncomingMessage | undefined;
+    let response: http.IncomingMessage | undefined;
     let finished = false;
     const finish = (reason: string): void => {
       if (finished) return;
       finished = true;
       clearTimeout(timer);
-      resolve(reader.result(answered, reason));
+      resolve(reader.result(response, reason));
     };
     const request = http.request(
       {
@@ -151,24 +151,24 @@
         },
       },
       (incoming) => {
-        answered = incoming;
+        response = incoming;
         const isStream = incoming.headers['content-type'] === 'text/event-stream';
         incoming.setEncoding('utf8');
         incoming.on('data', (piece: string) => reader.read(piece, isStream));
         incoming.on('error', (fault) => finish(fault.message));
-        incoming.on('end', () => finish('the answer ended'));
+        incoming.on('end', () => finish('the response ended'));
       },
     );
     request.on('error', (fault) => finish(fault.message));
     const timer = setTimeout(() => {
       request.destroy();
-      finish(`no end in ${call.timeoutMs} ms`);
+      finish(`the response did not finish within ${call.timeoutMs} ms`);
     }, call.timeoutMs);
     request.end(payload);
   });
 }
 
-/** The prompt as a daemon hands it to an engine. */
+/** The prompt as a daemon sends it to an engine. */
 export function promptAtEngine(prompt: string): string {
   return `user: ${prompt}`;
 }
--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -1,4 +1,4 @@
-/** Time as the decision logic sees it: Unix milliseconds, handed in and never read inside. */
+/** Time source for the decision logic, which receives times as arguments and reads no clock itself. */
 
 /** A source of the current time. */
 export interface Clock {
@@ -6,5 +6,5 @@
   now(): number;
 }
 
-/** The machine's clock. */
+/** The system clock. */
 export const systemClock: Clock = { now: () => Date.now() };
--- a/src/common/decimal.ts
+++ b/src/common/decimal.ts
@@ -1,10 +1,10 @@
-/** Numbers in headers. */
+/** Parses decimal numbers in HTTP headers. */
 
-/** A decimal number without sign; fractions are allowed. */
-const DECIMAL = /^\d+(\.\d+)?$/;
+/** An unsigned decimal number; fractions are allowed. */
+const DECIMAL_PATTERN = /^\d+(\.\d+)?$/;
 
-/** Reads a decimal number without sign, with spaces around it or none; undefined for any other text. */
+/** Parses an unsigned decimal number, with optional surrounding whitespace; undefined for any other text. */
 export function readDecimal(text: string): number | undefined {
   const trimmed = text.trim();
-  return DECIMAL.test(trimmed) ? Number(trimmed) : undefined;
+  return DECIMAL_PATTERN.test(trimmed) ? Number(trimmed) : undefined;
 }
--- a/src/common/errors.ts
+++ b/src/common/errors.ts
@@ -1,25 +1,25 @@
 /**
- * The closed list of error kinds, and the table from kind to answer.
+ * The error kinds of the service and the HTTP response of each.
  *
- * Every refusal that a caller or an operator can receive is one of these
- * kinds. `ran` says whether the request ran on an engine: `no` is promised
- * only if no byte of it went to an engine, or the engine refused it itself.
+ * Every error that a caller or an operator can receive has one of these
+ * kinds. `ran` tells whether the request ran on an engine: `no` guarantees that
+ * no byte of it was sent to an engine, or that the engine itself refused it.
  */
 
 /** Whether a request ran on an engine. */
 export type Ran = 'no' | 'yes' | 'unknown';
 
-/** How one kind of error is answered. */
+/** The HTTP response for one kind of error. */
 export interface ErrorAnswer {
   /** HTTP status code. */
   readonly status: number;
   /** Whether the request ran. */
   readonly ran: Ran;
-  /** Seconds to tell the client to wait when the error itself names none; 0 for no header. */
+  /** Default of the Retry-After header in seconds if the error sets none; 0 omits the header. */
   readonly retryAfterSeconds: number;
 }
 
-/** From kind to answer. The one place where a status or a `ran` is decided. */
+/** HTTP response by error kind; the only place that defines `status` and `ran`. */
 export const ERROR_ANSWERS = {
   malformed_request: { status: 400, ran: 'no', retryAfterSeconds: 0 },
   unauthorized: { status: 401, ran: 'no', retryAfterSeconds: 0 },
@@ -53,22 +53,22 @@
   internal: { status: 500, ran: 'unknown', retryAfterSeconds: 0 },
 } as const satisfies Record<string, ErrorAnswer>;
 
-/** One of the closed list of error kinds. */
+/** Kind of an error. */
 export type ErrorKind = keyof typeof ERROR_ANSWERS;
 
-/** An error of the closed list. */
+/** An error with a kind of {@link ERROR_ANSWERS}. */
 export interface ServiceError {
   readonly kind: ErrorKind;
-  /** What happened, for a person; holds no prompt and no key. */
+  /** Description for people; contains no prompt and no key. */
   readonly message: string;
-  /** Seconds after which a retry may succeed; the table's figure when absent. */
+  /** Seconds after which a retry may succeed; by default the value of {@link ERROR_ANSWERS}. */
   readonly retryAfterSeconds?: number;
   /** For `version_conflict`: the newer version of the object, 0 if it does not exist. */
   readonly currentVersion?: number;
 }
 
 /**
- * Makes an error of the closed list.
+ * Creates an error.
  *
  * @example
  * return Result.err(serviceError('queue_full', 'tenant "till" has 64 requests waiting'));
@@ -81,18 +81,18 @@
   return { kind, message, ...extra };
 }
 
-/** The answer for a kind. */
+/** The HTTP response for an error kind. */
 export function answerFor(kind: ErrorKind): ErrorAnswer {
   return ERROR_ANSWERS[kind];
 }
 
-/** Whole seconds for the Retry-After header; 0 for none. */
+/** Value of the Retry-After header in whole seconds, rounded up; 0 omits the header. */
 export function retryAfterOf(error: ServiceError): number {
   const seconds = error.retryAfterSeconds ?? answerFor(error.kind).retryAfterSeconds;
   return Math.max(0, Math.ceil(seconds));
 }
 
-/** The JSON body of an error, in the shape that OpenAI clients read. */
+/** JSON body of an error response, in the format of OpenAI clients. */
 export interface ErrorBody {
   readonly error: {
     readonly type: ErrorKind;
@@ -104,7 +104,7 @@
   };
 }
 
-/** Renders an error for callers and operators. */
+/** Renders the JSON body of an error response. */
 export function errorBody(error: ServiceError): ErrorBody {
   const retryAfter = retryAfterOf(error);
   return {
--- a/src/common/http-client.ts
+++ b/src/common/http-client.ts
@@ -4,17 +4,17 @@
 import { leaseNow } from './lease-clock.js';
 import type { LinkFaults } from './link-faults.js';
 
-/** Why no whole answer came. */
+/** Why no complete response was received. */
 export interface TransportFailure {
   /**
-   * `not_sent`: the connection was never made, so no byte of the request left.
+   * `not_sent`: no byte of the request was sent, because the connection failed or sending was no longer allowed.
    * `lost`: the request may have arrived.
    */
   readonly reason: 'not_sent' | 'lost';
   readonly message: string;
 }
 
-/** An answer with its body read to the end. */
+/** A response with its complete body. */
 export interface HttpAnswer {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
@@ -30,14 +30,14 @@
   readonly headers?: Readonly<Record<string, string>>;
   /** Sent as JSON when present. */
   readonly body?: unknown;
-  /** Milliseconds until the request is given up. */
+  /** Milliseconds until the request times out. */
   readonly timeoutMs: number;
   /**
-   * Milliseconds after which the request is not sent any more: a connection that
-   * comes up late, or a process that stood still, must not act on an old decision.
+   * Milliseconds after which the request is no longer sent. Prevents a request that rests on an outdated
+   * decision from being sent after a slow connection setup or a suspension of the process.
    */
   readonly sendWithinMs?: number;
-  /** Asked when the connection is up; the request is not sent unless it says so. */
+  /** Called once connected; the request is dropped if it returns false. */
   readonly maySend?: () => boolean;
 }
 
@@ -46,7 +46,7 @@
   /** Called once, before any line. Return false to stop reading. */
   onStart(status: number, headers: http.IncomingHttpHeaders): boolean;
   onLine(line: unknown): void;
-  /** Called once; `failure` is undefined when the peer ended the stream itself. */
+  /** Called once; `failure` is undefined if the peer ended the stream. */
   onEnd(failure?: TransportFailure): void;
 }
 
@@ -58,15 +58,15 @@
 
 /** Options of {@link HttpClient}. */
 export interface HttpClientOptions {
-  /** Fault switches for tests; none by default. */
+  /** Injected network faults for tests; none by default. */
   readonly faults?: LinkFaults;
-  /** Called with the bytes of each request and answer body, for accounting. */
+  /** Called with the size of each request and response body, for traffic accounting. */
   readonly onBytes?: (bytes: number) => void;
-  /** Keeps the connections; one of its own by default. */
+  /** Connection pool; a separate one by default. */
   readonly agent?: http.Agent;
 }
 
-/** Keeps connections open between requests. */
+/** HTTP client with persistent connections. */
 export class HttpClient {
   private readonly agent: http.Agent;
 
@@ -80,7 +80,7 @@
     this.agent.destroy();
   }
 
-  /** Sends a request and reads the whole answer. */
+  /** Sends a request and reads the complete response. */
   async send(request: HttpRequest): Promise<Result<HttpAnswer, TransportFailure>> {
     return new Promise((resolve) => {
       let finished = false;
@@ -92,7 +92,7 @@
       };
       const timer = setTimeout(() => {
         finish(Result.err({ reason: 'lost', message: `no answer in ${request.timeoutMs} ms` }));
-        discard(outgoing);
+        resetConnection(outgoing);
       }, request.timeoutMs);
       const outgoing = this.start(request, finish, (incoming) => {
         const chunks: Buffer[] = [];
@@ -100,9 +100,9 @@
           this.options.onBytes?.(chunk.length);
           chunks.push(chunk);
         });
-        incoming.on('error', (fault) => finish(lost(fault)));
+        incoming.on('error', (fault) => finish(lostFailure(fault)));
         incoming.on('end', () => {
-          if (this.silenced(request.address)) return;
+          if (this.isInboundBlocked(request.address)) return;
           const body = Buffer.concat(chunks).toString('utf8');
           finish(Result.ok({ status: incoming.statusCode ?? 0, headers: incoming.headers, body }));
         });
@@ -110,7 +110,7 @@
     });
   }
 
-  /** Opens a stream of JSON lines. The timeout covers the time until the head of the answer. */
+  /** Opens a stream of JSON lines. The timeout applies until the response headers arrive. */
   stream(request: HttpRequest, handler: LineHandler): LineStream {
     let ended = false;
     const end = (failure?: TransportFailure): void => {
@@ -127,7 +127,7 @@
       request,
       (result) => end(result.isErr ? result.error : undefined),
       (incoming) => {
-        if (ended || this.silenced(request.address)) return;
+        if (ended || this.isInboundBlocked(request.address)) return;
         clearTimeout(timer);
         if (!handler.onStart(incoming.statusCode ?? 0, incoming.headers)) {
           ended = true;
@@ -153,13 +153,13 @@
     end: (failure?: TransportFailure) => void,
     isEnded: () => boolean,
   ): void {
-    let rest = '';
+    let pending = '';
     incoming.setEncoding('utf8');
     incoming.on('data', (text: string) => {
       this.options.onBytes?.(text.length);
-      if (this.silenced(address)) return;
-      const lines = (rest + text).split('\n');
-      rest = lines.pop() ?? '';
+      if (this.isInboundBlocked(address)) return;
+      const lines = (pending + text).split('\n');
+      pending = lines.pop() ?? '';
       for (const line of lines) {
         if (isEnded()) return;
         if (line === '') continue;
@@ -173,7 +173,7 @@
     });
     incoming.on('error', (fault) => end({ reason: 'lost', message: fault.message }));
     incoming.on('end', () => {
-      if (!this.silenced(address)) end();
+      if (!this.isInboundBlocked(address)) end();
     });
   }
 
@@ -198,11 +198,11 @@
     );
     const sendOnceConnected = (): void => {
       if (leaseNow() - startedAt > (request.sendWithinMs ?? Infinity)) {
-        outgoing.destroy(new Error('it is too late to send the request'));
+        outgoing.destroy(new Error('the request was not sent: its send deadline has passed'));
         return;
       }
       if (request.maySend?.() === false) {
-        outgoing.destroy(new Error('the request may no longer be sent'));
+        outgoing.destroy(new Error('the request was not sent: it is no longer permitted'));
         return;
       }
       connected = true;
@@ -220,7 +220,7 @@
     return outgoing;
   }
 
-  private silenced(address: string): boolean {
+  private isInboundBlocked(address: string): boolean {
     return this.options.faults?.blocksInbound(address) ?? false;
   }
 }
@@ -240,13 +240,13 @@
   }
 }
 
-/** A reset: after an orderly end the system would still deliver what a cut link holds up. */
-function discard(outgoing: http.ClientRequest | undefined): void {
+/** Resets the connection. After a normal close, the kernel would still deliver data that a broken link has delayed. */
+function resetConnection(outgoing: http.ClientRequest | undefined): void {
   const socket = outgoing?.socket;
   if (socket?.connecting === false) socket.resetAndDestroy();
   outgoing?.destroy();
 }
 
-function lost(fault: Error): Result<HttpAnswer, TransportFailure> {
+function lostFailure(fault: Error): Result<HttpAnswer, TransportFailure> {
   return Result.err({ reason: 'lost', message: fault.message });
 }
--- a/src/common/http-server.ts
+++ b/src/common/http-server.ts
@@ -1,4 +1,4 @@
-/** Helpers around Node's `http` server: bounded bodies, JSON answers, graceful listen. */
+/** Helpers for Node's `http` server: size-limited bodies, JSON responses, and listening with a promise. */
 import http from 'node:http';
 import { Result } from 'true-myth';
 import { answerFor, errorBody, retryAfterOf, serviceError, type ServiceError } from './errors.js';
@@ -24,7 +24,14 @@
       resolve(Result.ok(Buffer.concat(chunks).toString('utf8')));
     });
     request.on('error', () => {
-      resolve(Result.err(serviceError('malformed_request', 'the body was cut off')));
+      resolve(
+        Result.err(
+          serviceError(
+            'malformed_request',
+            'the connection failed before the end of the request body',
+          ),
+        ),
+      );
     });
   });
 }
@@ -36,12 +43,12 @@
 ): Promise<Result<unknown, ServiceError>> {
   const body = await readBody(request, limit);
   if (body.isErr) return Result.err(body.error);
-  return parseJson(body.value === '' ? '{}' : body.value).mapErr((why) =>
-    serviceError('malformed_request', `the body is not JSON: ${why}`),
+  return parseJson(body.value === '' ? '{}' : body.value).mapErr((reason) =>
+    serviceError('malformed_request', `the body is not JSON: ${reason}`),
   );
 }
 
-/** Sends a JSON answer. */
+/** Sends a JSON response unless one was already started. */
 export function sendJson(
   response: http.ServerResponse,
   status: number,
@@ -53,7 +60,7 @@
   response.end(JSON.stringify(body));
 }
 
-/** Sends an error of the closed list. */
+/** Sends an error response. */
 export function sendError(
   response: http.ServerResponse,
   error: ServiceError,
@@ -68,7 +75,7 @@
   sendJson(response, answer.status, errorBody(error), all);
 }
 
-/** Listens on an IP number; port 0 takes a free one. Resolves with the port. */
+/** Listens on an IP address; port 0 selects a free port. Resolves with the port. */
 export function listen(server: http.Server, host: string, port: number): Promise<number> {
   return new Promise((resolve, reject) => {
     server.once('error', reject);
--- a/src/common/js-csp.d.ts
+++ b/src/common/js-csp.d.ts
@@ -1,4 +1,4 @@
-/** Types for the part of js-csp that this project uses. The package ships none. */
+/** Type declarations for the part of js-csp used here; the package contains none. */
 declare module 'js-csp' {
   export interface Buffer {
     readonly kind?: string;
--- a/src/common/lease-clock.ts
+++ b/src/common/lease-clock.ts
@@ -1,50 +1,50 @@
 /**
- * The clock for whatever may be done only up to a time: leases, proofs, how old knowledge is. The steady clock stands
- * still while a machine is suspended, so by it a lease would outlast its end. The time of day goes on, but may also be set; a leap of
- * it ahead is taken for time that has passed, for what it was cannot be told. So this clock is never behind the time that has really
- * passed, unless the time of day was set back in the same moment, and may be ahead of it: what must be waited for is counted
- * by the steady clock.
+ * Clock for expiry: leases, proofs and the age of information. The monotonic clock stops while the machine is
+ * suspended, so a lease measured by it would outlive its expiry. The wall clock continues, but can also be set. A
+ * forward step of the wall clock counts as elapsed time, because its cause is unknown. This clock is therefore never
+ * behind the real elapsed time, unless the wall clock is set back at the same moment, but it can be ahead. Minimum
+ * waiting times are measured by the monotonic clock instead.
  */
 
-/** The time of day is adjusted by less than this at once without being set. */
-const LEAP_MS = 100;
+/** Smaller changes of the wall clock's offset are gradual adjustments, not steps. */
+const MIN_STEP_MS = 100;
 
-/** Counts the time that has passed at most. */
+/** Measures an upper bound of the elapsed time. */
 export class LeaseClock {
-  /** Told of each leap, in milliseconds. */
+  /** Called with the milliseconds of each forward step of the wall clock. */
   onLeap: (milliseconds: number) => void = () => {};
-  private leapt = 0;
+  private totalStepMs = 0;
   private offset: number;
 
   /**
-   * @param steady - Milliseconds of a clock that never jumps.
-   * @param timeOfDay - Unix milliseconds.
+   * @param monotonic - Monotonic time in milliseconds.
+   * @param wallClock - Wall clock in Unix milliseconds.
    */
   constructor(
-    private readonly steady: () => number,
-    private readonly timeOfDay: () => number,
+    private readonly monotonic: () => number,
+    private readonly wallClock: () => number,
   ) {
-    this.offset = timeOfDay() - steady();
+    this.offset = wallClock() - monotonic();
   }
 
-  /** Milliseconds since the process started, with all leaps. */
+  /** Milliseconds since the process started, including all forward steps of the wall clock. */
   now(): number {
-    const steady = this.steady();
-    const offset = this.timeOfDay() - steady;
+    const monotonic = this.monotonic();
+    const offset = this.wallClock() - monotonic;
     const change = offset - this.offset;
-    if (Math.abs(change) < LEAP_MS) return steady + this.leapt;
+    if (Math.abs(change) < MIN_STEP_MS) return monotonic + this.totalStepMs;
     this.offset = offset;
-    if (change > 0) this.noteLeap(change);
-    return steady + this.leapt;
+    if (change > 0) this.recordStep(change);
+    return monotonic + this.totalStepMs;
   }
 
-  private noteLeap(milliseconds: number): void {
-    this.leapt += milliseconds;
+  private recordStep(milliseconds: number): void {
+    this.totalStepMs += milliseconds;
     this.onLeap(Math.round(milliseconds));
   }
 }
 
-/** The process's clock. */
+/** The lease clock of this process. */
 export const leaseClock = new LeaseClock(
   () => performance.now(),
   () => Date.now(),
--- a/src/common/line-budget.ts
+++ b/src/common/line-budget.ts
@@ -1,45 +1,45 @@
-/** Bounds how many log lines of each kind of event are written. Pure. */
+/** Limits the rate of log lines for each event name. Performs no I/O. */
 
-/** Lines of one kind that may be written at once, and that are added each second. */
+/** Capacity and refill rate of the token bucket of one event. */
 const BURST_LINES = 200;
 const LINES_PER_SECOND = 50;
 
-/** Whether a line is written. */
+/** Decision about one log line. */
 export interface LineGrant {
   readonly written: boolean;
-  /** Lines of the kind that were left out since the last one that was written. */
+  /** Lines of this event dropped since the last one that was written. */
   readonly leftOut: number;
 }
 
-interface Kind {
-  lines: number;
+interface EventBucket {
+  tokens: number;
   updatedAt: number;
   leftOut: number;
 }
 
-/** A bucket of lines for each kind of event. */
+/** Holds a token bucket for each event name. */
 export class LineBudget {
-  private readonly kinds = new Map<string, Kind>();
+  private readonly buckets = new Map<string, EventBucket>();
 
   /**
-   * Asks for one line.
+   * Decides whether one line of the event is written.
    *
-   * @param now - Milliseconds of a steady clock.
-   * @param isBlocked - The reader does not keep up: the line is left out in any case.
+   * @param now - Monotonic time in milliseconds.
+   * @param isBlocked - The reader of the log is too slow; the line is dropped regardless of the limit.
    */
   take(event: string, now: number, isBlocked: boolean): LineGrant {
-    const kind = this.kinds.get(event) ?? { lines: BURST_LINES, updatedAt: now, leftOut: 0 };
-    this.kinds.set(event, kind);
-    const added = ((now - kind.updatedAt) / 1_000) * LINES_PER_SECOND;
-    kind.lines = Math.min(BURST_LINES, kind.lines + added);
-    kind.updatedAt = now;
-    if (isBlocked || kind.lines < 1) {
-      kind.leftOut += 1;
-      return { written: false, leftOut: kind.leftOut };
+    const bucket = this.buckets.get(event) ?? { tokens: BURST_LINES, updatedAt: now, leftOut: 0 };
+    this.buckets.set(event, bucket);
+    const added = ((now - bucket.updatedAt) / 1_000) * LINES_PER_SECOND;
+    bucket.tokens = Math.min(BURST_LINES, bucket.tokens + added);
+    bucket.updatedAt = now;
+    if (isBlocked || bucket.tokens < 1) {
+      bucket.leftOut += 1;
+      return { written: false, leftOut: bucket.leftOut };
     }
-    kind.lines -= 1;
-    const { leftOut } = kind;
-    kind.leftOut = 0;
+    bucket.tokens -= 1;
+    const { leftOut } = bucket;
+    bucket.leftOut = 0;
     return { written: true, leftOut };
   }
 }
--- a/src/common/link-faults.ts
+++ b/src/common/link-faults.ts
@@ -1,10 +1,10 @@
 /**
- * Switchable network faults at the edge of a process, for failure tests.
- * A blocked link swallows bytes in one direction, as a cut network does; it
- * answers nothing and closes nothing. Empty in production.
+ * Injected network faults of a process, for failure tests. A blocked link drops
+ * all bytes in one direction like a network partition; it sends no error and
+ * closes no connection. No link is blocked in production.
  */
 
-/** Addresses ("ip:port") towards and from which nothing passes. */
+/** Blocked peers ("ip:port") for each direction. */
 export class LinkFaults {
   private readonly outbound = new Set<string>();
   private readonly inbound = new Set<string>();
@@ -17,12 +17,12 @@
     for (const address of inbound) this.inbound.add(address);
   }
 
-  /** Whether bytes to the address are lost. */
+  /** Whether bytes to the address are dropped. */
   blocksOutbound(address: string): boolean {
     return this.outbound.size > 0 && this.outbound.has(address);
   }
 
-  /** Whether bytes from the address are lost. */
+  /** Whether bytes from the address are dropped. */
   blocksInbound(address: string): boolean {
     return this.inbound.size > 0 && this.inbound.has(address);
   }
--- a/src/common/logger.ts
+++ b/src/common/logger.ts
@@ -1,6 +1,6 @@
 /**
- * Logs: one line of key=value pairs an event, written by winston to standard output.
- * Never a prompt or a key. The volume is bounded for each kind of event.
+ * Logger: writes one line of key=value pairs per event to standard output, through winston.
+ * Prompts and keys are never logged. The rate of lines is limited for each event name.
  */
 import winston from 'winston';
 import { LineBudget } from './line-budget.js';
@@ -18,9 +18,9 @@
 /** A logger that writes nothing, for tests. */
 export const silentLogger: Logger = { info: () => {}, warn: () => {}, error: () => {} };
 
-const NEEDS_QUOTES = /[\s"=]/;
+const QUOTED_CHARACTERS = /[\s"=]/;
 
-/** Renders fields as `key=value`, quoting values with blanks, quotes or equals signs. */
+/** Renders fields as `key=value`; quotes empty values and values with whitespace, quotes or equals signs. */
 export function formatFields(fields: LogFields): string {
   return Object.entries(fields)
     .filter(([, value]) => value !== undefined)
@@ -29,23 +29,23 @@
 }
 
 function formatValue(text: string): string {
-  return NEEDS_QUOTES.test(text) || text === '' ? JSON.stringify(text) : text;
+  return QUOTED_CHARACTERS.test(text) || text === '' ? JSON.stringify(text) : text;
 }
 
 type LogLevel = 'info' | 'warn' | 'error';
 
-/** Bytes that may wait for the reader of standard output. */
-const LARGEST_BACKLOG_BYTES = 256 * 1024;
+/** Maximum unread bytes in standard output before lines are dropped. */
+const MAX_BACKLOG_BYTES = 256 * 1024;
 
 /** Settings of a logger. */
 export interface LoggerOptions {
-  /** Name of the process in every line. */
+  /** Name of the daemon, written in every line. */
   readonly daemon: string;
   /** Least severe level that is written. Default `info`. */
   readonly level?: 'info' | 'warn' | 'error';
 }
 
-/** Makes a logger that writes to standard output. */
+/** Creates a logger that writes to standard output. */
 export function createLogger(options: LoggerOptions): Logger {
   const line = winston.format.printf((entry) => {
     const { level, message, timestamp, fields } = entry;
@@ -57,13 +57,13 @@
     format: winston.format.combine(winston.format.timestamp(), line),
     transports: [new winston.transports.Console()],
   });
-  const budget = new LineBudget();
+  const lineLimiter = new LineBudget();
   const write = (level: LogLevel, event: string, fields: LogFields = {}): void => {
-    // A reader that does not keep up costs lines, not time.
-    const isFull = process.stdout.writableLength > LARGEST_BACKLOG_BYTES;
-    const grant = budget.take(event, performance.now(), isFull);
-    if (!grant.written) return;
-    const leftOut = grant.leftOut > 0 ? { leftOut: grant.leftOut } : {};
+    // If the reader of standard output is too slow, lines are dropped instead of delaying the process.
+    const isFull = process.stdout.writableLength > MAX_BACKLOG_BYTES;
+    const decision = lineLimiter.take(event, performance.now(), isFull);
+    if (!decision.written) return;
+    const leftOut = decision.leftOut > 0 ? { leftOut: decision.leftOut } : {};
     sink.log(level, event, { fields: { ...fields, ...leftOut } });
   };
   return {
@@ -73,7 +73,7 @@
   };
 }
 
-/** The text of an exception, for a log line. */
+/** The stack or message of an exception, for a log line. */
 export function faultText(fault: unknown): string {
   return fault instanceof Error ? (fault.stack ?? fault.message) : String(fault);
 }
--- a/src/common/process.ts
+++ b/src/common/process.ts
@@ -1,16 +1,16 @@
 /**
- * Communicating processes on top of js-csp.
+ * Communicating sequential processes on top of js-csp.
  *
- * An exception inside a js-csp process ends the whole program, so every body
- * started here is guarded: a fault goes to the given handler and the process
- * takes its next message.
+ * An exception inside a js-csp process terminates the whole program, so the
+ * functions here catch it, pass it to the fault handler and continue with the
+ * next message.
  */
 import csp, { type Channel } from 'js-csp';
 
-/** Messages that a mailbox holds before it refuses more. */
+/** Default number of messages that a mailbox holds before it rejects more. */
 const DEFAULT_MAILBOX_CAPACITY = 4096;
 
-/** What a guarded process calls with an exception that its body threw. */
+/** Called with an exception thrown by a message handler or a periodic action. */
 export type FaultHandler = (fault: unknown) => void;
 
 /**
@@ -22,7 +22,7 @@
  * inbox.offer('hello');
  */
 export class Mailbox<Message> {
-  /** The js-csp channel underneath. */
+  /** The underlying js-csp channel. */
   readonly channel: Channel;
 
   constructor(capacity: number = DEFAULT_MAILBOX_CAPACITY) {
@@ -35,7 +35,7 @@
     return csp.offer(this.channel, message);
   }
 
-  /** Ends the consumer once it has taken what is already queued. */
+  /** Closes the mailbox; the consumer ends after it has handled the queued messages. */
   close(): void {
     if (!this.channel.isClosed()) this.channel.close();
   }
@@ -51,7 +51,7 @@
     for (;;) {
       const message = yield csp.take(mailbox.channel);
       if (message === csp.CLOSED) return;
-      guarded(() => handle(message as Message), onFault);
+      runGuarded(() => handle(message as Message), onFault);
     }
   });
 }
@@ -69,14 +69,14 @@
     for (;;) {
       const message = yield csp.take(mailbox.channel);
       if (message === csp.CLOSED) return;
-      yield csp.take(settled(handle(message as Message), onFault));
+      yield csp.take(closeWhenSettled(handle(message as Message), onFault));
     }
   });
 }
 
 /** A running periodic process. */
 export interface Ticker {
-  /** Ends the process; no further call is made. */
+  /** Stops the process; the action is not called again. */
   stop(): void;
 }
 
@@ -87,7 +87,7 @@
     for (;;) {
       yield csp.alts([stopped, csp.timeout(periodMs)], { priority: true });
       if (stopped.isClosed()) return;
-      guarded(action, onFault);
+      runGuarded(action, onFault);
     }
   });
   return {
@@ -97,12 +97,12 @@
   };
 }
 
-/** Resolves after `milliseconds`, without keeping a drained program alive. */
+/** Resolves after `milliseconds`. */
 export function sleep(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
 
-function guarded(action: () => void, onFault: FaultHandler): void {
+function runGuarded(action: () => void, onFault: FaultHandler): void {
   try {
     action();
   } catch (fault) {
@@ -110,7 +110,7 @@
   }
 }
 
-function settled(promise: Promise<void>, onFault: FaultHandler): Channel {
+function closeWhenSettled(promise: Promise<void>, onFault: FaultHandler): Channel {
   const done = csp.chan(1);
   promise.then(
     () => done.close(),
--- a/src/common/rendezvous.ts
+++ b/src/common/rendezvous.ts
@@ -1,6 +1,6 @@
 /**
- * Rendezvous (highest random weight) ranking: every daemon ranks the same
- * candidates for a name in the same order, without talking to the others.
+ * Rendezvous (highest random weight) hashing: every daemon ranks the same
+ * candidates for a name in the same order without communication.
  */
 import murmurhash from 'murmurhash';
 
@@ -9,7 +9,7 @@
   return murmurhash.v3(`${name}\n${candidate}`);
 }
 
-/** Candidates for a name, best first; equal weights fall back to the order of the text. */
+/** Candidates for a name in descending order of weight; ties are ordered by the candidates' text. */
 export function rankCandidates(name: string, candidates: readonly string[]): string[] {
   return candidates
     .map((candidate) => ({ candidate, weight: rendezvousWeight(name, candidate) }))
@@ -17,7 +17,7 @@
     .map((entry) => entry.candidate);
 }
 
-/** The best candidate for a name, or undefined if there is none. */
+/** The candidate with the highest weight for a name; undefined if there are no candidates. */
 export function firstCandidate(name: string, candidates: Iterable<string>): string | undefined {
   let best: string | undefined;
   let bestWeight = -1;
--- a/src/diagnosis/loss-report.ts
+++ b/src/diagnosis/loss-report.ts
@@ -1,11 +1,11 @@
 /**
- * Why requests were not served at once, worked out from the gateways' logs: ends
- * by route, refusals by cause, loads by place of the copy, and how far the times
- * at which callers were told to come back were off. Pure.
+ * Reports from the gateways' logs why requests were not served immediately: outcomes
+ * by route, refusals by cause, load times by location of the copy, and the errors of
+ * the load forecasts that were sent to refused callers. Performs no I/O.
  */
 import { numberField, type LogEvent } from './log-line.js';
 
-/** A loading time, or an error, over many events, in milliseconds. */
+/** Percentiles of load times, response times or forecast errors, in milliseconds. */
 export interface Spread {
   readonly count: number;
   readonly p50: number;
@@ -14,59 +14,59 @@
 
 /** Why a request was refused. */
 export type RefusalCause =
-  /** No owner had said when its model would be loaded. */
+  /** The owner had sent no forecast of the model's load time. */
   | 'no forecast'
   /** Its model was being loaded. */
   | 'load under way'
-  /** Its model had a copy at hand, whose backend was busy with other orders. */
+  /** A backend had a local copy of its model, but was busy with other orders. */
   | 'copy at hand, backend busy'
   /** Its model was only in the weight store. */
   | 'only in the weight store'
-  /** Its model was not loaded in the time looked at. */
+  /** Its model was not loaded in the period covered by the logs. */
   | 'never loaded'
-  /** Its tenant had asked for more than its limit. */
+  /** Its tenant exceeded its rate limit. */
   | "over its tenant's limit"
-  /** Its key was not known, or was taken away while it waited. */
+  /** Its API key was unknown, or was revoked while the request waited. */
   | 'key not known'
-  /** The daemon's configuration was not proved current, or nobody who counts a limit answered. */
+  /** The daemon's configuration was not confirmed as current, or no daemon that counts the limit replied. */
   | 'configuration or limit not known'
-  /** A reason other than these. */
+  /** Any other cause. */
   | 'other';
 
-/** Causes that the kind of the refusal tells alone. */
+/** Causes that follow from the error kind alone. */
 const CAUSES_BY_KIND: ReadonlyMap<string, RefusalCause> = new Map([
   ['rate_limited', "over its tenant's limit"],
   ['unauthorized', 'key not known'],
   ['not_ready', 'configuration or limit not known'],
 ]);
 
-/** How a served stream kept its route's objectives, as far as one daemon sees it. */
+/** Whether a served stream met its route's latency objectives, as measured by one daemon. */
 export type StreamTiming = 'in time' | 'first part late' | 'paused';
 
-/** All that the logs tell. */
+/** Statistics from the logs. */
 export interface LossReport {
-  /** Ended requests by route, then by end. */
+  /** Number of ended requests by route and outcome. */
   readonly ends: ReadonlyMap<string, ReadonlyMap<string, number>>;
-  /** Refusals by route, then by cause; a refusal of a caller that came back is marked so. */
+  /** Number of refusals by route and cause; causes of refused retries end in " (came back)". */
   readonly refusals: ReadonlyMap<string, ReadonlyMap<string, number>>;
   /** Time to the first part of served requests, by route. */
   readonly firstPart: ReadonlyMap<string, Spread>;
-  /** Served streams by route, then by timing. */
+  /** Number of served streams by route and timing. */
   readonly streams: ReadonlyMap<string, ReadonlyMap<string, number>>;
-  /** Times of loads, by the place of the copy. */
+  /** Load times by the location of the copy. */
   readonly loads: ReadonlyMap<string, Spread>;
-  /** Time at which a model was loaded, less the time that its first callers were told, by place. */
+  /** Actual minus forecast load completion for first attempts, by the location of the copy. */
   readonly forecastErrors: ReadonlyMap<string, Spread>;
 }
 
-/** A load that ended well. */
+/** A successful load. */
 interface FinishedLoad {
   readonly startedAt: number;
   readonly endedAt: number;
   readonly copy: string;
 }
 
-/** Works the report out; the events may come from many daemons, in any order. */
+/** Computes the report; the events may come from several daemons in any order. */
 export function lossReport(events: readonly LogEvent[]): LossReport {
   const ordered = [...events].sort((a, b) => a.at - b.at);
   const loads = finishedLoads(ordered);
@@ -87,11 +87,11 @@
     }
     if (event.event !== 'refused' && event.event !== 'not_admitted') continue;
     const next = nextLoad(event, loads);
-    const hasComeBack = event.fields.get('hasComeBack') === '1' ? ' (came back)' : '';
-    count(refusals, route, causeOf(event, next) + hasComeBack);
-    const told = numberField(event, 'readyInMs');
-    if (told === undefined || next === undefined || hasComeBack !== '') continue;
-    add(errors, next.copy, next.endedAt - event.at - told);
+    const retryMark = event.fields.get('hasComeBack') === '1' ? ' (came back)' : '';
+    count(refusals, route, refusalCause(event, next) + retryMark);
+    const forecastMs = numberField(event, 'readyInMs');
+    if (forecastMs === undefined || next === undefined || retryMark !== '') continue;
+    add(errors, next.copy, next.endedAt - event.at - forecastMs);
   }
   const times = new Map<string, number[]>();
   for (const load of loads.values()) {
@@ -107,7 +107,7 @@
   };
 }
 
-/** Undefined for an answer that is no stream. */
+/** Timing of a stream; undefined for a response that is not a stream. */
 function streamTiming(ended: LogEvent): StreamTiming | undefined {
   const pauseMs = numberField(ended, 'longestPauseMs');
   if (pauseMs === undefined) return undefined;
@@ -116,7 +116,7 @@
   return pauseMs > (numberField(ended, 'pauseGoalMs') ?? Infinity) ? 'paused' : 'in time';
 }
 
-/** By model, in the order of their ends. */
+/** Successful loads by model, in the order of completion. */
 function finishedLoads(events: readonly LogEvent[]): Map<string, FinishedLoad[]> {
   const loads = new Map<string, FinishedLoad[]>();
   for (const event of events) {
@@ -130,16 +130,16 @@
   return loads;
 }
 
-/** The load that served those who came back. */
+/** The first load of the refused request's model that completed after the refusal; it serves the retries. */
 function nextLoad(
   refusal: LogEvent,
   loads: ReadonlyMap<string, readonly FinishedLoad[]>,
 ): FinishedLoad | undefined {
-  const ofModel = loads.get(refusal.fields.get('model') ?? '') ?? [];
-  return ofModel.find((load) => load.endedAt >= refusal.at);
+  const modelLoads = loads.get(refusal.fields.get('model') ?? '') ?? [];
+  return modelLoads.find((load) => load.endedAt >= refusal.at);
 }
 
-function causeOf(refusal: LogEvent, next: FinishedLoad | undefined): RefusalCause {
+function refusalCause(refusal: LogEvent, next: FinishedLoad | undefined): RefusalCause {
   const kind = refusal.fields.get('kind') ?? '';
   if (kind !== 'no_capacity') return CAUSES_BY_KIND.get(kind) ?? 'other';
   if (next === undefined) return 'never loaded';
@@ -149,8 +149,8 @@
 }
 
 function count(counts: Map<string, Map<string, number>>, group: string, key: string): void {
-  const ofGroup = counts.get(group) ?? new Map<string, number>();
-  counts.set(group, ofGroup.set(key, (ofGroup.get(key) ?? 0) + 1));
+  const groupCounts = counts.get(group) ?? new Map<string, number>();
+  counts.set(group, groupCounts.set(key, (groupCounts.get(key) ?? 0) + 1));
 }
 
 function add(values: Map<string, number[]>, key: string, value: number): void {
--- a/src/engines/engine-client.ts
+++ b/src/engines/engine-client.ts
@@ -1,18 +1,18 @@
 /**
- * Model engines as the daemons use them. `http-engine-client.ts` speaks the
- * published protocol; the owner of a pool sends fenced orders and reads
- * reports, routers send requests and read streams.
+ * Interface of the model engines. `http-engine-client.ts` implements it over the
+ * published protocol. The owner of a pool sends fenced orders and reads
+ * reports; routers send requests and read response streams.
  */
 import type { Result } from 'true-myth';
 import type { TransportFailure } from '../common/http-client.js';
 
-/** Fields that fence every order. An engine refuses what is older than it has seen. */
+/** Fencing fields of every order. An engine refuses orders older than the newest that it has accepted. */
 export interface OrderFence {
   readonly pool: string;
   readonly epoch: number;
-  /** The start of the engine process that the order is meant for. */
+  /** Identifies the start of the engine process that the order is addressed to. */
   readonly incarnation: string;
-  /** Rises with every new order of an epoch; repeating one is harmless. */
+  /** Increases with every new order of an epoch; repeating an order has no further effect. */
   readonly sequence: number;
 }
 
@@ -22,19 +22,19 @@
   readonly bytes: number;
 }
 
-/** What a replica of a tenant consists of. */
+/** Components and size of a tenant's replica. */
 export interface ReplicaSpec {
   readonly tenant: string;
   readonly model: string;
   readonly version: string;
-  /** Accelerator memory of the base model, counted once an engine. */
+  /** Accelerator memory of the base model, counted once per engine. */
   readonly modelBytes: number;
   readonly adapters: readonly AdapterSpec[];
-  /** Requests that the replica runs at once. */
+  /** Maximum number of concurrent requests of the replica. */
   readonly slots: number;
 }
 
-/** An order of a pool's owner. */
+/** An order that a pool's owner sends to an engine. */
 export type EngineOrder =
   | { readonly type: 'seal' }
   | { readonly type: 'load'; readonly replica: ReplicaSpec; readonly priority: number }
@@ -43,7 +43,7 @@
 /** State of a replica on an engine. */
 export type ReplicaState = 'loading' | 'loaded' | 'unloading' | 'failed';
 
-/** Where the bytes of a load came from. */
+/** Storage tier from which a checkpoint was loaded. */
 export type CheckpointTier = 'resident' | 'memory' | 'disk' | 'remote';
 
 /** One replica that an engine holds. */
@@ -55,19 +55,19 @@
   readonly idleMs: number;
 }
 
-/** What an engine says of itself. */
+/** State that an engine reports. */
 export interface EngineReport {
   readonly incarnation: string;
   /** Highest sealed epoch; 0 before the first seal. */
   readonly epoch: number;
-  /** Sequence of the last order taken in that epoch. */
+  /** Sequence of the last order accepted in that epoch. */
   readonly sequence: number;
-  /** Rises with every report of an incarnation, so that a late one is told from a newer one. */
+  /** Increases with every report of an incarnation, so that delayed reports can be detected. */
   readonly number: number;
   readonly leaving: boolean;
   readonly capacityBytes: number;
   readonly holdings: readonly Holding[];
-  /** Checkpoints in this machine's caches. */
+  /** Checkpoints in the caches of the engine's machine. */
   readonly cached: readonly { readonly model: string; readonly tier: 'memory' | 'disk' }[];
 }
 
@@ -75,12 +75,12 @@
 export type OrderRefusal =
   'stale_epoch' | 'wrong_incarnation' | 'stale_sequence' | 'leaving' | 'not_sealed';
 
-/** The engine's answer to an order that reached it. */
+/** Reply of the engine to an order. */
 export type OrderAnswer =
   | { readonly accepted: true; readonly report: EngineReport }
   | { readonly accepted: false; readonly refusal: OrderRefusal; readonly incarnation: string };
 
-/** A request as an engine takes it. */
+/** A request as sent to an engine. */
 export interface EngineRequest {
   readonly id: string;
   readonly tenant: string;
@@ -90,47 +90,47 @@
   readonly maxTokens: number;
 }
 
-/** Why an engine refused a request, before any of it ran. */
+/** Why an engine refused a request before running it. */
 export type RequestRefusal = 'not_loaded' | 'busy' | 'leaving' | 'wrong_incarnation' | 'cancelled';
 
-/** Load figures that ride on the engine's answers. */
+/** Load of a replica, included in the engine's replies. */
 export interface ReplicaLoad {
   readonly inFlight: number;
   readonly slots: number;
 }
 
-/** Receives what an engine says about one request. */
+/** Receives the events of one request. */
 export interface RequestHandler {
   onAccepted(load: ReplicaLoad): void;
-  /** Refused before running; final. */
+  /** The engine refused the request before running it. Last event. */
   onRefused(refusal: RequestRefusal): void;
   onToken(offset: number, text: string): void;
-  /** The answer is whole; final. */
+  /** The response is complete. Last event. */
   onDone(tokens: number, finishReason: 'stop' | 'length'): void;
-  /** The connection failed; final for this connection. */
+  /** The connection failed. Last event of this connection. */
   onBroken(failure: TransportFailure): void;
 }
 
-/** What an engine says of a request that it was told to cancel. */
+/** Reply of the engine to a cancellation. */
 export interface CancelAnswer {
   readonly ran: 'no' | 'yes';
-  /** The engine process that says so; another one knows nothing of the request. */
+  /** The engine process that replied; `ran` does not cover runs on other incarnations. */
   readonly incarnation: string;
 }
 
 /** A running connection for one request. */
 export interface RequestStream {
-  /** Stops listening; the engine is not told. */
+  /** Stops reading; the request is not cancelled at the engine. */
   close(): void;
 }
 
-/** Receives reports. */
+/** Receives the reports of an engine. */
 export interface ReportHandler {
   onReport(report: EngineReport): void;
   onBroken(): void;
 }
 
-/** The engines' services. All calls give up after a bounded time. */
+/** Client of the engines. All calls have a timeout. */
 export interface EngineClient {
   status(engine: string): Promise<Result<EngineReport, TransportFailure>>;
   order(
@@ -138,14 +138,14 @@
     fence: OrderFence,
     order: EngineOrder,
   ): Promise<Result<OrderAnswer, TransportFailure>>;
-  /** Follows an engine's reports: the whole state at once, then at each change. */
+  /** Subscribes to an engine's reports: the full state immediately and after each change. */
   watchReports(engine: string, handler: ReportHandler): RequestStream;
   run(engine: string, request: EngineRequest, handler: RequestHandler): RequestStream;
-  /** Takes up the stream of a request that the engine already has, from a token offset. */
+  /** Resumes the stream of a request known to the engine, from a token offset. */
   resume(engine: string, id: string, offset: number, handler: RequestHandler): RequestStream;
   /**
-   * Cancels a request. The engine refuses the id from then on, also if the
-   * request itself arrives later; the answer says whether it ran before.
+   * Cancels a request. From then on the engine refuses this id, even if the
+   * request arrives later. The reply tells whether the request ran before.
    */
   cancel(engine: string, id: string): Promise<Result<CancelAnswer, TransportFailure>>;
   close(): void;
--- a/src/engines/http-engine-client.ts
+++ b/src/engines/http-engine-client.ts
@@ -1,4 +1,4 @@
-/** The engines' published protocol over HTTP. */
+/** Implements the engines' published protocol over HTTP. */
 import { Result } from 'true-myth';
 import {
   HttpClient,
@@ -22,14 +22,14 @@
   RequestStream,
 } from './engine-client.js';
 
-/** Milliseconds until an order or a status call is given up. */
+/** Timeout of orders, status calls and cancellations, and for the response headers of a report stream. */
 const ORDER_TIMEOUT_MS = 1000;
-/** Milliseconds until the head of a stream is given up. */
+/** Timeout for the response headers of a request stream. */
 const STREAM_START_TIMEOUT_MS = 3000;
-/** Milliseconds without a line after which a stream counts as broken. */
-const STREAM_SILENCE_MS = 4000;
-/** Milliseconds without a line after which an engine's reports count as broken. */
-const REPORT_SILENCE_MS = 4000;
+/** Milliseconds without a line after which a request stream counts as broken. */
+const STREAM_IDLE_TIMEOUT_MS = 4000;
+/** Milliseconds without a line after which a report stream counts as broken. */
+const REPORT_IDLE_TIMEOUT_MS = 4000;
 
 /** One line of a request's stream. */
 type StreamLine =
@@ -38,20 +38,22 @@
   | { readonly type: 'done'; readonly tokens: number; readonly finish: 'stop' | 'length' }
   | { readonly type: 'alive' };
 
-/** Speaks to engines. */
+/** HTTP client for engines. */
 export class HttpEngineClient implements EngineClient {
-  private readonly http: HttpClient;
-  private readonly control: HttpClient;
+  private readonly requestHttp: HttpClient;
+  private readonly controlHttp: HttpClient;
 
-  /** `options` applies to control traffic: orders and reports. */
+  /** @param options - Applies to orders and reports; only `faults` also applies to request streams. */
   constructor(options: HttpClientOptions = {}) {
-    this.control = new HttpClient(options);
-    this.http = new HttpClient(options.faults === undefined ? {} : { faults: options.faults });
+    this.controlHttp = new HttpClient(options);
+    this.requestHttp = new HttpClient(
+      options.faults === undefined ? {} : { faults: options.faults },
+    );
   }
 
   close(): void {
-    this.http.close();
-    this.control.close();
+    this.requestHttp.close();
+    this.controlHttp.close();
   }
 
   async status(engine: string): Promise<Result<EngineReport, TransportFailure>> {
@@ -84,7 +86,7 @@
       path: '/reports',
       timeoutMs: ORDER_TIMEOUT_MS,
     } as const;
-    return this.silenceGuarded(this.control, request, REPORT_SILENCE_MS, {
+    return this.streamWithIdleTimeout(this.controlHttp, request, REPORT_IDLE_TIMEOUT_MS, {
       onHead: (status) => status === 200,
       onLine: (line) => {
         const report = line as EngineReport & { alive?: boolean };
@@ -127,12 +129,13 @@
 
   private openStream(request: HttpRequest, handler: RequestHandler): RequestStream {
     let finished = false;
-    const stream = this.silenceGuarded(this.http, request, STREAM_SILENCE_MS, {
+    const stream = this.streamWithIdleTimeout(this.requestHttp, request, STREAM_IDLE_TIMEOUT_MS, {
       onHead: (status, header) => {
         if (status === 200) return true;
         finished = true;
         if (header !== undefined) handler.onRefused(header as RequestRefusal);
-        else handler.onBroken({ reason: 'lost', message: `the engine answered ${status}` });
+        else
+          handler.onBroken({ reason: 'lost', message: `the engine replied with status ${status}` });
         return false;
       },
       onLine: (line) => {
@@ -143,68 +146,79 @@
       onBroken: (failure) => {
         if (finished) return;
         finished = true;
-        handler.onBroken(failure ?? { reason: 'lost', message: 'the stream ended early' });
+        handler.onBroken(
+          failure ?? {
+            reason: 'lost',
+            message: 'the stream ended before the response was complete',
+          },
+        );
       },
     });
     return stream;
   }
 
-  private silenceGuarded(
+  private streamWithIdleTimeout(
     client: HttpClient,
     request: HttpRequest,
-    silenceMs: number,
+    idleTimeoutMs: number,
     handler: {
       onHead(status: number, refusal: string | undefined): boolean;
       onLine(line: unknown): void;
       onBroken(failure?: TransportFailure): void;
     },
   ): RequestStream {
-    let silence: NodeJS.Timeout | undefined;
+    let idleTimer: NodeJS.Timeout | undefined;
     let closed = false;
-    const breakOff = (failure?: TransportFailure): void => {
+    const fail = (failure?: TransportFailure): void => {
       if (closed) return;
       close();
       handler.onBroken(failure);
     };
-    const heard = (): void => {
-      clearTimeout(silence);
-      silence = setTimeout(() => breakOff({ reason: 'lost', message: 'silence' }), silenceMs);
+    const resetIdleTimer = (): void => {
+      clearTimeout(idleTimer);
+      idleTimer = setTimeout(
+        () => fail({ reason: 'lost', message: 'no line received within the idle timeout' }),
+        idleTimeoutMs,
+      );
     };
     const stream = client.stream(request, {
       onStart: (status, headers) => {
         const refusal = headers['x-refusal'];
-        const goesOn = handler.onHead(status, typeof refusal === 'string' ? refusal : undefined);
-        if (goesOn) heard();
-        return goesOn;
+        const isAccepted = handler.onHead(
+          status,
+          typeof refusal === 'string' ? refusal : undefined,
+        );
+        if (isAccepted) resetIdleTimer();
+        return isAccepted;
       },
       onLine: (line) => {
         if (closed) return;
-        heard();
+        resetIdleTimer();
         handler.onLine(line);
       },
-      onEnd: breakOff,
+      onEnd: fail,
     });
     const close = (): void => {
       closed = true;
-      clearTimeout(silence);
+      clearTimeout(idleTimer);
       stream.close();
     };
     return { close };
   }
 
   private async call<Body>(request: HttpRequest): Promise<Result<Body, TransportFailure>> {
-    const answer = await this.control.send(request);
+    const answer = await this.controlHttp.send(request);
     if (answer.isErr) return Result.err(answer.error);
     const body = parseJson(answer.value.body);
     if (answer.value.status !== 200 || body.isErr) {
-      const message = `the engine answered with status ${answer.value.status}`;
+      const message = `the engine replied with status ${answer.value.status}`;
       return Result.err({ reason: 'lost', message });
     }
     return Result.ok(body.value as Body);
   }
 }
 
-/** Hands one line on; true when it was the last. */
+/** Passes one line to the handler; returns true for the last line. */
 function deliver(line: StreamLine, handler: RequestHandler): boolean {
   switch (line.type) {
     case 'accepted':
--- a/src/platform/http-platform-client.ts
+++ b/src/platform/http-platform-client.ts
@@ -1,4 +1,4 @@
-/** The platform's published protocol over HTTP. */
+/** Implements the platform's published protocol over HTTP. */
 import { Result } from 'true-myth';
 import { serviceError, type ServiceError } from '../common/errors.js';
 import {
@@ -20,12 +20,12 @@
   WatchHandler,
 } from './platform-client.js';
 
-/** Milliseconds until a call to the platform is given up. */
+/** Timeout of a call to the platform. */
 const CALL_TIMEOUT_MS = 3000;
 /** Milliseconds without any line after which a watch counts as broken. */
-const WATCH_SILENCE_MS = 2500;
+const WATCH_IDLE_TIMEOUT_MS = 2500;
 
-/** Speaks to the platform at one address. */
+/** HTTP client for the platform at one address. */
 export class HttpPlatformClient implements PlatformClient {
   private readonly http: HttpClient;
 
@@ -71,18 +71,18 @@
   }
 
   watch(afterRevision: number, handler: WatchHandler): Watch {
-    let silence: NodeJS.Timeout | undefined;
+    let idleTimer: NodeJS.Timeout | undefined;
     let finished = false;
     const finish = (reason: 'broken' | 'too_old'): void => {
       if (finished) return;
       finished = true;
-      clearTimeout(silence);
+      clearTimeout(idleTimer);
       stream.close();
       handler.onEnd(reason);
     };
-    const heard = (): void => {
-      clearTimeout(silence);
-      silence = setTimeout(() => finish('broken'), WATCH_SILENCE_MS);
+    const resetIdleTimer = (): void => {
+      clearTimeout(idleTimer);
+      idleTimer = setTimeout(() => finish('broken'), WATCH_IDLE_TIMEOUT_MS);
     };
     const stream = this.http.stream(
       {
@@ -94,7 +94,7 @@
       {
         onStart: (status) => {
           if (status === 200) {
-            heard();
+            resetIdleTimer();
             return true;
           }
           setImmediate(() => finish(status === 410 ? 'too_old' : 'broken'));
@@ -102,7 +102,7 @@
         },
         onLine: (line) => {
           if (finished) return;
-          heard();
+          resetIdleTimer();
           handler.onEvent(line as WatchEvent);
         },
         onEnd: () => finish('broken'),
@@ -111,7 +111,7 @@
     return {
       close: () => {
         finished = true;
-        clearTimeout(silence);
+        clearTimeout(idleTimer);
         stream.close();
       },
     };
@@ -146,7 +146,7 @@
     return Result.err(serviceError('version_conflict', message, { currentVersion: current }));
   }
   if (answer.status !== 200 || body.isErr) {
-    const message = `the platform answered with status ${answer.status}`;
+    const message = `the platform replied with status ${answer.status}`;
     return Result.err(serviceError('platform_unavailable', message));
   }
   return Result.ok(body.value as Body);
--- a/src/platform/platform-client.ts
+++ b/src/platform/platform-client.ts
@@ -1,12 +1,12 @@
 /**
- * The platform as the daemons use it: an object API with versions and watches,
- * and a lagging list of machines. The interface is what the rest of the code
- * sees; `http-platform-client.ts` speaks the published protocol.
+ * Interface of the platform: an object API with versions and watches, and an
+ * eventually consistent list of machines. `http-platform-client.ts` implements
+ * it over the published protocol.
  */
 import type { Result } from 'true-myth';
 import type { ServiceError } from '../common/errors.js';
 
-/** Kinds of object that scaleslip keeps. */
+/** Kinds of objects that scaleslip stores. */
 export type ObjectKind = 'template' | 'tenant' | 'quota' | 'pool';
 
 /** One object at one version. */
@@ -24,7 +24,7 @@
   readonly items: readonly StoredObject[];
 }
 
-/** One change seen by a watch; without `object`, a sign of life at `revision`. */
+/** One change reported by a watch; without `change`, a heartbeat at `revision`. */
 export interface WatchEvent {
   readonly revision: number;
   readonly change?: {
@@ -38,7 +38,7 @@
 /** Receives the events of a watch. */
 export interface WatchHandler {
   onEvent(event: WatchEvent): void;
-  /** The watch broke, or the asked revision is too old to be replayed. */
+  /** The connection failed, or the requested revision is too old to be replayed. */
   onEnd(reason: 'broken' | 'too_old'): void;
 }
 
@@ -47,12 +47,12 @@
   close(): void;
 }
 
-/** What runs on a machine. */
+/** Kind of service on a machine. */
 export type MachineKind = 'engine' | 'daemon';
 
-/** One row of the platform's list. */
+/** One entry of the platform's machine list. */
 export interface Machine {
-  /** "ip:port" of the service on it. */
+  /** "ip:port" of the service on the machine. */
   readonly address: string;
   readonly kind: MachineKind;
   readonly zone: string;
@@ -62,7 +62,7 @@
   readonly state: 'live' | 'leaving';
 }
 
-/** The list at one version. */
+/** The machine list at one version. */
 export interface MachineList {
   readonly version: number;
   readonly machines: readonly Machine[];
@@ -78,16 +78,16 @@
 }
 
 /**
- * The platform's services.
+ * Client of the platform.
  *
  * Errors: `version_conflict` (with the newer version), `not_found`,
- * `platform_unavailable` (nothing happened), `platform_outcome_unknown` (a
+ * `platform_unavailable` (the call had no effect), `platform_outcome_unknown` (a
  * write may have taken effect although no reply came).
  */
 export interface PlatformClient {
   get(kind: ObjectKind, name: string): Promise<Result<StoredObject, ServiceError>>;
   list(): Promise<Result<ObjectList, ServiceError>>;
-  /** Writes once, never again by itself. Resolves with the new version. */
+  /** Writes once without retries. Resolves with the new version. */
   write(write: ConditionalWrite): Promise<Result<number, ServiceError>>;
   watch(afterRevision: number, handler: WatchHandler): Watch;
   machines(): Promise<Result<MachineList, ServiceError>>;
--- a/src/weight-store/transfer-model.ts
+++ b/src/weight-store/transfer-model.ts
@@ -1,15 +1,15 @@
 /**
- * How a rate-limited store serves transfers: it starts at most so many a second,
- * and serves so many at once at full speed; more than that share the speed.
- * Pure; the stand-in and the experiment model both run it.
+ * Model of a rate-limited store. It limits transfer starts per second and serves a
+ * limited number of concurrent transfers at full speed; with more, the transfers share the bandwidth.
+ * Performs no I/O; used by the weight store stand-in and the experiment model.
  */
 
 /** The store's limits. */
 export interface WeightStoreLimits {
   readonly loadsPerSecond: number;
-  /** Transfers at once that each get the full speed. */
+  /** Number of concurrent transfers that each get the full speed. */
   readonly fullSpeedLoads: number;
-  /** Bytes a second of one transfer at full speed. */
+  /** Bytes per second of one transfer at full speed. */
   readonly bytesPerSecond: number;
 }
 
@@ -18,11 +18,11 @@
   remainingBytes: number;
 }
 
-/** Transfers in progress and waiting. Times are in milliseconds. */
+/** Transfers in transferBytes and waiting. Times are in milliseconds. */
 export class TransferModel {
   private readonly waiting: Transfer[] = [];
   private readonly active: Transfer[] = [];
-  /** Ended, and not yet told by `advance`. */
+  /** Ids of finished transfers not yet returned by `advance`. */
   private readonly finished: number[] = [];
   private lastAdvance: number;
   private nextStart: number;
@@ -42,7 +42,7 @@
     this.startWaiting(now);
   }
 
-  /** Gives a transfer up. */
+  /** Cancels a transfer. */
   remove(id: number): void {
     for (const list of [this.waiting, this.active]) {
       const index = list.findIndex((transfer) => transfer.id === id);
@@ -50,7 +50,7 @@
     }
   }
 
-  /** Moves time on and returns the transfers that have ended by `now`. */
+  /** Advances the time to `now` and returns the ids of the transfers finished since the last call. */
   advance(now: number): number[] {
     this.progressTo(now);
     return this.finished.splice(0);
@@ -59,38 +59,42 @@
   private progressTo(now: number): void {
     while (this.lastAdvance < now) {
       const stepEnd = Math.min(now, this.nextChange() ?? now);
-      this.progress(stepEnd - this.lastAdvance);
+      this.transferBytes(stepEnd - this.lastAdvance);
       this.lastAdvance = stepEnd;
       this.finished.push(...this.takeFinished());
       this.startWaiting(stepEnd);
     }
   }
 
-  /** Pushes the model's time on without any progress, as a stalled store does. */
+  /** Advances the time without transferBytes, to model a stalled store. */
   stall(now: number): void {
     this.lastAdvance = Math.max(this.lastAdvance, now);
   }
 
-  /** When the next transfer starts or ends; undefined when nothing is to come. */
+  /** Time at which the next transfer starts or ends; undefined if there are no transfers. */
   nextChange(): number | undefined {
     const times: number[] = [];
     if (this.waiting.length > 0) times.push(Math.max(this.nextStart, this.lastAdvance + 1));
-    const least = this.active.reduce((low, t) => Math.min(low, t.remainingBytes), Infinity);
-    if (least < Infinity) times.push(this.lastAdvance + Math.max(1, (least / this.speed()) * 1000));
+    const leastRemaining = this.active.reduce(
+      (low, t) => Math.min(low, t.remainingBytes),
+      Infinity,
+    );
+    if (leastRemaining < Infinity)
+      times.push(this.lastAdvance + Math.max(1, (leastRemaining / this.speed()) * 1000));
     return times.length === 0 ? undefined : Math.min(...times);
   }
 
-  /** Transfers waiting or in progress. */
+  /** Number of transfers waiting or in transferBytes. */
   get size(): number {
     return this.waiting.length + this.active.length;
   }
 
   private speed(): number {
-    const crowd = Math.max(1, this.active.length / this.limits.fullSpeedLoads);
-    return this.limits.bytesPerSecond / crowd;
+    const slowdown = Math.max(1, this.active.length / this.limits.fullSpeedLoads);
+    return this.limits.bytesPerSecond / slowdown;
   }
 
-  private progress(milliseconds: number): void {
+  private transferBytes(milliseconds: number): void {
     const bytes = (this.speed() * milliseconds) / 1000;
     for (const transfer of this.active) transfer.remainingBytes -= bytes;
   }
--- a/src/weight-store/weight-store-client.ts
+++ b/src/weight-store/weight-store-client.ts
@@ -1,4 +1,4 @@
-/** The rate-limited store of checkpoints, as an engine uses it to load a model. */
+/** Client of the rate-limited checkpoint store, from which engines load models. */
 import { Result } from 'true-myth';
 import { HttpClient, type TransportFailure } from '../common/http-client.js';
 
@@ -8,18 +8,18 @@
   readonly bytes: number;
 }
 
-/** The store's service. */
+/** Interface of the checkpoint store. */
 export interface WeightStoreClient {
-  /** Resolves when the last byte has come; fails after `timeoutMs`. */
+  /** Resolves when the last byte has arrived; fails after `timeoutMs` milliseconds. */
   fetch(request: CheckpointRequest, timeoutMs: number): Promise<Result<void, TransportFailure>>;
   close(): void;
 }
 
-/** Speaks the store's published protocol. */
+/** Implements the store's published protocol over HTTP. */
 export class HttpWeightStoreClient implements WeightStoreClient {
   private readonly http = new HttpClient();
 
-  /** `address` is "ip:port". */
+  /** @param address - "ip:port" of the store. */
   constructor(private readonly address: string) {}
 
   close(): void {
