--- a/src/common/errors.ts
+++ b/src/common/errors.ts
@@ -56,12 +56,12 @@
 /** Kind of an error. */
 export type ErrorKind = keyof typeof ERROR_ANSWERS;
 
-/** An error with a kind of {@link ERROR_ANSWERS}. */
+/** An error with a kind of {@link ERROR_RESPONSES}. */
 export interface ServiceError {
   readonly kind: ErrorKind;
   /** Description for people; contains no prompt and no key. */
   readonly message: string;
-  /** Seconds after which a retry may succeed; by default the value of {@link ERROR_ANSWERS}. */
+  /** Seconds after which a retry may succeed; by default the value of {@link ERROR_RESPONSES}. */
   readonly retryAfterSeconds?: number;
   /** For `version_conflict`: the newer version of the object, 0 if it does not exist. */
   readonly currentVersion?: number;
--- a/test/common/http-client.test.ts
+++ b/test/common/http-client.test.ts
@@ -4,8 +4,8 @@
 import { afterEach, describe, expect, it } from 'vitest';
 import { HttpClient, type HttpRequest } from '../../src/common/http-client.js';
 
-/** Connections come up so long after they were asked for. */
-class LateAgent extends http.Agent {
+/** Opens each connection with a delay. */
+class DelayedAgent extends http.Agent {
   constructor(private readonly delayMs: number) {
     super();
   }
@@ -23,7 +23,7 @@
   let server: http.Server | undefined;
   const bodies: string[] = [];
 
-  async function listenAnywhere(): Promise<string> {
+  async function listenOnFreePort(): Promise<string> {
     bodies.length = 0;
     server = http.createServer((request, response) => {
       request.setEncoding('utf8');
@@ -39,30 +39,30 @@
     server?.close();
   });
 
-  function orderTo(address: string): HttpRequest {
+  function requestTo(address: string): HttpRequest {
     const body = { order: 1 };
     return { method: 'POST', address, path: '/', body, timeoutMs: 2_000, sendWithinMs: 100 };
   }
 
-  it('sends what is asked for in time', async () => {
-    const address = await listenAnywhere();
-    const answer = await new HttpClient({ agent: new LateAgent(0) }).send(orderTo(address));
+  it('sends a request whose connection is established in time', async () => {
+    const address = await listenOnFreePort();
+    const answer = await new HttpClient({ agent: new DelayedAgent(0) }).send(requestTo(address));
     expect(answer.isOk).toBe(true);
     expect(bodies).toEqual(['{"order":1}']);
   });
 
-  it('does not send what is too old by the time that its connection is up', async () => {
-    const address = await listenAnywhere();
-    const answer = await new HttpClient({ agent: new LateAgent(300) }).send(orderTo(address));
+  it('does not send a request whose send deadline passes while it connects', async () => {
+    const address = await listenOnFreePort();
+    const answer = await new HttpClient({ agent: new DelayedAgent(300) }).send(requestTo(address));
     expect(answer.isErr && answer.error.reason).toBe('not_sent');
     expect(bodies).toEqual([]);
   });
 
-  it('does not send what may no longer be sent by then', async () => {
-    const address = await listenAnywhere();
+  it('does not send a request that is no longer permitted when the connection is established', async () => {
+    const address = await listenOnFreePort();
     let maySend = true;
-    const sent = new HttpClient({ agent: new LateAgent(50) }).send({
-      ...orderTo(address),
+    const sent = new HttpClient({ agent: new DelayedAgent(50) }).send({
+      ...requestTo(address),
       maySend: () => maySend,
     });
     maySend = false;
@@ -71,7 +71,7 @@
     expect(bodies).toEqual([]);
   });
 
-  it('resets the connection of a request that it gives up, so that what is held up never arrives', async () => {
+  it('resets the connection of a request that times out, so that delayed data is never delivered', async () => {
     const faults: string[] = [];
     const silent = net.createServer((socket) => {
       socket.on('error', (fault: NodeJS.ErrnoException) => faults.push(fault.code ?? ''));
@@ -79,7 +79,7 @@
     });
     await new Promise<void>((resolve) => silent.listen(0, '127.0.0.1', resolve));
     const { port } = silent.address() as net.AddressInfo;
-    const request = { ...orderTo(`127.0.0.1:${port}`), timeoutMs: 100 };
+    const request = { ...requestTo(`127.0.0.1:${port}`), timeoutMs: 100 };
     const answer = await new HttpClient().send(request);
     await new Promise((resolve) => setTimeout(resolve, 100));
     silent.close();
--- a/test/common/lease-clock.test.ts
+++ b/test/common/lease-clock.test.ts
@@ -2,54 +2,54 @@
 import { LeaseClock } from '../../src/common/lease-clock.js';
 
 describe('LeaseClock', () => {
-  let steady = 0;
-  let timeOfDay = 0;
-  const leaps: number[] = [];
+  let monotonic = 0;
+  let wallClock = 0;
+  const forwardSteps: number[] = [];
 
-  function started(): LeaseClock {
-    steady = 1_000;
-    timeOfDay = 1_700_000_000_000;
-    leaps.length = 0;
+  function startClock(): LeaseClock {
+    monotonic = 1_000;
+    wallClock = 1_700_000_000_000;
+    forwardSteps.length = 0;
     const clock = new LeaseClock(
-      () => steady,
-      () => timeOfDay,
+      () => monotonic,
+      () => wallClock,
     );
-    clock.onLeap = (milliseconds) => leaps.push(milliseconds);
+    clock.onLeap = (milliseconds) => forwardSteps.push(milliseconds);
     return clock;
   }
 
-  function pass(milliseconds: number, ofDay = milliseconds): void {
-    steady += milliseconds;
-    timeOfDay += ofDay;
+  function advance(milliseconds: number, wallMilliseconds = milliseconds): void {
+    monotonic += milliseconds;
+    wallClock += wallMilliseconds;
   }
 
-  it('goes with the steady clock, and on where that stood still', () => {
-    const clock = started();
-    pass(500);
+  it('follows the monotonic clock, and the wall clock for time in which the monotonic clock stopped', () => {
+    const clock = startClock();
+    advance(500);
     expect(clock.now()).toBe(1_500);
-    pass(10, 3_010);
+    advance(10, 3_010);
     expect(clock.now()).toBe(4_510);
-    pass(10);
+    advance(10);
     expect(clock.now()).toBe(4_520);
-    expect(leaps).toEqual([3_000]);
+    expect(forwardSteps).toEqual([3_000]);
   });
 
-  it('never goes back, and counts what follows a step back', () => {
-    const clock = started();
-    pass(100, -4_900);
+  it('never goes back when the wall clock is set back, and counts forward steps after that', () => {
+    const clock = startClock();
+    advance(100, -4_900);
     expect(clock.now()).toBe(1_100);
-    pass(100, 2_100);
+    advance(100, 2_100);
     expect(clock.now()).toBe(3_200);
   });
 
-  it('bears a time of day that is adjusted bit by bit', () => {
-    const clock = started();
+  it('stays accurate while the wall clock is adjusted gradually', () => {
+    const clock = startClock();
     for (let second = 0; second < 3_600; second++) {
-      pass(1_000, 1_000.5);
+      advance(1_000, 1_000.5);
       clock.now();
     }
-    const passed = clock.now() - 1_000;
-    expect(passed).toBeGreaterThanOrEqual(3_600_000);
-    expect(passed).toBeLessThan(3_602_000);
+    const elapsed = clock.now() - 1_000;
+    expect(elapsed).toBeGreaterThanOrEqual(3_600_000);
+    expect(elapsed).toBeLessThan(3_602_000);
   });
 });
--- a/test/diagnosis/loss-report.test.ts
+++ b/test/diagnosis/loss-report.test.ts
@@ -6,33 +6,33 @@
   return lines.flatMap((line) => parseLogLine(line) ?? []);
 }
 
-function at(seconds: number, rest: string): string {
+function lineAt(seconds: number, rest: string): string {
   const time = new Date(1_000_000_000_000 + seconds * 1_000).toISOString();
   return `time=${time} level=info daemon=d ${rest}`;
 }
 
 const refused = (seconds: number, model: string, rest: string): string =>
-  at(seconds, `event=refused route=r model=${model} kind=no_capacity ${rest}`);
+  lineAt(seconds, `event=refused route=r model=${model} kind=no_capacity ${rest}`);
 const loaded = (seconds: number, model: string, copy: string, milliseconds: number): string =>
-  at(
+  lineAt(
     seconds,
     `event=load_finished model=${model} copy=${copy} outcome=loaded milliseconds=${milliseconds}`,
   );
 
 describe('parseLogLine', () => {
-  it('reads quoted values, and ignores what stands before the first pair', () => {
-    const [event] = eventsOf(`  12.5 some-host ${at(1, 'event=order reason="room for x"')}`);
+  it('parses quoted values and ignores text before the first pair', () => {
+    const [event] = eventsOf(`  12.5 some-host ${lineAt(1, 'event=order reason="room for x"')}`);
     expect(event?.event).toBe('order');
     expect(event?.fields.get('reason')).toBe('room for x');
   });
 
-  it('takes no other line for an event', () => {
+  it('returns no event for a line without an event name or a valid time', () => {
     expect(eventsOf('Error: x', 'time=now event=x', '')).toEqual([]);
   });
 });
 
 describe('lossReport', () => {
-  it('tells the causes of refusals by the load that followed', () => {
+  it('derives the causes of refusals from the next load of the model', () => {
     const report = lossReport(
       eventsOf(
         refused(1, 'disk', 'readyInMs=3000 hasComeBack=0'),
@@ -57,12 +57,12 @@
     expect(report.loads.get('disk')).toEqual({ count: 3, p50: 800, p95: 800 });
   });
 
-  it('tells refusals for keys, limits and a configuration that may be old', () => {
+  it('distinguishes refusals for unknown keys, exceeded limits and an unconfirmed configuration', () => {
     const report = lossReport(
       eventsOf(
-        at(1, 'event=not_admitted route=r kind=unauthorized fingerprint=0a1b2c3d'),
-        at(1, 'event=not_admitted route=r kind=not_ready'),
-        at(1, 'event=refused route=r kind=rate_limited tenant=a'),
+        lineAt(1, 'event=not_admitted route=r kind=unauthorized fingerprint=0a1b2c3d'),
+        lineAt(1, 'event=not_admitted route=r kind=not_ready'),
+        lineAt(1, 'event=refused route=r kind=rate_limited tenant=a'),
       ),
     );
     expect(Object.fromEntries(report.refusals.get('r') ?? [])).toEqual({
@@ -72,9 +72,9 @@
     });
   });
 
-  it('tells streams with a late first part from those that paused', () => {
+  it('distinguishes streams with a late first part from streams with long pauses', () => {
     const ended = (rest: string): string =>
-      at(1, `event=request_ended route=r end=served goalMs=600 ${rest}`);
+      lineAt(1, `event=request_ended route=r end=served goalMs=600 ${rest}`);
     const report = lossReport(
       eventsOf(
         ended('firstPartMs=100 longestPauseMs=50 pauseGoalMs=300'),
@@ -90,9 +90,9 @@
     });
   });
 
-  it('counts ends, and the time to the first part of what was served', () => {
+  it('counts outcomes, and measures the time to the first part of served requests only', () => {
     const ended = (end: string, rest = ''): string =>
-      at(1, `event=request_ended route=r end=${end} ${rest}`);
+      lineAt(1, `event=request_ended route=r end=${end} ${rest}`);
     const report = lossReport(
       eventsOf(
         ended('served', 'firstPartMs=90'),
--- a/test/platform/directory.test.ts
+++ b/test/platform/directory.test.ts
@@ -8,8 +8,8 @@
 import { sleep } from '../../src/common/process.js';
 import { GatewayMetrics } from '../../src/gateway/gateway-metrics.js';
 
-/** A directory whose store never answers. */
-function silentDirectory(): { directory: StoreDirectory; versions: number[] } {
+/** A directory whose store never replies. */
+function startUnconnectedDirectory(): { directory: StoreDirectory; versions: number[] } {
   const never = (): Promise<never> => new Promise(() => {});
   const store = { list: never, watch: never } as unknown as ObjectStore;
   const directory = new StoreDirectory(store, silentLogger);
@@ -26,10 +26,10 @@
   return gzipSync(JSON.stringify({ version, routes: [], services: [] }));
 }
 
-describe('documents of configurations', () => {
-  it('pass from daemon to daemon while the store is silent', () => {
-    const first = silentDirectory();
-    const second = silentDirectory();
+describe('configuration documents', () => {
+  it('pass from daemon to daemon while the store does not reply', () => {
+    const first = startUnconnectedDirectory();
+    const second = startUnconnectedDirectory();
     expect(first.directory.configurationDocument()).toBeUndefined();
     expect(first.directory.takeConfigurationDocument(documentOf(3))).toBe(true);
     const document = first.directory.configurationDocument() ?? new Uint8Array();
@@ -37,16 +37,16 @@
     expect(second.versions).toEqual([3]);
   });
 
-  it('never bring an older configuration', () => {
-    const { directory, versions } = silentDirectory();
+  it('never replace a configuration with an older one', () => {
+    const { directory, versions } = startUnconnectedDirectory();
     expect(directory.takeConfigurationDocument(documentOf(3))).toBe(true);
     expect(directory.takeConfigurationDocument(documentOf(2))).toBe(false);
     expect(directory.takeConfigurationDocument(documentOf(3))).toBe(false);
     expect(versions).toEqual([3]);
   });
 
-  it('are dropped when they are cut or are not JSON', () => {
-    const { directory, versions } = silentDirectory();
+  it('are rejected if they are truncated or not JSON', () => {
+    const { directory, versions } = startUnconnectedDirectory();
     expect(directory.takeConfigurationDocument(documentOf(3).subarray(0, 20))).toBe(false);
     expect(directory.takeConfigurationDocument(gzipSync('{"version":'))).toBe(false);
     expect(directory.takeConfigurationDocument(new Uint8Array())).toBe(false);
@@ -54,13 +54,13 @@
   });
 });
 
-describe('a close reader of backends', () => {
-  it('asks again within the 2 s in which a leaving backend must be known, when an answer is lost', async () => {
+describe('a directory with close attention to backends', () => {
+  it('sends the next watch after a lost reply within the 2 s in which a leaving backend must be known', async () => {
     const watchedAt: number[] = [];
     const server = http.createServer((request, response) => {
       const isWatch = request.url?.includes('watch=') === true;
       if (isWatch && request.url?.includes('/servers') === true) watchedAt.push(performance.now());
-      // The connection stays open, and says nothing more.
+      // The connection stays open without a reply.
       if (!isWatch) response.end(JSON.stringify({ items: [], at: 5 }));
     });
     const port = await listen(server, '127.0.0.1', 0);
--- a/test/platform/foreign-entries.test.ts
+++ b/test/platform/foreign-entries.test.ts
@@ -1,11 +1,11 @@
 /**
- * Symptom to expect: an entry that another program has written among the servers takes requests (an empty
- * service, an address that is none), counts as one that leaves, or stops the whole list from being read.
+ * Guards against invalid entries that another program writes to the server list. Such an entry could receive requests
+ * (with an empty service or an invalid address), count as leaving, or prevent the complete list from being read.
  */
 import { afterEach, describe, expect, it } from 'vitest';
 import { readEntries, serverEntry, type Line } from './server-entries.js';
 
-const FOREIGN: Readonly<Record<string, unknown>> = {
+const INVALID_ENTRIES: Readonly<Record<string, unknown>> = {
   'no-service': serverEntry({ service: undefined }),
   'empty-service': serverEntry({ service: '' }),
   'numbered-service': serverEntry({ service: 7 }),
@@ -30,38 +30,38 @@
   'name\nof two lines': serverEntry(),
 };
 
-describe('an entry of another writer', () => {
+describe('an invalid entry of another program', () => {
   let read: Awaited<ReturnType<typeof readEntries>> | undefined;
 
   afterEach(() => read?.stop());
 
-  function lines(): Line[] {
+  function unreadLines(): Line[] {
     return (read?.lines ?? []).filter(({ event }) => event === 'backend_entry_unread');
   }
 
-  it('names no backend, and the others hold', async () => {
+  it('is not a backend and does not affect the other entries', async () => {
     const models = [{ name: 'm', version: 1, adapters: ['a'] }, { name: 'n' }];
-    const whole = serverEntry({ models, atHand: { inMemory: ['m'] }, state: 'draining' });
-    read = await readEntries({ first: serverEntry(), ...FOREIGN, last: whole });
+    const complete = serverEntry({ models, atHand: { inMemory: ['m'] }, state: 'draining' });
+    read = await readEntries({ first: serverEntry(), ...INVALID_ENTRIES, last: complete });
     expect(read.backends.map(({ id }) => id)).toEqual(['first', 'last']);
     expect(read.backends[1]).toMatchObject({ leaving: true, inMemory: ['m'], onDisk: [] });
-    expect(lines()).toHaveLength(Object.keys(FOREIGN).length);
-    expect(lines()[0]).toMatchObject({ name: 'no-service', revision: 1, reason: 'service' });
+    expect(unreadLines()).toHaveLength(Object.keys(INVALID_ENTRIES).length);
+    expect(unreadLines()[0]).toMatchObject({ name: 'no-service', revision: 1, reason: 'service' });
   });
 
-  it('costs one line for each of its revisions, however often the list changes', async () => {
+  it('is logged once per revision, regardless of further changes of the list', async () => {
     const foreign = serverEntry({ state: 'resting' });
     read = await readEntries({ good: serverEntry(), foreign });
     const good = { name: 'good', finalizers: [], spec: serverEntry() };
     await read.change([{ ...good, revision: 2 }]);
     await read.change([{ ...good, revision: 3 }]);
-    expect(lines()).toHaveLength(1);
+    expect(unreadLines()).toHaveLength(1);
     await read.change([{ name: 'foreign', finalizers: [], revision: 4, spec: 'bytes' }]);
-    expect(lines()).toHaveLength(2);
+    expect(unreadLines()).toHaveLength(2);
     expect(read.backends.map(({ id }) => id)).toEqual(['good']);
   });
 
-  it('in place of a server names no backend until the server has written again', async () => {
+  it('that replaces a server removes the backend until the server writes its entry again', async () => {
     read = await readEntries({ good: serverEntry() });
     await read.change([{ name: 'good', finalizers: [], revision: 2, spec: 'bytes' }]);
     expect(read.backends).toEqual([]);
--- a/test/platform/kind-follower.test.ts
+++ b/test/platform/kind-follower.test.ts
@@ -18,19 +18,19 @@
   longestPauseMs: 800,
 };
 
-/** A store whose late lists show a revision of the test's choice. */
+/** A store whose lists return a revision set by the test. */
 class ScriptedStore {
   readonly calls: string[] = [];
   revision = 10;
-  historyIsGone = false;
-  staysForgotten = false;
+  isHistoryExpired = false;
+  alwaysExpired = false;
   unreadNames: string[] = [];
   isEmpty = false;
 
   list(_kind: string, stale: boolean): Promise<unknown> {
     this.calls.push(stale ? 'late list' : 'list');
     const at = this.revision;
-    this.historyIsGone = false;
+    this.isHistoryExpired = false;
     const unread = this.unreadNames.map((name) => ({ name, reason: 'not JSON' }));
     const items = this.isEmpty || unread.length > 0 ? [] : [objectAt(at)];
     return Promise.resolve(Result.ok({ items, unread, at }));
@@ -38,7 +38,7 @@
 
   watch(_kind: string, options: WatchOptions): Promise<unknown> {
     this.calls.push(`${options.stale ? 'late ' : ''}watch ${options.from}`);
-    if (this.historyIsGone || this.staysForgotten)
+    if (this.isHistoryExpired || this.alwaysExpired)
       return Promise.resolve(Result.err({ type: 'expired' }));
     return new Promise(() => {});
   }
@@ -71,8 +71,8 @@
   return { follower, seen, copies };
 }
 
-/** Leaves the late watch that waits, and asks the next one late again. */
-function askAgain(follower: KindFollower): void {
+/** Interrupts the waiting watch, so that the follower sends a new stale one. */
+function restartWatch(follower: KindFollower): void {
   follower.setPace(CLOSE);
   follower.setPace(RELAXED);
 }
@@ -82,7 +82,7 @@
     for (const follower of followers.splice(0)) follower.stop();
   });
 
-  it('goes from a late watch to one without delay at once, and reads no list for it', async () => {
+  it('replaces a stale watch with a current one immediately and without reading a list', async () => {
     const store = new ScriptedStore();
     const { follower } = follow(store, RELAXED);
     await sleep(50);
@@ -91,7 +91,7 @@
     expect(store.calls).toEqual(['list', 'late watch 10', 'watch 10']);
   });
 
-  it('does not rest out a late pace when its pace becomes a close one', async () => {
+  it('interrupts the pause between stale watches when it changes to current watches', async () => {
     const store = new ScriptedStore();
     const { follower } = follow(store, { ...RELAXED, periodMs: 5_000 });
     await sleep(50);
@@ -101,30 +101,30 @@
     expect(store.calls).toEqual(['list', 'watch 10']);
   });
 
-  it('reads everything without delay when the history is gone', async () => {
+  it('reads a current list when the store no longer has the history', async () => {
     const store = new ScriptedStore();
     const { follower, seen } = follow(store, RELAXED);
     await sleep(30);
-    store.historyIsGone = true;
+    store.isHistoryExpired = true;
     store.revision = 12;
-    askAgain(follower);
+    restartWatch(follower);
     await sleep(300);
     expect(store.calls.filter((call) => call === 'list')).toHaveLength(2);
     expect(seen).toEqual([10, 12]);
   });
 
-  it('takes a history that is gone for no outage: what the new list misses has gone', async () => {
+  it('does not treat an expired history as an outage: objects missing from the new list are removed', async () => {
     const store = new ScriptedStore();
     const { follower, copies } = follow(store, CLOSE);
     await sleep(30);
-    store.historyIsGone = true;
-    askAgain(follower);
+    store.isHistoryExpired = true;
+    restartWatch(follower);
     follower.setPace(CLOSE);
     await sleep(300);
     expect(copies.map(({ mayMissObjects }) => mayMissObjects)).toEqual([false, false]);
   });
 
-  it('does not step back to a list from before what it holds', async () => {
+  it('ignores a list that is older than its copy', async () => {
     const store = new ScriptedStore();
     const { follower, seen } = follow(store, RELAXED);
     await sleep(30);
@@ -134,7 +134,7 @@
     expect(seen).toEqual([10]);
   });
 
-  it('keeps what is held under the name of an object that a list cannot read', async () => {
+  it('keeps the held copy of an object that is unreadable in a list', async () => {
     const store = new ScriptedStore();
     const { follower, seen } = follow(store, RELAXED);
     await sleep(30);
@@ -150,9 +150,9 @@
     expect(seen).toEqual([10, 10, undefined]);
   });
 
-  it('asks ever less often while the history stays forgotten', async () => {
+  it('backs off exponentially while the history stays expired', async () => {
     const store = new ScriptedStore();
-    store.staysForgotten = true;
+    store.alwaysExpired = true;
     follow(store, RELAXED);
     await sleep(1_500);
     expect(store.calls.filter((call) => call === 'list').length).toBeLessThanOrEqual(7);
--- a/test/platform/late-configuration.test.ts
+++ b/test/platform/late-configuration.test.ts
@@ -1,14 +1,13 @@
 /**
- * Symptom: requests on a new route were answered 404 more than 2 s after the store had acknowledged
- * its version, by the daemons that read the store closely.
+ * Guards against a configuration that is applied too late after an outage of the store. Daemons with close
+ * attention answered requests on a new route with 404 more than 2 s after the store had acknowledged its version.
  *
- * Sequence: the store is silent for some seconds; a close reader asks its next watch of the
- * configuration meanwhile; the store returns and acknowledges a newer version; the connection of that
- * watch says nothing more, so the version comes only with the watch after it.
+ * A daemon sends a configuration watch while the store does not reply. The store returns and acknowledges a
+ * newer version, but the connection of that watch stays dead, so only the next watch returns the version.
  *
- * Cause: the watch waited for 4 s and was noticed dead 4.7 s after it was asked, while a
- * configuration must be in force 2 s after its acknowledgement. What settled it, from the log of
- * such a reader (version 49 was acknowledged at 35.081 s; a peer told of it in time):
+ * The watch waited 4 s and was detected as dead 4.7 s after it was sent, while a configuration must be in force
+ * 2 s after its acknowledgement. The log of such a daemon shows this (version 49 was acknowledged at 35.081 s; a
+ * peer announced it in time):
  *
  *     28.722 event=store_lost kind=config reason="no answer in 4700 ms"
  *     35.217 event=store_regained kind=servers
@@ -25,12 +24,12 @@
 import { ObjectStoreStandIn } from '../soak/object-store-stand-in.js';
 import { SeededRandom } from '../soak/seeded-random.js';
 
-/** A configuration is in force everywhere so long after its acknowledgement. */
+/** Time after the acknowledgement within which all daemons apply a configuration. */
 const IN_FORCE_MS = 2_000;
-/** Of that, left for telling the other daemons. */
-const TELLING_MS = 150;
+/** Part of that time reserved for announcing the version to other daemons. */
+const ANNOUNCEMENT_MS = 150;
 const OUTAGE_BEGINS_MS = 100;
-/** Ends of outages, in each phase of a reader's calls. */
+/** Ends of the outage, chosen to fall into different phases of the reader's calls. */
 const OUTAGE_ENDS_MS = [3_200, 3_500, 3_800, 4_100, 4_400, 4_700, 5_000];
 
 const cleanUps: (() => void)[] = [];
@@ -52,7 +51,7 @@
   return { inForceAt };
 }
 
-/** Milliseconds from the acknowledgement right after an outage until the reader has the version. */
+/** Milliseconds from an acknowledgement directly after an outage until the reader applies the version. */
 async function delayAfterOutage(outageEndsMs: number): Promise<number> {
   const store = new ObjectStoreStandIn(new SeededRandom(1));
   const address = await store.listenFor('reader');
@@ -70,22 +69,22 @@
   return (inForceAt.get(2) ?? Infinity) - acknowledgedAt;
 }
 
-describe('a close reader of the configuration', () => {
+describe('a directory with close attention to the configuration', () => {
   afterEach(() => {
     for (const cleanUp of cleanUps.splice(0)) cleanUp();
   });
 
-  it('has what is acknowledged right after an outage of the store in force in time', async () => {
+  it('applies in time a version acknowledged directly after an outage of the store', async () => {
     const delays = await Promise.all(OUTAGE_ENDS_MS.map(delayAfterOutage));
-    expect(Math.max(...delays)).toBeLessThan(IN_FORCE_MS - TELLING_MS);
+    expect(Math.max(...delays)).toBeLessThan(IN_FORCE_MS - ANNOUNCEMENT_MS);
   });
 
-  it('asks again in time when a connection goes silent while the store is sound', async () => {
-    const askedAt: number[] = [];
+  it('sends the next watch in time when a connection dies while the store works', async () => {
+    const watchedAt: number[] = [];
     const server = http.createServer((request, response) => {
       const isWatch = request.url?.includes('watch=') === true;
-      if (isWatch && request.url?.includes('/config') === true) askedAt.push(performance.now());
-      // The connection of a watch stays open, and says nothing more.
+      if (isWatch && request.url?.includes('/config') === true) watchedAt.push(performance.now());
+      // The connection of a watch stays open without a reply.
       if (!isWatch) response.end(JSON.stringify({ items: [], at: 5 }));
     });
     const port = await listen(server, '127.0.0.1', 0);
@@ -95,7 +94,7 @@
     });
     follow(`127.0.0.1:${port}`);
     await sleep(IN_FORCE_MS + 300);
-    const [first = 0, second = Infinity] = askedAt;
-    expect(second - first).toBeLessThan(IN_FORCE_MS - TELLING_MS);
+    const [first = 0, second = Infinity] = watchedAt;
+    expect(second - first).toBeLessThan(IN_FORCE_MS - ANNOUNCEMENT_MS);
   });
 });
--- a/test/platform/names.test.ts
+++ b/test/platform/names.test.ts
@@ -1,9 +1,9 @@
-/** No name of the users' platform stands outside the adapter and the deploy files. */
+/** Guards against names of the users' platform outside the adapter and the deployment files. */
 import { readFileSync, readdirSync } from 'node:fs';
 import { join } from 'node:path';
 import { describe, expect, it } from 'vitest';
 
-/** Headers, fields, paths and words that only the platform's pages use. */
+/** Headers, fields, paths and values defined by the platform's specification. */
 const PLATFORM_NAMES = [
   'x-attempt-id',
   'x-server-seal',
@@ -48,7 +48,7 @@
 }
 
 describe('the platform adapter', () => {
-  it('is the only place that knows names of the platform', () => {
+  it('is the only code that contains names of the platform', () => {
     const found = sourceFiles('src').flatMap((file) => {
       const text = readFileSync(file, 'utf8');
       return PLATFORM_NAMES.filter((name) => mentions(text, name)).map(
--- a/test/platform/object-store.test.ts
+++ b/test/platform/object-store.test.ts
@@ -1,4 +1,4 @@
-/** Pages of the store with objects that cannot be read. */
+/** Guards against unreadable objects that hide other objects of a page or watch. */
 import http from 'node:http';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { KindFollower, type KindCopy } from '../../platform/kind-follower.js';
@@ -20,17 +20,17 @@
 describe('ObjectStore', () => {
   let server: http.Server;
   let store: ObjectStore;
-  /** By the name after which a page begins. */
+  /** Pages by the name after which they begin. */
   let pages: Record<string, string>;
   let changes: string[];
-  let asked: number;
+  let requestCount: number;
 
   beforeEach(async () => {
     pages = {};
     changes = [];
-    asked = 0;
+    requestCount = 0;
     server = http.createServer((request, response) => {
-      asked += 1;
+      requestCount += 1;
       const { searchParams } = new URL(request.url ?? '', 'http://store');
       if (!searchParams.has('watch')) {
         return response.end(pages[searchParams.get('after') ?? ''] ?? page([]));
@@ -54,7 +54,7 @@
     return list.isOk ? list.value.items.map(({ name }) => name) : list.error.type;
   }
 
-  it('reads the others of a page with objects that are none', async () => {
+  it('reads the other objects of a page with invalid objects', async () => {
     const odd = ['null', '7', '{}', '{"metadata":{"name":"b"}}', '{"metadata":{"revision":4}}'];
     pages[''] = page([object('a'), ...odd, object('c')]);
     expect(await names()).toEqual(['a', 'c']);
@@ -62,21 +62,21 @@
     expect(list.unwrapOr(undefined)?.unread?.map(({ name }) => name)).toContain('b');
   });
 
-  it('reads the others of a page on which an object is not even JSON', async () => {
+  it('reads the other objects of a page with an object that is not JSON', async () => {
     const broken = object('b', '{"service":"x\u0001\n\\q","slots":NaN}');
     pages[''] = page([object('a', '"}]"'), broken, object('c', '[[{}]]')], true);
     pages.c = page([object('d')]);
     expect(await names()).toEqual(['a', 'c', 'd']);
   });
 
-  it('goes on behind a page whose last objects, or all, cannot be read', async () => {
+  it('continues after a page whose last objects, or all objects, are unreadable', async () => {
     pages[''] = page([object('a'), '{"metadata":{"name":"b","revision":"late"}}'], true);
     pages.b = page(['{"metadata":{"name":"c"}}'], true);
     pages.c = page([object('d')]);
     expect(await names()).toEqual(['a', 'd']);
   });
 
-  it('takes no list for whole that it could not read to its end', async () => {
+  it('fails a list that it cannot read to its end', async () => {
     pages[''] = page(['null', '{}'], true);
     expect(await names()).toBe('lost');
     pages[''] = page([object('a')], true);
@@ -94,7 +94,7 @@
     }
   });
 
-  it('takes the other changes of a watch, and does not ask for the unreadable ones again', async () => {
+  it('returns the readable changes of a watch and advances past the unreadable ones', async () => {
     const event = (text: string): string => `{"gone":false,"object":${text}}`;
     const events = [
       'null',
@@ -105,14 +105,14 @@
     changes = [`{"events":[${events.join(',')}],"at":12}`, 'null', '{"events":{},"at":13}'];
     const options = { from: 9, waitMs: 100, stale: false };
     const read = await store.watch('servers', options);
-    const told = read.unwrapOr(undefined);
-    expect(told?.events.map(({ object: { name } }) => name)).toEqual(['c']);
-    expect(told?.at).toBe(12);
+    const changed = read.unwrapOr(undefined);
+    expect(changed?.events.map(({ object: { name } }) => name)).toEqual(['c']);
+    expect(changed?.at).toBe(12);
     expect((await store.watch('servers', options)).isErr).toBe(true);
     expect((await store.watch('servers', options)).isErr).toBe(true);
   });
 
-  it('loses nothing that is held, and writes one line for each unreadable object', async () => {
+  it('keeps all held objects and logs each unreadable object once', async () => {
     const lines: LogFields[] = [];
     const write = (event: string, fields: LogFields = {}): void => {
       lines.push({ event, ...fields });
@@ -126,7 +126,7 @@
       `{"events":[{"gone":false,"object":${object('c')}}],"at":11}`,
     ];
     const pace = { periodMs: 10, stale: false, waitMs: 300, longestPauseMs: 100 };
-    const onObjects = (told: KindCopy): void => void (copy = told);
+    const onObjects = (received: KindCopy): void => void (copy = received);
     const follower = new KindFollower({ store, logger, kind: 'servers', pace, onObjects });
     void follower.run();
     await sleep(500);
@@ -136,6 +136,6 @@
     expect(unread).toHaveLength(1);
     expect(unread[0]).toMatchObject({ kind: 'servers', name: 'b' });
     expect(lines.filter(({ event }) => event === 'follower_fault')).toEqual([]);
-    expect(asked).toBeLessThan(20);
+    expect(requestCount).toBeLessThan(20);
   });
 });
--- a/test/platform/server-entries.ts
+++ b/test/platform/server-entries.ts
@@ -1,4 +1,4 @@
-/** The platform's list of servers as a directory reads it from a store of the test's own. */
+/** Test helpers that let a directory read a server list from a fake store. */
 import { Result } from 'true-myth';
 import { StoreDirectory } from '../../platform/directory.js';
 import type { ObjectStore, StoreObject } from '../../platform/object-store.js';
@@ -6,7 +6,7 @@
 import { sleep } from '../../src/common/process.js';
 import type { BackendRecord } from '../../src/core/service-configuration.js';
 
-/** A server's entry as the platform's pages describe it; change what matters. */
+/** A valid server entry; `part` overrides single fields. */
 export function serverEntry(part: Readonly<Record<string, unknown>> = {}): StoreObject['spec'] {
   return {
     service: 'service',
@@ -21,20 +21,20 @@
   };
 }
 
-/** A log line. */
+/** A log line with its event name. */
 export interface Line extends LogFields {
   readonly event: string;
 }
 
-/** What a directory has made of a store's entries. */
+/** Backends and log lines that a directory produced from the store's entries. */
 export interface ReadList {
   readonly backends: readonly BackendRecord[];
   readonly lines: readonly Line[];
-  /** Gives the directory further entries, as changes. */
+  /** Delivers changed entries to the directory through its watch. */
   change(items: readonly StoreObject[]): Promise<void>;
 }
 
-/** Reads entries by name. */
+/** Starts a directory on the given entries, by name. */
 export async function readEntries(
   entries: Readonly<Record<string, unknown>>,
 ): Promise<ReadList & { stop: () => void }> {
@@ -44,7 +44,7 @@
   };
   const logger: Logger = { info: write, warn: write, error: write };
   let backends: readonly BackendRecord[] = [];
-  let tell: (items: readonly StoreObject[]) => void = () => {};
+  let deliver: (items: readonly StoreObject[]) => void = () => {};
   const items = Object.entries(entries).map(([name, spec]) => ({
     name,
     revision: 1,
@@ -57,7 +57,7 @@
     watch: (kind: string) =>
       new Promise((resolve) => {
         if (kind !== 'servers') return;
-        tell = (changed) => {
+        deliver = (changed) => {
           const events = changed.map((object) => ({ gone: false, object }));
           resolve(
             Result.ok({ events, unread: [], at: Math.max(...changed.map((o) => o.revision)) }),
@@ -71,7 +71,7 @@
     onBackends: (list) => (backends = list.backends),
     onConfirmed: () => {},
   });
-  // The pace rests for 200 ms after each call.
+  // The directory starts its next watch 200 ms after the previous one.
   await sleep(260);
   return {
     get backends() {
@@ -79,7 +79,7 @@
     },
     lines,
     change: async (changed) => {
-      tell(changed);
+      deliver(changed);
       await sleep(260);
     },
     stop: () => directory.stop(),
--- a/test/platform/server-starts.test.ts
+++ b/test/platform/server-starts.test.ts
@@ -1,7 +1,7 @@
 import { expect, it } from 'vitest';
 import { readEntries, serverEntry } from './server-entries.js';
 
-it("a server's birth names its start, whatever its type; without one there is none", async () => {
+it('identifies the start of a server by a string or number in `born`, and by nothing else', async () => {
   const read = await readEntries({
     text: serverEntry({ born: 'k3' }),
     number: serverEntry({ born: 1_764_000_000_123.5 }),
--- a/test/platform/store-restored.test.ts
+++ b/test/platform/store-restored.test.ts
@@ -1,6 +1,7 @@
 /*
- * The store came back from a copy some seconds old. Daemons dropped each list as older than what they held, so a change that was
- * acknowledged after that was in force only once the counter of revisions had passed the old one, and a drain was never heard of.
+ * Guards against lost changes after the store is restored from a backup some seconds old. Daemons dropped each list as older than
+ * their copy. A change acknowledged after the restore was applied only once the revision counter had passed its old value, and a
+ * drain was never detected.
  */
 import { afterEach, describe, expect, it } from 'vitest';
 import { StoreDirectory } from '../../platform/directory.js';
@@ -14,29 +15,29 @@
 import { SeededRandom } from '../soak/seeded-random.js';
 import { serverEntry } from './server-entries.js';
 
-/** What was acknowledged is known at all daemons so long after. */
+/** Time after an acknowledgement within which all daemons know the change. */
 const KNOWN_WITHIN_MS = 2_000;
-/** Written after the copy, and lost. */
+/** Number of writes after the backup, which the restore loses. */
 const LOST_WRITES = 40;
-const AWAY_MS = 300;
-/** A watch that hears nothing has reached the newest revision by then. */
+const OUTAGE_MS = 300;
+/** Time after which a watch without changes has reached the newest revision. */
 const WATCH_ENDS_MS = 1_200;
 
-/** What the store does with the places of watches from before. */
-const PLACES = ['answers 410', 'has passed them again'] as const;
+/** How the store handles the revisions of watches from before the restore. */
+const REVISION_HANDLINGS = ['answers 410', 'has passed them again'] as const;
 
-describe('a store that comes back from a copy', () => {
+describe('a store that is restored from a backup', () => {
   const cleanUps: (() => void)[] = [];
 
   afterEach(() => {
     for (const cleanUp of cleanUps.splice(0)) cleanUp();
   });
 
-  async function scene(attention: DirectoryAttention): Promise<{
+  async function startScenario(attention: DirectoryAttention): Promise<{
     store: ObjectStoreStandIn;
     directory: StoreDirectory;
     backends: BackendDirectory;
-    /** Versions that were proved current. */
+    /** Versions confirmed as current. */
     confirmed: number[];
     version: () => number;
   }> {
@@ -66,10 +67,10 @@
     return { store, directory, backends, confirmed, version: () => version };
   }
 
-  /** Loses what is written after a copy, and is away for a moment. */
+  /** Makes a backup, writes after it, and restores it after a short outage. */
   async function loseWrites(
     store: ObjectStoreStandIn,
-    places: (typeof PLACES)[number],
+    handling: (typeof REVISION_HANDLINGS)[number],
     { lost = () => {}, written = () => {} }: { lost?: () => void; written?: () => void },
   ): Promise<void> {
     const copy = store.copy();
@@ -77,10 +78,10 @@
     for (let write = 0; write < LOST_WRITES; write++) store.put('other', 'x', { write });
     await sleep(WATCH_ENDS_MS);
     store.condition = 'reset';
-    await sleep(AWAY_MS);
+    await sleep(OUTAGE_MS);
     store.restore(copy);
     written();
-    if (places === 'has passed them again') {
+    if (handling === 'has passed them again') {
       for (let write = 0; write < 2 * LOST_WRITES; write++) store.put('other', 'y', { write });
     }
   }
@@ -90,8 +91,8 @@
     store.put('servers', 'r1', serverEntry({ state: 'draining' }));
   }
 
-  it('proves no configuration current before what it has lost can have been written again', async () => {
-    const { store, directory, confirmed } = await scene('close');
+  it('confirms no configuration before the lost writes can have been repeated', async () => {
+    const { store, directory, confirmed } = await startScenario('close');
     await directory.confirmConfiguration();
     expect(confirmed).toEqual([50]);
     await loseWrites(store, 'answers 410', {});
@@ -106,16 +107,16 @@
     expect(confirmed).toEqual([50, 50]);
   });
 
-  async function until(isSo: () => boolean): Promise<number> {
-    const begun = performance.now();
-    while (!isSo() && performance.now() - begun < 3 * KNOWN_WITHIN_MS) await sleep(20);
-    return performance.now() - begun;
+  async function until(isDone: () => boolean): Promise<number> {
+    const startedAt = performance.now();
+    while (!isDone() && performance.now() - startedAt < 3 * KNOWN_WITHIN_MS) await sleep(20);
+    return performance.now() - startedAt;
   }
 
-  it('is heard again at once: the next configuration and the next drain are known in time', async () => {
-    for (const places of PLACES) {
-      const { store, backends, version } = await scene('close');
-      await loseWrites(store, places, { written: () => writeBoth(store) });
+  it('delivers the next configuration and the next drain in time', async () => {
+    for (const handling of REVISION_HANDLINGS) {
+      const { store, backends, version } = await startScenario('close');
+      await loseWrites(store, handling, { written: () => writeBoth(store) });
       store.condition = 'sound';
       const servingIds = (): string =>
         backends
@@ -123,15 +124,15 @@
           .map(({ id }) => id)
           .join();
       const knownAfterMs = await until(() => version() === 53 && servingIds() === 'r2');
-      expect(knownAfterMs, places).toBeLessThan(KNOWN_WITHIN_MS);
+      expect(knownAfterMs, handling).toBeLessThan(KNOWN_WITHIN_MS);
     }
   }, 20_000);
 
-  it.each(PLACES)(
-    'and %s takes no configuration and no drain back that was acknowledged before',
-    async (places) => {
-      const { store, backends, version } = await scene('close');
-      await loseWrites(store, places, { lost: () => writeBoth(store) });
+  it.each(REVISION_HANDLINGS)(
+    'and %s reverts no configuration and no drain acknowledged before',
+    async (handling) => {
+      const { store, backends, version } = await startScenario('close');
+      await loseWrites(store, handling, { lost: () => writeBoth(store) });
       store.condition = 'sound';
       await sleep(KNOWN_WITHIN_MS);
       expect(version()).toBe(53);
--- a/test/platform/tenants.test.ts
+++ b/test/platform/tenants.test.ts
@@ -11,7 +11,7 @@
 const LIMITED = { name: 'a', apiKeys: ['k1', 'k2'], unit: 'tokens', plainTokens: 200 };
 
 describe('withoutKeys', () => {
-  it('leaves digests only, also of what was stripped before', () => {
+  it('replaces keys by digests, and keeps digests when applied again', () => {
     const once = withoutKeys({ version: 1, tenants: [LIMITED] });
     expect(JSON.stringify(once)).not.toContain('k1');
     expect(withoutKeys(once)).toEqual(once);
@@ -30,17 +30,17 @@
     expect(readConfiguration({ version: 1, routes: [route] })?.routes[0]?.isPublic).toBe(true);
   });
 
-  it('tells a configuration without tenants from one with none', () => {
+  it('distinguishes a configuration without a tenant list from one with an empty list', () => {
     expect(readTenants(undefined).tenants).toBeUndefined();
     expect(readTenants([]).tenants).toEqual([]);
   });
 
-  it('takes a rate of 0, or none, for no limit', () => {
+  it('applies no limit if the rate is 0 or absent', () => {
     expect(read([{ ...LIMITED, ratePerS: 0, burst: 9 }]).tenants?.[0]?.limit).toBeUndefined();
     expect(read([LIMITED]).tenants?.[0]?.limit).toBeUndefined();
   });
 
-  it('puts in force what can be read, and tells the rest without keys', () => {
+  it('applies the valid settings and reports the others without printing keys', () => {
     const { tenants, problems } = read([
       { ...LIMITED, ratePerS: -5 },
       { name: 'b', apiKeys: ['k2', 'k3'], ratePerS: 5, unit: 'bytes' },
@@ -55,7 +55,7 @@
     expect(problems.join()).not.toMatch(/k\d/);
   });
 
-  it('knows no key when the tenants are no list', () => {
+  it('accepts no key if the tenants are not a list', () => {
     const { tenants, problems } = read('nobody');
     expect(tenants).toEqual([]);
     expect(problems).toHaveLength(1);
--- a/test/weight-store/transfer-model.test.ts
+++ b/test/weight-store/transfer-model.test.ts
@@ -4,14 +4,14 @@
 describe('TransferModel', () => {
   const limits = { loadsPerSecond: 2, fullSpeedLoads: 2, bytesPerSecond: 100 };
 
-  it('gives few transfers the full speed', () => {
+  it('serves transfers at full speed up to the concurrency limit', () => {
     const store = new TransferModel(limits, 0);
     store.add(1, 100, 0);
     expect(store.advance(999)).toEqual([]);
     expect(store.advance(1_001)).toEqual([1]);
   });
 
-  it('starts no more than the allowed number a second', () => {
+  it('limits the number of transfer starts per second', () => {
     const store = new TransferModel(limits, 0);
     store.add(1, 10, 0);
     store.add(2, 10, 0);
@@ -20,14 +20,14 @@
     expect(store.advance(700)).toEqual([2]);
   });
 
-  it('reports a transfer that ends at the moment at which another one is added', () => {
+  it('reports a transfer that ends at the time at which another one is added', () => {
     const store = new TransferModel(limits, 0);
     store.add(1, 100, 0);
     store.add(2, 100, 1_500);
     expect(store.advance(1_500)).toEqual([1]);
   });
 
-  it('divides the speed when there are more than fit', () => {
+  it('divides the bandwidth if there are more transfers than the concurrency limit', () => {
     const store = new TransferModel({ ...limits, loadsPerSecond: 1_000 }, 0);
     for (let id = 0; id < 4; id++) store.add(id, 100, 0);
     expect(store.advance(1_500)).toEqual([]);
