--- a/src/common/http-server.ts
+++ b/src/common/http-server.ts
@@ -68,11 +68,11 @@
 ): void {
   const retryAfter = retryAfterOf(error);
   const answer = answerFor(error.kind);
-  const all: Record<string, string> = { ...headers };
-  all['x-ran'] = answer.ran;
-  all['x-error-kind'] = error.kind;
-  if (retryAfter > 0) all['retry-after'] = String(retryAfter);
-  sendJson(response, answer.status, errorBody(error), all);
+  const allHeaders: Record<string, string> = { ...headers };
+  allHeaders['x-ran'] = answer.ran;
+  allHeaders['x-error-kind'] = error.kind;
+  if (retryAfter > 0) allHeaders['retry-after'] = String(retryAfter);
+  sendJson(response, answer.status, errorBody(error), allHeaders);
 }
 
 /** Listens on an IP address; port 0 selects a free port. Resolves with the port. */
--- a/src/diagnosis/loss-report.ts
+++ b/src/diagnosis/loss-report.ts
@@ -81,7 +81,7 @@
       count(ends, route, event.fields.get('end') ?? '');
       const milliseconds = numberField(event, 'firstPartMs');
       const isServed = event.fields.get('end') === 'served';
-      if (isServed && milliseconds !== undefined) add(firstPart, route, milliseconds);
+      if (isServed && milliseconds !== undefined) addValue(firstPart, route, milliseconds);
       const timing = isServed ? streamTiming(event) : undefined;
       if (timing !== undefined) count(streams, route, timing);
     }
@@ -91,19 +91,19 @@
     count(refusals, route, refusalCause(event, next) + retryMark);
     const forecastMs = numberField(event, 'readyInMs');
     if (forecastMs === undefined || next === undefined || retryMark !== '') continue;
-    add(errors, next.copy, next.endedAt - event.at - forecastMs);
+    addValue(errors, next.copy, next.endedAt - event.at - forecastMs);
   }
   const times = new Map<string, number[]>();
   for (const load of loads.values()) {
-    for (const { copy, startedAt, endedAt } of load) add(times, copy, endedAt - startedAt);
+    for (const { copy, startedAt, endedAt } of load) addValue(times, copy, endedAt - startedAt);
   }
   return {
     ends,
     refusals,
-    firstPart: spreads(firstPart),
+    firstPart: percentilesByKey(firstPart),
     streams,
-    loads: spreads(times),
-    forecastErrors: spreads(errors),
+    loads: percentilesByKey(times),
+    forecastErrors: percentilesByKey(errors),
   };
 }
 
@@ -153,20 +153,22 @@
   counts.set(group, groupCounts.set(key, (groupCounts.get(key) ?? 0) + 1));
 }
 
-function add(values: Map<string, number[]>, key: string, value: number): void {
+function addValue(values: Map<string, number[]>, key: string, value: number): void {
   const known = values.get(key);
   if (known === undefined) values.set(key, [value]);
   else known.push(value);
 }
 
-function spreads(values: ReadonlyMap<string, readonly number[]>): Map<string, Spread> {
-  return new Map([...values].map(([key, list]) => [key, spreadOf(list)]));
+function percentilesByKey(values: ReadonlyMap<string, readonly number[]>): Map<string, Spread> {
+  return new Map([...values].map(([key, list]) => [key, percentilesOf(list)]));
 }
 
-function spreadOf(values: readonly number[]): Spread {
+function percentilesOf(values: readonly number[]): Spread {
   const sorted = [...values].sort((a, b) => a - b);
-  const at = (share: number): number => {
-    return Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0);
+  const at = (quantile: number): number => {
+    return Math.round(
+      sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * quantile))] ?? 0,
+    );
   };
   return { count: sorted.length, p50: at(0.5), p95: at(0.95) };
 }
--- a/src/engines/http-engine-client.ts
+++ b/src/engines/http-engine-client.ts
@@ -43,7 +43,7 @@
   private readonly requestHttp: HttpClient;
   private readonly controlHttp: HttpClient;
 
-  /** @param options - Applies to orders and reports; only `faults` also applies to request streams. */
+  /** @param options - Applies to control traffic, such as orders and reports; only `faults` also applies to request streams. */
   constructor(options: HttpClientOptions = {}) {
     this.controlHttp = new HttpClient(options);
     this.requestHttp = new HttpClient(
--- a/src/weight-store/transfer-model.ts
+++ b/src/weight-store/transfer-model.ts
@@ -18,7 +18,7 @@
   remainingBytes: number;
 }
 
-/** Transfers in transferBytes and waiting. Times are in milliseconds. */
+/** Transfers in progress and waiting. Times are in milliseconds. */
 export class TransferModel {
   private readonly waiting: Transfer[] = [];
   private readonly active: Transfer[] = [];
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Advances the time without transferBytes, to model a stalled store. */
+  /** Advances the time without progress, to model a stalled store. */
   stall(now: number): void {
     this.lastAdvance = Math.max(this.lastAdvance, now);
   }
@@ -76,7 +76,7 @@
     const times: number[] = [];
     if (this.waiting.length > 0) times.push(Math.max(this.nextStart, this.lastAdvance + 1));
     const leastRemaining = this.active.reduce(
-      (low, t) => Math.min(low, t.remainingBytes),
+      (minimum, transfer) => Math.min(minimum, transfer.remainingBytes),
       Infinity,
     );
     if (leastRemaining < Infinity)
@@ -84,7 +84,7 @@
     return times.length === 0 ? undefined : Math.min(...times);
   }
 
-  /** Number of transfers waiting or in transferBytes. */
+  /** Number of transfers waiting or in progress. */
   get size(): number {
     return this.waiting.length + this.active.length;
   }
--- a/test/common/http-client.test.ts
+++ b/test/common/http-client.test.ts
@@ -73,16 +73,16 @@
 
   it('resets the connection of a request that times out, so that delayed data is never delivered', async () => {
     const faults: string[] = [];
-    const silent = net.createServer((socket) => {
+    const unresponsive = net.createServer((socket) => {
       socket.on('error', (fault: NodeJS.ErrnoException) => faults.push(fault.code ?? ''));
       socket.on('data', () => {});
     });
-    await new Promise<void>((resolve) => silent.listen(0, '127.0.0.1', resolve));
-    const { port } = silent.address() as net.AddressInfo;
+    await new Promise<void>((resolve) => unresponsive.listen(0, '127.0.0.1', resolve));
+    const { port } = unresponsive.address() as net.AddressInfo;
     const request = { ...requestTo(`127.0.0.1:${port}`), timeoutMs: 100 };
     const answer = await new HttpClient().send(request);
     await new Promise((resolve) => setTimeout(resolve, 100));
-    silent.close();
+    unresponsive.close();
     expect(answer.isErr && answer.error.reason).toBe('lost');
     expect(faults).toEqual(['ECONNRESET']);
   });
--- a/test/platform/foreign-entries.test.ts
+++ b/test/platform/foreign-entries.test.ts
@@ -1,6 +1,6 @@
 /**
  * Guards against invalid entries that another program writes to the server list. Such an entry could receive requests
- * (with an empty service or an invalid address), count as leaving, or prevent the complete list from being read.
+ * (with an empty service or an invalid address), count as leaving, or prevent the whole list from being read.
  */
 import { afterEach, describe, expect, it } from 'vitest';
 import { readEntries, serverEntry, type Line } from './server-entries.js';
