--- a/src/gateway/gateway-metrics.ts
+++ b/src/gateway/gateway-metrics.ts
@@ -1,7 +1,7 @@
-/** Metrics of one gateway daemon, by prom-client, in a registry of their own. */
+/** Prometheus metrics of one gateway daemon, in a separate prom-client registry. */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 
-/** Buckets for waits and answers, in seconds. */
+/** Histogram buckets for wait and response times, in seconds. */
 const SECONDS_BUCKETS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1, 1.5, 2.5, 4, 6, 10, 25];
 
 /** All metrics of a gateway daemon. */
--- a/src/gateway/gateway-settings.ts
+++ b/src/gateway/gateway-settings.ts
@@ -1,4 +1,4 @@
-/** Settings of a gateway daemon, checked by hand: this path must start fast. */
+/** Settings of a gateway daemon. Validated without a schema library, because the daemon must start fast. */
 import { readFileSync } from 'node:fs';
 import { isIP } from 'node:net';
 import { Result } from 'true-myth';
@@ -12,28 +12,28 @@
   type Policies,
 } from '../core/policies.js';
 
-/** Bounds that operators promise for the whole system. */
+/** Service-level bounds that the operator guarantees for the whole system. */
 export interface GatewayBounds {
-  /** A stop may take so long. */
+  /** Maximum duration of a graceful stop, in seconds. */
   readonly stopSeconds: number;
-  /** Repeated sends for each request, over all daemons. */
+  /** Maximum number of retries per request, over all daemons. */
   readonly retryRatio: number;
   readonly retryWindowSeconds: number;
-  /** Repeated sends in a window besides. */
+  /** Number of retries allowed in each window in addition to the ratio. */
   readonly retrySlack: number;
-  /** Window in which loads from the weight store are counted. */
+  /** Window in which loads from the weight store are counted, in seconds. */
   readonly storeLoadWindowSeconds: number;
-  /** Factor on the store's rate in such a window. */
+  /** Factor by which the loads in such a window may exceed the store's rate. */
   readonly storeLoadExcess: number;
-  /** A key that was taken away is served for no longer; infinite without such a promise. */
+  /** Maximum time for which a revoked key is still accepted, in milliseconds; infinite if not guaranteed. */
   readonly revocationMs: number;
-  /** A new configuration is in force everywhere after so long; infinite without such a promise. */
+  /** Time after which a new configuration is in force on all daemons, in milliseconds; infinite if not guaranteed. */
   readonly configurationMs: number;
-  /** Window in which the units of a tenant's limit are counted. */
+  /** Window in which the units of a tenant's limit are counted, in seconds. */
   readonly limitWindowSeconds: number;
-  /** Share of a tenant's limit that may be exceeded in such a window. */
+  /** Fraction of a tenant's limit by which usage may exceed it in such a window. */
   readonly limitExcess: number;
-  /** Units that may be exceeded in such a window besides. */
+  /** Number of units by which usage may exceed the limit in such a window in addition to that fraction. */
   readonly limitSlack: number;
 }
 
@@ -42,43 +42,43 @@
   /** Name of the machine. */
   readonly name: string;
   readonly zone: string;
-  /** Share of the processor that the daemon may use. */
+  /** Fraction of the processor that the daemon may use. */
   readonly processorShare: number;
-  /** How fast that processor is, in cores of common speed. */
+  /** Speed of that processor, in cores of standard speed. */
   readonly processorSpeed: number;
-  /** Memory that the process may use, in units of 1,024 x 1,024 bytes. */
+  /** Memory that the process may use, in units of 1,024 x 1,024 bytes (MiB). */
   readonly memoryMegabytes: number;
-  /** IPv4 number for other daemons. */
+  /** IPv4 address on which other daemons reach this one. */
   readonly address: string;
   /** Port for other daemons, TCP and UDP. */
   readonly peerPort: number;
   /** Port for metrics; 0 for none. */
   readonly metricsPort: number;
-  /** "ip:port" for callers. */
+  /** "ip:port" on which callers connect. */
   readonly callers: string;
-  /** "ip:port" for the question whether callers are wanted. */
+  /** "ip:port" of the readiness probe. */
   readonly readiness: string;
   /** "ip:port" of the platform's store. */
   readonly store: string;
-  /** IPv4 numbers of daemons to start from. */
+  /** IPv4 addresses of the daemons that this one contacts first to join the group. */
   readonly seeds: readonly string[];
-  /** Backends refuse orders of a lower epoch than they have seen; else an owner keeps a lease. */
+  /** Whether backends refuse orders with a lower epoch than the highest they have seen; if not, an owner needs a lease. */
   readonly backendsCheckEpochs: boolean;
   /** Policies that operators may switch off. */
   readonly policies: Policies;
-  /** Policies that the file names and that change nothing any more. */
+  /** Policies named in the file that no longer have an effect. */
   readonly retiredPolicies: readonly string[];
   readonly bounds: GatewayBounds;
 }
 
-/** Memory of the smallest machines that a daemon is meant for. */
+/** Memory of the smallest supported machines, in MiB. */
 const DEFAULT_MEMORY_MEGABYTES = 200;
-/** Window of tenants' limits where the operator names none. */
+/** Window of tenants' limits if the settings name none, in seconds. */
 const DEFAULT_LIMIT_WINDOW_SECONDS = 8;
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** Reads and checks a settings file. Fails with `settings_invalid`: file, key, what was expected. */
+/** Reads and validates a settings file. Fails with `settings_invalid`; the message names the file, the key and the expected value. */
 export function loadGatewaySettings(file: string): Result<GatewaySettings, ServiceError> {
   let text: string;
   try {
@@ -91,7 +91,7 @@
   return parseGatewaySettings(parsed.value, file);
 }
 
-/** Checks settings; unknown keys are ignored. */
+/** Validates settings. Unknown keys are ignored, except under `policies`. */
 export function parseGatewaySettings(
   value: unknown,
   where: string,
@@ -99,20 +99,20 @@
   const reader = new FieldReader(value, where);
   const bounds = reader.object('bounds');
   const policies = reader.optionalObject('policies');
-  policies.onlyKeys([...POLICY_NAMES, ...RETIRED_POLICY_NAMES]);
+  policies.rejectUnknownKeys([...POLICY_NAMES, ...RETIRED_POLICY_NAMES]);
   const settings: GatewaySettings = {
     name: reader.text('name'),
     zone: reader.text('zone'),
     processorShare: reader.number('processorShare', 0),
     processorSpeed: reader.number('processorSpeed', 0),
     memoryMegabytes: reader.numberOr('memoryMegabytes', 32, DEFAULT_MEMORY_MEGABYTES),
-    address: reader.checked('address', 'an IPv4 number', isIPv4),
+    address: reader.checked('address', 'an IPv4 address', isIPv4),
     peerPort: reader.number('peerPort', 1),
     metricsPort: reader.number('metricsPort', 0),
     callers: reader.checked('callers', '"ip:port"', isAddress),
     readiness: reader.checked('readiness', '"ip:port"', isAddress),
     store: reader.checked('store', '"ip:port"', isAddress),
-    seeds: reader.texts('seeds'),
+    seeds: reader.strings('seeds'),
     backendsCheckEpochs: reader.flag('backendsCheckEpochs'),
     policies: createPolicies((name) => policies.flag(name, DEFAULT_POLICIES[name])),
     retiredPolicies: RETIRED_POLICY_NAMES.filter((name) => policies.has(name)),
@@ -134,7 +134,7 @@
   return problem === undefined ? Result.ok(settings) : invalid(problem);
 }
 
-/** Reads typed fields and collects what is wrong with them. */
+/** Reads typed fields and collects error messages for invalid ones. */
 class FieldReader {
   readonly problems: string[] = [];
   private readonly fields: Fields;
@@ -149,7 +149,7 @@
   }
 
   text(key: string): string {
-    return this.checked(key, 'a text', (text) => text !== '');
+    return this.checked(key, 'a non-empty string', (text) => text !== '');
   }
 
   checked(key: string, expected: string, isValid: (text: string) => boolean): string {
@@ -159,24 +159,24 @@
     return '';
   }
 
-  number(key: string, least: number): number {
+  number(key: string, minimum: number): number {
     const value = this.fields[key];
-    if (typeof value === 'number' && value >= least) return value;
-    this.problem(key, `a number of ${least} or more`);
-    return least;
+    if (typeof value === 'number' && value >= minimum) return value;
+    this.problem(key, `a number of at minimum ${minimum}`);
+    return minimum;
   }
 
-  /** A number whose absence means `otherwise`. */
-  numberOr(key: string, least: number, otherwise: number): number {
-    return this.fields[key] === undefined ? otherwise : this.number(key, least);
+  /** Reads a number; returns `fallback` if the key is absent. */
+  numberOr(key: string, minimum: number, fallback: number): number {
+    return this.fields[key] === undefined ? fallback : this.number(key, minimum);
   }
 
-  texts(key: string): string[] {
+  strings(key: string): string[] {
     const value = this.fields[key];
     if (Array.isArray(value) && value.every((item) => typeof item === 'string')) {
       return value;
     }
-    this.problem(key, 'a list of texts');
+    this.problem(key, 'a list of strings');
     return [];
   }
 
@@ -184,26 +184,26 @@
     return new FieldReader(this.fields[key], `${this.where}: ${key}`);
   }
 
-  /** An object whose absence means that it is empty. */
+  /** Reads an object; an absent key counts as an empty object. */
   optionalObject(key: string): FieldReader {
     return new FieldReader(this.fields[key] ?? {}, `${this.where}: ${key}`);
   }
 
-  /** A flag whose absence means `otherwise`. */
-  flag(key: string, otherwise = true): boolean {
-    const value = this.fields[key] ?? otherwise;
+  /** Reads a boolean; returns `fallback` if the key is absent. */
+  flag(key: string, fallback = true): boolean {
+    const value = this.fields[key] ?? fallback;
     if (typeof value === 'boolean') return value;
     this.problem(key, 'true or false');
     return true;
   }
 
-  /** Whether the key is there. */
+  /** Whether the key is present. */
   has(key: string): boolean {
     return this.fields[key] !== undefined;
   }
 
-  /** A key that means nothing here is likely to be a misspelt one. */
-  onlyKeys(known: readonly string[]): void {
+  /** Reports each key that is not in `known`: such a key is probably misspelt. */
+  rejectUnknownKeys(known: readonly string[]): void {
     for (const key of Object.keys(this.fields)) {
       if (!known.includes(key)) this.problem(key, `one of ${known.join(', ')}`);
     }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -1,6 +1,6 @@
 /**
- * One gateway daemon: serves opaque requests on routes to services, and owns
- * services by rank. Puts the parts together.
+ * One gateway daemon: forwards opaque requests to services by route and owns services
+ * according to its rank among the daemons. Creates and connects the daemon's components.
  */
 import { faultText, type Logger } from '../common/logger.js';
 import { leaseClock, leaseNow } from '../common/lease-clock.js';
@@ -51,24 +51,24 @@
 import { StatusPorts } from './status-ports.js';
 import { RateLimiting } from './rate-limiting.js';
 
-/** Between two looks at the clock: of the membership, the duties, and what is told. */
+/** Interval of the periodic work of the membership, the owned services and the exchanges with other daemons, in milliseconds. */
 const TICK_MS = 100;
-/** Between two reports of demand to an owner. */
+/** Interval between demand reports to an owner, in milliseconds. */
 const DEMAND_PERIOD_MS = 250;
-/** An unchanged report is repeated so often: twice within the time that an owner counts it. */
+/** Interval at which an unchanged report is repeated, in milliseconds: twice within the time for which an owner counts a report. */
 const DEMAND_REPEAT_MS = 1_000;
-/** After a stop is asked for, callers still come until the entry has noticed. */
-const ENTRY_NOTICES_MS = 2_300;
-/** Left of the time for a stop when what still runs is broken off. */
+/** Time after the start of a drain during which the load balancer may still send requests, in milliseconds. */
+const BALANCER_DELAY_MS = 2_300;
+/** Time before the end of a stop at which requests still in flight are interrupted, in milliseconds. */
 const STOP_MARGIN_MS = 500;
 
-/** The outside systems. */
+/** External systems that a gateway uses. */
 export interface GatewayDependencies {
   readonly directory: PlatformDirectory;
   readonly store: RecordStore;
   readonly control: BackendControl;
   readonly dialect: RequestDialect;
-  /** Keeps the connections to backends. */
+  /** Pools the connections to backends. */
   readonly agent: BackendAgent;
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
@@ -79,7 +79,7 @@
   private readonly context: GatewayContext;
   private readonly backends = new BackendDirectory();
   private readonly budgets = new Map<string, RetryBudget>();
-  /** By route. */
+  /** Deadlines of earlier callers, by route. */
   private readonly callerDeadlines = new Map<string, CallerDeadlines>();
   private readonly peers: PeerGroup;
   private readonly shares: LimitShares;
@@ -91,23 +91,23 @@
   private readonly slots: SlotAdmission | undefined;
   private readonly crashes: CrashWatch;
   private readonly leavings: LeavingNews;
-  private readonly directoryDuty: DirectoryDuty;
+  private readonly directoryReader: DirectoryDuty;
   private readonly duties: ServiceDuties;
   private readonly placements: PlacementExchange;
   private readonly front: CallerFront;
   private readonly status: StatusPorts;
   private readonly startedAt = steadyNow();
   private routing: RoutingTable | undefined;
-  private knowsBackends = false;
-  /** Steady time at which a stop was asked for. */
+  private hasBackendList = false;
+  /** Steady time at which the drain started. */
   private drainingSince: number | undefined;
   private starting: Promise<void> | undefined;
   private draining: Promise<void> | undefined;
   private stopped = false;
   private ticker: Ticker | undefined;
-  private lastDemand = 0;
-  private lastRepeated = 0;
-  private lookScheduled = false;
+  private lastReport = 0;
+  private lastFullReport = 0;
+  private recheckScheduled = false;
   private membersHaveChanged = false;
 
   constructor(
@@ -144,12 +144,12 @@
       logger: outside.logger,
       revocationMs: settings.bounds.revocationMs,
       configurationMs: settings.bounds.configurationMs,
-      isInformed: () => this.directoryDuty.isInformed(),
+      isInformed: () => this.directoryReader.isInformed(),
       onDoubt: () => this.proofs.tick(),
     });
     this.limits = this.makeLimits();
     this.crashes = this.makeCrashWatch();
-    this.leavings = this.makeLeavingNews();
+    this.leavings = this.makeLeavingNotices();
     this.slots = settings.policies.sharedSlots ? this.makeSlots() : undefined;
     this.duties = new ServiceDuties({
       settings,
@@ -160,12 +160,12 @@
       logger,
       metrics: outside.metrics,
       listed: () => this.members.listed,
-      platformAnswersOthers: () => this.directoryDuty.hearsAnsweredReader(),
+      platformAnswersOthers: () => this.directoryReader.hearsAnsweredReader(),
       publish: (update) => this.placements.publish(update),
     });
     this.placements = this.makePlacements();
     this.context = this.makeContext();
-    this.directoryDuty = new DirectoryDuty({
+    this.directoryReader = new DirectoryDuty({
       directory: outside.directory,
       backends: this.backends,
       peers: this.peers,
@@ -180,7 +180,7 @@
     this.status = this.makeStatusPorts();
   }
 
-  /** Opens the ports and follows the platform. */
+  /** Opens the ports and starts to watch the platform. */
   start(): Promise<void> {
     this.starting = this.open();
     return this.starting;
@@ -194,8 +194,8 @@
     outside.directory.start({
       onConfiguration: (configuration, source) => this.configure(configuration, source),
       onBackends: (list) => {
-        this.knowsBackends = true;
-        this.directoryDuty.takeList(list);
+        this.hasBackendList = true;
+        this.directoryReader.takeList(list);
       },
       onConfirmed: (version, askedAt) => this.proofs.confirmed(version, askedAt),
     });
@@ -211,8 +211,8 @@
   }
 
   /**
-   * Ends without cutting a request, as far as the time for a stop allows. Asked again, it waits for the same end:
-   * a second signal to stop must not end the process under requests that the first one lets finish.
+   * Stops gracefully: requests in flight may complete within the time for a stop. A further call waits for the same drain,
+   * because a second stop signal must not end the process while requests that the first one lets complete are in flight.
    */
   drain(): Promise<void> {
     this.draining ??= this.finish();
@@ -220,33 +220,33 @@
   }
 
   private async finish(): Promise<void> {
-    const begun = steadyNow();
-    this.drainingSince = begun;
+    const drainStart = steadyNow();
+    this.drainingSince = drainStart;
     const { logger } = this.outside;
     logger.info('draining', { unfinished: this.context.exchanges.size });
-    // What a start under way still opens would be left open, and its entry in the list of daemons kept.
+    // A start in progress would leave its ports open and this daemon's entry in the list of daemons.
     await this.starting;
     this.duties.stop('the daemon stops');
     this.shares.leave();
     this.peers.leave();
     await this.members.leave();
-    const limit = begun + this.settings.bounds.stopSeconds * 1_000 - STOP_MARGIN_MS;
-    while (steadyNow() < limit && !this.isDrained(begun)) await sleep(50);
+    const limit = drainStart + this.settings.bounds.stopSeconds * 1_000 - STOP_MARGIN_MS;
+    while (steadyNow() < limit && !this.isDrained(drainStart)) await sleep(50);
     for (const exchange of [...this.context.exchanges]) exchange.interrupt();
     await sleep(50);
     this.stop();
-    logger.info('stopped', { milliseconds: Math.round(steadyNow() - begun) });
+    logger.info('stopped', { milliseconds: Math.round(steadyNow() - drainStart) });
   }
 
-  private isDrained(begun: number): boolean {
-    if (steadyNow() - begun < ENTRY_NOTICES_MS) return false;
-    // Node takes a connection whose answer is written, but not read, for one that rests.
+  private isDrained(drainStart: number): boolean {
+    if (steadyNow() - drainStart < BALANCER_DELAY_MS) return false;
+    // Node treats a connection as idle once its answer is written, although the caller has not read it yet.
     if (this.context.answers.unreadCallers > 0) return false;
     this.front.closeIdle();
     return this.context.exchanges.size === 0;
   }
 
-  /** Closes all ports at once. */
+  /** Closes all ports immediately. */
   stop(): void {
     if (this.stopped) return;
     this.stopped = true;
@@ -289,7 +289,7 @@
       hasEnded: (address) => this.members.hasEnded(address),
       tenantLimit: (name) => this.admission.tenant(name)?.limit,
       areTenantsLimited: () => this.admission.needsKeys,
-      onChange: () => this.scheduleLook(),
+      onChange: () => this.scheduleRecheck(),
     });
   }
 
@@ -313,7 +313,7 @@
       logger,
       metrics,
       listed: (backend) => this.backends.get(backend),
-      onCondemned: () => this.scheduleLook(),
+      onCondemned: () => this.scheduleRecheck(),
     });
   }
 
@@ -327,7 +327,7 @@
     };
   }
 
-  private makeLeavingNews(): LeavingNews {
+  private makeLeavingNotices(): LeavingNews {
     return new LeavingNews({
       directory: this.backends,
       logger: this.outside.logger,
@@ -349,7 +349,7 @@
       onNewOwner: (service, now) => {
         if (this.settings.policies.recallDemand) this.context.tracker.recall(service, now);
       },
-      onApplied: () => this.scheduleLook(),
+      onApplied: () => this.scheduleRecheck(),
     });
   }
 
@@ -392,18 +392,18 @@
         metrics,
       }),
       exchanges: new Set<RequestExchange>(),
-      backendsAgeMs: () => this.directoryDuty.knowledgeAgeMs(),
+      backendsAgeMs: () => this.directoryReader.knowledgeAgeMs(),
       budgetOf: (service) => this.budgetOf(service),
       budgetParts: () => 1 / this.shares.ownShare(leaseNow()),
-      noteCaller: (route, deadlineMs) => this.noteCaller(route, deadlineMs),
+      noteCaller: (route, deadlineMs) => this.recordCallerDeadline(route, deadlineMs),
       demandUrgent: (service) => this.reportDemand(service),
-      lookAgain: () => this.scheduleLook(),
+      lookAgain: () => this.scheduleRecheck(),
       isDraining: () => this.drainingSince !== undefined,
       refusesRequests: () => this.refusesRequests(),
     };
   }
 
-  private noteCaller(route: string, deadlineMs: number | undefined): boolean {
+  private recordCallerDeadline(route: string, deadlineMs: number | undefined): boolean {
     if (deadlineMs === undefined || !this.settings.policies.keepReturningCallers) return false;
     const deadlines = this.callerDeadlines.get(route) ?? new CallerDeadlines();
     this.callerDeadlines.set(route, deadlines);
@@ -437,18 +437,18 @@
       routes: configuration.routes.length,
       services: configuration.services.length,
     });
-    this.directoryDuty.configurationChanged();
-    this.scheduleLook();
+    this.directoryReader.configurationChanged();
+    this.scheduleRecheck();
   }
 
   private backendsChanged(): void {
     for (const restart of this.backends.takeRestarts()) forgetEarlierStart(this.context, restart);
     this.context.health.keepOnly(new Set(this.backends.all().map((backend) => backend.id)));
     this.duties.backendsChanged();
-    this.scheduleLook();
+    this.scheduleRecheck();
   }
 
-  /** One line for all changes of a period: at a start every daemon hears of every other. */
+  /** Logs one line for all changes of a period, because a starting daemon discovers all others at about the same time. */
   private logMembers(): void {
     if (!this.membersHaveChanged) return;
     this.membersHaveChanged = false;
@@ -465,20 +465,20 @@
     this.slots?.tick();
     this.crashes.tick();
     this.leavings.tick();
-    if (now - this.lastDemand < DEMAND_PERIOD_MS) return;
-    this.lastDemand = now;
+    if (now - this.lastReport < DEMAND_PERIOD_MS) return;
+    this.lastReport = now;
     this.logMembers();
-    this.directoryDuty.tick();
+    this.directoryReader.tick();
     this.reportAll(now);
   }
 
-  /** Reports what has changed, and all in time before the owner takes this daemon for silent. */
+  /** Reports changed demand, and periodically all demand, before the owner considers this daemon's reports outdated. */
   private reportAll(now: number): void {
     const { tracker } = this.context;
-    const isRepeated = now - this.lastRepeated >= DEMAND_REPEAT_MS;
-    if (isRepeated) this.lastRepeated = now;
+    const isFullReport = now - this.lastFullReport >= DEMAND_REPEAT_MS;
+    if (isFullReport) this.lastFullReport = now;
     for (const service of tracker.activeServices()) {
-      if (isRepeated || tracker.hasChanged(service)) this.reportDemand(service);
+      if (isFullReport || tracker.hasChanged(service)) this.reportDemand(service);
     }
   }
 
@@ -505,7 +505,7 @@
       this.configurations.hearVersion(from, body.value.configurationVersion);
     }
     if (body.case === 'directoryNews') {
-      this.directoryDuty.hear(from, body.value);
+      this.directoryReader.hear(from, body.value);
       this.configurations.hearVersion(from, body.value.configurationVersion);
     }
     if (body.case === 'servicePlacement') {
@@ -517,23 +517,23 @@
     if (body.case === 'placementRequest') this.placements.answerRequest(from, body.value.service);
   }
 
-  /** Waiting requests look again, once for all changes of one turn. */
-  private scheduleLook(): void {
-    if (this.lookScheduled) return;
-    this.lookScheduled = true;
+  /** Lets waiting requests check for a backend again, once for all changes in one turn of the event loop. */
+  private scheduleRecheck(): void {
+    if (this.recheckScheduled) return;
+    this.recheckScheduled = true;
     setImmediate(() => {
-      this.lookScheduled = false;
+      this.recheckScheduled = false;
       for (const exchange of [...this.context.exchanges]) exchange.look();
     });
   }
 
-  /** A request taken long after a stop was asked for might be cut at its end. */
+  /** Whether to refuse new requests: one accepted late in a drain might be interrupted at the end of it. */
   private refusesRequests(): boolean {
-    return steadyNow() - (this.drainingSince ?? Infinity) >= ENTRY_NOTICES_MS;
+    return steadyNow() - (this.drainingSince ?? Infinity) >= BALANCER_DELAY_MS;
   }
 
   private isReady(): boolean {
-    return this.drainingSince === undefined && this.routing !== undefined && this.knowsBackends;
+    return this.drainingSince === undefined && this.routing !== undefined && this.hasBackendList;
   }
 
   private refreshMetrics(): void {
--- a/src/gateway/owner-record.ts
+++ b/src/gateway/owner-record.ts
@@ -1,18 +1,18 @@
-/** The record that names the owner of a service. */
+/** The stored record that names the owner of a service. */
 
-/** Who owns a service. */
+/** A claim of the ownership of a service. */
 export interface OwnerRecord {
   /** Peer address of the owner. */
   readonly address: string;
-  /** Start of the owner's process; undefined if the owner is known only by its own word. */
+  /** Incarnation of the owner's process; undefined if the owner is known only from its own announcement. */
   readonly incarnation: number | undefined;
-  /** Fencing token; rises by one with each claim. */
+  /** Fencing token; increases with each claim. */
   readonly epoch: number;
-  /** Tells one claim from another, to settle lost answers. */
+  /** Identifies the claim, so that a daemon whose write got no response can find out whether it was stored. */
   readonly claim: string;
 }
 
-/** Reads a record; undefined if there is none or it is not understood. */
+/** Parses a stored record; undefined if there is none or it is invalid. */
 export function ownerRecord(value: unknown): OwnerRecord | undefined {
   if (typeof value !== 'object' || value === null) return undefined;
   const { address, incarnation, epoch, claim } = value as Partial<OwnerRecord>;
--- a/src/gateway/ownership-proofs.ts
+++ b/src/gateway/ownership-proofs.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the lease of an owner whose backends do not check epochs: reads the owner's record again and
- * again, each time with a new question, so that one lost answer costs nothing.
+ * Renews the lease of an owner whose backends do not check epochs. Reads the owner's record
+ * periodically, each time with a new request, so that the loss of one response does not end the lease.
  */
 import type { Logger } from '../common/logger.js';
 import type { OwnershipLease } from '../core/ownership-lease.js';
@@ -9,10 +9,10 @@
 import { leaseNow } from '../common/lease-clock.js';
 import { steadyNow } from './steady-clock.js';
 
-/** Between two readings of the record: a lease outlasts two that are not answered. */
+/** Interval between reads of the record, in milliseconds; a lease survives two reads without a response. */
 const PROOF_PERIOD_MS = 600;
-/** Readings under way at once, of a store that does not answer. */
-const MOST_OPEN_READINGS = 3;
+/** Maximum number of concurrent reads while the store does not respond. */
+const MAX_CONCURRENT_READS = 3;
 
 /** Options of {@link OwnershipProofs}. */
 export interface OwnershipProofsOptions {
@@ -20,56 +20,57 @@
   readonly store: RecordStore;
   readonly logger: Logger;
   readonly lease: OwnershipLease;
-  /** The record names another owner. */
+  /** Called when the record names another owner or is missing. */
   readonly onOtherOwner: () => void;
 }
 
-/** Asks for the proofs of one ownership at a time. */
+/** Requests proofs that this daemon still owns the service, for one claim at a time. */
 export class OwnershipProofs {
   /** The claim by which this daemon owns the service. */
   private claim: string | undefined;
-  private askedAt = -Infinity;
-  private readings = 0;
-  /** Whether the lease held at the last look. */
-  private held = false;
+  private lastReadAt = -Infinity;
+  private readsInFlight = 0;
+  /** Whether the lease allowed orders at the last tick. */
+  private wasHeld = false;
 
   constructor(private readonly options: OwnershipProofsOptions) {}
 
-  /** Begins to prove an ownership; an answer for a former one counts no more. */
+  /** Starts to prove the ownership under a claim; responses for an earlier claim are ignored. */
   begin(claim: string): void {
     this.claim = claim;
-    this.askedAt = leaseNow();
-    this.held = false;
+    this.lastReadAt = leaseNow();
+    this.wasHeld = false;
   }
 
   end(): void {
     this.claim = undefined;
   }
 
-  /** Looks at the clock; call it often. */
+  /** Starts a read of the record when one is due; must be called frequently. */
   tick(): void {
     if (this.claim === undefined) return;
     const now = leaseNow();
-    this.logChange(now);
-    if (now - this.askedAt < PROOF_PERIOD_MS || this.readings >= MOST_OPEN_READINGS) return;
-    this.askedAt = now;
-    this.readings += 1;
-    void this.read(this.claim, now).finally(() => (this.readings -= 1));
+    this.logLeaseChange(now);
+    if (now - this.lastReadAt < PROOF_PERIOD_MS || this.readsInFlight >= MAX_CONCURRENT_READS)
+      return;
+    this.lastReadAt = now;
+    this.readsInFlight += 1;
+    void this.read(this.claim, now).finally(() => (this.readsInFlight -= 1));
   }
 
   private async read(claim: string, askedAt: number): Promise<void> {
     const { store, service, lease, onOtherOwner } = this.options;
-    const answer = await store.read('owners', service);
-    if (answer.isErr || claim !== this.claim) return;
-    if (ownerRecord(answer.value?.value)?.claim === claim) return lease.addProof(askedAt);
+    const response = await store.read('owners', service);
+    if (response.isErr || claim !== this.claim) return;
+    if (ownerRecord(response.value?.value)?.claim === claim) return lease.addProof(askedAt);
     onOtherOwner();
   }
 
-  private logChange(now: number): void {
+  private logLeaseChange(now: number): void {
     const { service, logger, lease } = this.options;
     const holds = lease.allowsOrder(now, steadyNow());
-    if (holds === this.held) return;
-    this.held = holds;
+    if (holds === this.wasHeld) return;
+    this.wasHeld = holds;
     const event = holds ? 'ownership_lease_begun' : 'ownership_lease_lost';
     logger.warn(event, { service, proofAgeMs: Math.round(lease.ageMs(now)) });
   }
--- a/src/gateway/ownership.ts
+++ b/src/gateway/ownership.ts
@@ -1,9 +1,9 @@
 /**
- * Which daemon gives orders to the backends of a service. The claim is one
- * record, replaced only at the revision that was read, with an epoch that rises
- * and fences the orders. Safety rests on the epochs, or on a lease where
- * backends do not check these, and on the sequences of the orders; the other rules
- * here only keep owners from taking turns.
+ * Decides which daemon sends orders to the backends of a service. A daemon claims the
+ * service with a compare-and-swap on one record. Each claim increases the epoch, which
+ * fences the orders. Safety depends on the epochs, or on a lease if backends do not check
+ * epochs, and on the sequence numbers of the orders. The other rules in this file only
+ * prevent daemons from claiming the service from each other repeatedly.
  */
 import { faultText, type Logger } from '../common/logger.js';
 import { rankCandidates } from '../common/rendezvous.js';
@@ -18,45 +18,45 @@
 import { leaseNow } from '../common/lease-clock.js';
 import { steadyNow } from './steady-clock.js';
 
-/** A gap between two looks at the clock that means that the process stood still. */
-const STANDSTILL_MS = 1_000;
-/** A daemon looks around so long before it claims anything. */
-const SETTLE_MS = 700;
-/** Between two readings of the record while it names an owner that is not live. */
+/** Interval between two ticks above which the process counts as suspended, in milliseconds. */
+const SUSPENDED_AFTER_MS = 1_000;
+/** Time for which a daemon discovers the others before it claims a service, in milliseconds. */
+const DISCOVERY_MS = 700;
+/** Interval between reads of the record while it names an owner that is not live, in milliseconds. */
 const CLAIM_PERIOD_MS = 300;
 
-/** A process that starts again does so at least so long after its former start. */
-const RESTART_MS = 150;
-/** An owner that was heard so lately lives, whatever the membership says. */
-const HEARD_LATELY_MS = 1_200;
+/** Minimum time between two starts of a process, in milliseconds. */
+const MIN_RESTART_MS = 150;
+/** Age in milliseconds below which an owner's last announcement makes it count as live regardless of the membership. */
+const RECENT_ANNOUNCEMENT_MS = 1_200;
 
 /**
- * An owner that others are to follow leaves the service to them for so long. Without that two daemons
- * that do not hear each other would claim it from each other without end, and each claim costs a
- * hand-over.
+ * Time for which an owner that yields makes no claim, in milliseconds. Otherwise two daemons that cannot
+ * reach each other would claim the service from each other endlessly, and each claim costs a handover.
  */
-const YIELD_MS = 10_000;
+const CLAIM_PAUSE_MS = 10_000;
 /**
- * An owner without a proof gives up once the platform has answered others for so long: they can do what
- * it cannot. Two of its own readings would have been answered by then.
+ * Time in milliseconds after which an owner without a proof yields, while the platform responds to other daemons:
+ * they can do the work that it cannot. Two of its own reads would have got a response in this time.
  */
-const UNPROVEN_MS = ORDER_LEASE_MS + 500;
-/** Daemons, by rank, that claim a service, and how much later each does than the one before it. */
-const MOST_SUCCESSORS = 4;
+const YIELD_UNPROVEN_AFTER_MS = ORDER_LEASE_MS + 500;
+/** Number of daemons, by rank, that may claim a service. */
+const MAX_SUCCESSORS = 4;
+/** Additional time for which each further successor waits before it claims, in milliseconds. */
 const SUCCESSOR_STEP_MS = 1_000;
 
 /**
- * An owner that lives, by the membership, but was not heard for so long has given
- * the service up, or is cut off from this daemon.
+ * Time in milliseconds without an announcement after which an owner that is alive according to the membership
+ * is taken to have given up the service or to be unable to reach this daemon.
  */
 const OWNER_SILENT_MS = 2_500;
 
-/** What ownership needs to know of the other daemons. */
+/** What ownership needs to know about the other daemons. */
 export interface OwnershipPeers {
   /** This daemon's peer address. */
   readonly address: string;
   readonly membership: Pick<Membership, 'ownView' | 'all'>;
-  /** Daemons that may be given duties, this one among them. */
+  /** Daemons that may own services, including this one. */
   live(): readonly MemberView[];
 }
 
@@ -66,48 +66,48 @@
   readonly peers: OwnershipPeers;
   readonly store: RecordStore;
   readonly logger: Logger;
-  /** Backends refuse orders of a lower epoch; else an owner needs a lease. */
+  /** Whether backends refuse orders with a lower epoch; if not, an owner needs a lease. */
   readonly backendsCheckEpochs: boolean;
-  /** Whether a daemon is heard that the platform answers. */
+  /** Whether this daemon receives messages from another one that the platform responds to. */
   readonly platformAnswersOthers: () => boolean;
   /** Daemons that the platform's store lists. */
   readonly listed: () => readonly DutyMember[];
-  /** This daemon owns the service from now on, or no longer. */
+  /** Called with the epoch when this daemon becomes the owner, and with undefined when it no longer is. */
   readonly onChange: (epoch: number | undefined) => void;
 }
 
-/** This daemon's part in the ownership of one service. */
+/** Claims, keeps and gives up the ownership of one service for this daemon. */
 export class Ownership {
-  /** The epoch under which this daemon owns the service. */
+  /** The epoch under which this daemon owns the service; undefined if it does not. */
   epoch: number | undefined;
-  /** The owner's record as last read or heard of. */
+  /** The owner's record as last read or announced. */
   private record: OwnerRecord | undefined;
   private revision: StorePosition | undefined;
-  private busy = false;
+  private isClaiming = false;
   private lastTick = steadyNow();
   /** This daemon claims nothing before this steady time. */
-  private claimsFrom = steadyNow() + SETTLE_MS;
+  private claimsAllowedAt = steadyNow() + DISCOVERY_MS;
   private lastRead = -Infinity;
-  private lastHeard = -Infinity;
-  /** Of all that were heard of, read or claimed. */
+  private lastAnnouncementAt = -Infinity;
+  /** Highest epoch that was announced, read or claimed. */
   private highestEpoch = 0;
-  /** Of the store, as it was last looked at; undefined before that. */
+  /** Era of the store at the last tick; undefined before the store's first response. */
   private knownEra: number | undefined;
-  /** When the store was first seen to have come back from a copy. */
+  /** Steady time at which the last restore of the store from a backup was detected. */
   private restoredAt = -Infinity;
-  /** Highest epoch of a former owner that was heard. */
-  private formerEpochHeard = 0;
-  /** Since when this daemon has known its record's owner. */
-  private knownSince = -Infinity;
-  /** Since when this process has looked around without standing still. */
-  private awakeSince = steadyNow();
-  /** Since when this owner has no proof while the platform answers others. */
-  private passedOverSince = Infinity;
+  /** Highest epoch of a former owner whose announcement was logged. */
+  private formerEpochLogged = 0;
+  /** Steady time since which this daemon has known the owner in its record. */
+  private ownerKnownSince = -Infinity;
+  /** Steady time since which this process has run without a suspension. */
+  private runningSince = steadyNow();
+  /** Steady time since which this owner has had no proof while the platform responds to others. */
+  private unprovenSince = Infinity;
   /**
-   * The epoch that this daemon has given up because it saw too few others, as long as no higher one is known. The
-   * others wait for the owner of the record, so nobody owns the service until it claims again.
+   * The epoch that this daemon gave up because it reached too few others; undefined once a higher one is known. The
+   * others wait for the owner in the record, so the service has no owner until this daemon claims it again.
    */
-  private epochOutOfSight: number | undefined;
+  private resignedEpoch: number | undefined;
   private stopped = false;
   private readonly lease = new OwnershipLease();
   private readonly proofs: OwnershipProofs;
@@ -119,7 +119,7 @@
       store,
       logger,
       lease: this.lease,
-      onOtherOwner: () => this.recordLost(),
+      onOtherOwner: () => this.handleLostRecord(),
     });
   }
 
@@ -128,9 +128,9 @@
     return this.record?.address;
   }
 
-  /** Whether this daemon owns the service now: the process must not have stood still since its last look. */
+  /** Whether this daemon owns the service now. Gives up the ownership if the process was suspended since the last tick. */
   isOwner(): boolean {
-    this.noticeStandstill(steadyNow());
+    this.detectSuspension(steadyNow());
     return this.epoch !== undefined;
   }
 
@@ -139,100 +139,100 @@
     return this.orderDelayMs() === 0;
   }
 
-  /** Milliseconds until an order may be sent; infinite if that cannot be told. */
+  /** Milliseconds until an order may be sent; infinite if unknown. */
   orderDelayMs(): number {
     if (!this.isOwner()) return Infinity;
-    // By the steady clock a lease would outlast its end on a machine that was suspended.
+    // The steady clock may stop while the machine is suspended, which would extend the lease.
     return this.options.backendsCheckEpochs ? 0 : this.lease.orderDelayMs(leaseNow(), steadyNow());
   }
 
-  /** Looks at clock and members; call it often. */
+  /** Checks the clock and the membership, and claims or gives up the service; must be called frequently. */
   tick(): void {
     const now = steadyNow();
-    this.noticeStandstill(now);
-    this.noticeRestore(now);
+    this.detectSuspension(now);
+    this.detectRestore(now);
     this.lastTick = now;
     if (this.epoch !== undefined) {
-      if (!this.seesEnough()) this.loseSight();
-      if (!this.options.backendsCheckEpochs) this.tendLease(now);
+      if (!this.reachesEnough()) this.resignInMinority();
+      if (!this.options.backendsCheckEpochs) this.maintainLease(now);
       return;
     }
     if (!this.mayClaim(now)) return;
-    if (now - this.lastHeard < HEARD_LATELY_MS && !this.ownerHasLeft()) return;
+    if (now - this.lastAnnouncementAt < RECENT_ANNOUNCEMENT_MS && !this.ownerHasLeft()) return;
     if (!this.isSuccessor() || this.ownerIsLive()) return;
     this.lastRead = now;
-    this.busy = true;
+    this.isClaiming = true;
     this.readAndClaim()
       .catch((fault: unknown) => {
         this.options.logger.error('claim_fault', { reason: faultText(fault) });
       })
-      .finally(() => (this.busy = false));
+      .finally(() => (this.isClaiming = false));
   }
 
-  private noticeRestore(now: number): void {
+  private detectRestore(now: number): void {
     const era = this.options.store.era();
     if (era === undefined) return;
-    const former = this.knownEra ?? era;
+    const previousEra = this.knownEra ?? era;
     this.knownEra = era;
-    if (era <= former) return;
+    if (era <= previousEra) return;
     this.restoredAt = now;
     const { service, logger } = this.options;
     logger.warn('ownership_store_restored', { service, era, epoch: this.epoch });
   }
 
-  private loseSight(): void {
+  private resignInMinority(): void {
     const { epoch } = this;
     this.giveUp('sees too few daemons');
-    this.epochOutOfSight = epoch;
+    this.resignedEpoch = epoch;
   }
 
   private mayClaim(now: number): boolean {
-    if (this.stopped || this.busy) return false;
-    return now >= this.claimsFrom && now - this.lastRead >= CLAIM_PERIOD_MS;
+    if (this.stopped || this.isClaiming) return false;
+    return now >= this.claimsAllowedAt && now - this.lastRead >= CLAIM_PERIOD_MS;
   }
 
-  private tendLease(now: number): void {
+  private maintainLease(now: number): void {
     this.proofs.tick();
     if (this.lease.ageMs(leaseNow()) <= ORDER_LEASE_MS || !this.options.platformAnswersOthers()) {
-      this.passedOverSince = now;
-    } else if (now - this.passedOverSince > UNPROVEN_MS) {
-      this.yieldTo('the platform answers others, and not this daemon');
+      this.unprovenSince = now;
+    } else if (now - this.unprovenSince > YIELD_UNPROVEN_AFTER_MS) {
+      this.yieldOwnership('the platform responds to other daemons but not to this one');
     }
   }
 
-  /** Another daemon says that it owns the service. */
+  /** Handles another daemon's announcement that it owns the service. */
   hearOwner(address: string, epoch: number): void {
-    const known = this.epochOutOfSight ?? this.record?.epoch ?? 0;
+    const known = this.resignedEpoch ?? this.record?.epoch ?? 0;
     this.highestEpoch = Math.max(this.highestEpoch, epoch);
-    if (epoch < known) return this.noteFormerOwner(address, epoch, known);
+    if (epoch < known) return this.logFormerOwner(address, epoch, known);
     if (this.epoch !== undefined && epoch > this.epoch) this.giveUp('a higher epoch exists');
     if (this.epoch === epoch) return;
-    this.lastHeard = steadyNow();
+    this.lastAnnouncementAt = steadyNow();
     if (epoch === this.record?.epoch && this.record.incarnation !== undefined) return;
-    this.learn({ address, epoch, incarnation: undefined, claim: '' });
+    this.setRecord({ address, epoch, incarnation: undefined, claim: '' });
   }
 
-  /** A former owner still speaks as one: on-call sees who heard it, once for each epoch. */
-  private noteFormerOwner(address: string, epoch: number, known: number): void {
-    if (epoch <= this.formerEpochHeard) return;
-    this.formerEpochHeard = epoch;
+  /** Logs, once per epoch, that a former owner still announces itself as the owner. */
+  private logFormerOwner(address: string, epoch: number, known: number): void {
+    if (epoch <= this.formerEpochLogged) return;
+    this.formerEpochLogged = epoch;
     const { service, logger } = this.options;
     logger.warn('former_owner_heard', { service, address, epoch, known });
   }
 
-  /** Takes a record; an owner that is new to this daemon gets time to be heard. */
-  private learn(record: OwnerRecord | undefined): void {
+  /** Sets the known record. An owner that is new to this daemon gets time to announce itself before it counts as silent. */
+  private setRecord(record: OwnerRecord | undefined): void {
     const known = this.record;
     this.highestEpoch = Math.max(this.highestEpoch, record?.epoch ?? 0);
     const isKnown = known?.address === record?.address && known?.epoch === record?.epoch;
-    if (!isKnown) this.knownSince = steadyNow();
+    if (!isKnown) this.ownerKnownSince = steadyNow();
     this.record = record;
-    if (record === undefined || record.epoch > (this.epochOutOfSight ?? 0)) {
-      this.epochOutOfSight = undefined;
+    if (record === undefined || record.epoch > (this.resignedEpoch ?? 0)) {
+      this.resignedEpoch = undefined;
     }
   }
 
-  /** Ends the ownership; another daemon may claim. */
+  /** Ends the ownership; any daemon, including this one, may claim the service again. */
   giveUp(reason: string): void {
     if (this.epoch === undefined) return;
     const { service, logger } = this.options;
@@ -243,80 +243,80 @@
     this.options.onChange(undefined);
   }
 
-  /** Ends the ownership, and claims nothing any more: also a claim that is answered later is not taken up. */
+  /** Ends the ownership and makes no further claims; a claim whose response arrives later has no effect. */
   stop(reason: string): void {
     this.stopped = true;
     this.giveUp(reason);
   }
 
-  /** Ends the ownership in favour of another daemon, perhaps one that this daemon does not hear. */
-  private yieldTo(reason: string): void {
+  /** Ends the ownership in favour of another daemon, which may be one that this daemon cannot reach. */
+  private yieldOwnership(reason: string): void {
     this.giveUp(reason);
-    this.claimsFrom = steadyNow() + YIELD_MS;
+    this.claimsAllowedAt = steadyNow() + CLAIM_PAUSE_MS;
   }
 
-  /** Its record names another owner, or is gone: the copy may say so alone, and no other daemon goes by it. */
-  private recordLost(): void {
+  /** Handles a record that names another owner or is missing. Shortly after a restore the backup alone may cause this, while no other daemon acts as the owner, so this daemon does not yield. */
+  private handleLostRecord(): void {
     const isRestored = steadyNow() - this.restoredAt < TAKEOVER_DELAY_MS;
-    if (isRestored) this.giveUp('the store came back from a copy');
-    else this.yieldTo('its record names another owner');
+    if (isRestored) this.giveUp('the store was restored from a backup');
+    else this.yieldOwnership('its record names another owner');
   }
 
-  private noticeStandstill(now: number): void {
+  private detectSuspension(now: number): void {
     const gap = now - this.lastTick;
-    if (gap <= STANDSTILL_MS) return;
+    if (gap <= SUSPENDED_AFTER_MS) return;
     this.lastTick = now;
     this.options.logger.warn('standstill', { milliseconds: Math.round(gap) });
-    this.claimsFrom = now + SETTLE_MS;
-    this.awakeSince = now;
+    this.claimsAllowedAt = now + DISCOVERY_MS;
+    this.runningSince = now;
     this.record = undefined;
-    this.epochOutOfSight = undefined;
-    this.giveUp('the process stood still');
+    this.resignedEpoch = undefined;
+    this.giveUp('the process was suspended');
   }
 
-  private seesEnough(): boolean {
+  private reachesEnough(): boolean {
     return reachesHalf(this.options.peers.live(), this.options.listed());
   }
 
-  /** The first in rank may be one that cannot claim: the next ones claim after a longer silence. */
+  /** Whether this daemon may claim the service. The first in rank may be unable to claim, so the next ones claim after a longer silence of the owner. */
   private isSuccessor(): boolean {
     const { peers, service } = this.options;
     const candidates = highCapacityMembers(peers.live()).map((member) => member.address);
     const position = rankCandidates(service, candidates).indexOf(peers.address);
-    if (!this.seesEnough() || position < 0) return false;
-    if (this.epochOutOfSight !== undefined) return true;
-    if (position >= MOST_SUCCESSORS) return false;
-    return position === 0 || this.silentMs() > OWNER_SILENT_MS + position * SUCCESSOR_STEP_MS;
+    if (!this.reachesEnough() || position < 0) return false;
+    if (this.resignedEpoch !== undefined) return true;
+    if (position >= MAX_SUCCESSORS) return false;
+    return position === 0 || this.ownerSilentMs() > OWNER_SILENT_MS + position * SUCCESSOR_STEP_MS;
   }
 
   private ownerIsLive(): boolean {
     const { peers } = this.options;
     const record = this.record;
     if (record === undefined || record.address === peers.address) return false;
-    if (this.isSilent()) return false;
+    if (this.isOwnerSilent()) return false;
     const owner = peers.live().find((member) => member.address === record.address);
     if (owner === undefined) return false;
     if (record.incarnation === undefined) return true;
-    // A member raises its incarnation by one to refute a suspicion; a new process starts later.
-    return owner.incarnation - record.incarnation < RESTART_MS;
+    // A member increases its incarnation by one to refute a suspicion; a new process has a larger one, from its later start time.
+    return owner.incarnation - record.incarnation < MIN_RESTART_MS;
   }
 
-  /** Safe: the claim raises the epoch, which ends the orders of an owner that still believes itself one, or its lease does. */
-  private isSilent(): boolean {
-    return this.silentMs() > OWNER_SILENT_MS;
+  /** A claim from a silent owner is safe: the higher epoch, or the end of its lease, stops the orders of an owner that does not know that it was replaced. */
+  private isOwnerSilent(): boolean {
+    return this.ownerSilentMs() > OWNER_SILENT_MS;
   }
 
-  /** Milliseconds since an owner was heard, or could have been. */
-  private silentMs(): number {
-    return steadyNow() - Math.max(this.lastHeard, this.knownSince, this.awakeSince);
+  /** Milliseconds since an owner's last announcement, or since one could first have been received. */
+  private ownerSilentMs(): number {
+    return steadyNow() - Math.max(this.lastAnnouncementAt, this.ownerKnownSince, this.runningSince);
   }
 
-  /** Whether the owner has said itself that it leaves. */
+  /** Whether the owner has announced that it is leaving. */
   private ownerHasLeft(): boolean {
     return this.ownerView()?.state === 'leaving';
   }
 
-  /** The record's owner as membership sees it: the process that the record names, or a later one. */
+  /** Membership state of the owner in the record: of the process that the record names or a later one. */
   private ownerView(): MemberView | undefined {
     const { record } = this;
     const view = this.options.peers.membership
@@ -334,7 +334,7 @@
       return;
     }
     this.revision = read.value?.revision;
-    this.learn(ownerRecord(read.value?.value));
+    this.setRecord(ownerRecord(read.value?.value));
     if (this.ownerIsLive() || !this.isSuccessor()) return;
     await this.claim();
   }
@@ -351,8 +351,8 @@
     const askedAt = leaseNow();
     const era = store.era();
     const written = await store.write('owners', service, record, this.revision);
-    const isWritten = written.isOk || (await this.isOurs(claim, written.error.type));
-    // A claim that was under way while the store came back may stand on a state that was not read.
+    const isWritten = written.isOk || (await this.isClaimStored(claim, written.error.type));
+    // A claim in flight while the store was restored may have replaced a state that was never read.
     const won = isWritten && store.era() === era;
     logger.info('ownership_claimed', {
       service,
@@ -369,49 +369,52 @@
     this.record = record;
     this.highestEpoch = epoch;
     this.epoch = epoch;
-    this.epochOutOfSight = undefined;
+    this.resignedEpoch = undefined;
     this.options.onChange(epoch);
   }
 
   /**
-   * Above all epochs that are known, and above the place of the record that it replaces: also above those of earlier eras that are
-   * lost, and of later claims whose record was replaced by a write of a former era.
+   * The epoch for the next claim: higher than all known epochs and than the store position of the record that it replaces. It is
+   * therefore also higher than lost epochs of earlier eras, and than those of later claims whose record a write of a former era replaced.
    */
   private nextEpoch(): number {
     const known = Math.max(this.record?.epoch ?? 0, this.highestEpoch);
     return Math.max(known, this.recordPosition()) + 1;
   }
 
-  /** Place of the last write of the owner's record; 0 where the store names no era, for it forgets nothing. */
+  /** Store position of the last write of the owner's record; 0 if the store reports no era, because such a store loses no writes. */
   private recordPosition(): StorePosition {
     const era = this.options.store.era() ?? 0;
     return era === 0 ? 0 : Math.max(positionOf(era, 0), this.revision ?? 0);
   }
 
-  /** Why the owner of the record is taken for one no longer. */
+  /** Why the owner in the record is no longer considered the owner; for the log. */
   private causeOfClaim(): string {
-    if (this.record === undefined) return 'there was no owner';
-    if (this.record.address === this.options.peers.address) return 'it was this daemon';
+    if (this.record === undefined) return 'no owner is known';
+    if (this.record.address === this.options.peers.address)
+      return 'the recorded owner is this daemon';
     const view = this.ownerView();
-    if (view?.state === 'leaving') return 'it leaves';
-    if (view === undefined || view.state === 'dead') return 'it is not live';
-    return this.isSilent() ? 'it lives but is silent' : 'its process has started again';
+    if (view?.state === 'leaving') return 'the owner is leaving';
+    if (view === undefined || view.state === 'dead') return 'the owner is not live';
+    return this.isOwnerSilent()
+      ? 'the owner is alive but silent'
+      : 'the owner process has restarted';
   }
 
   /**
-   * Whether all former owners are known to have given their last orders: the last one stops them before
-   * it says that it leaves, and it was known here for so long that those before it have no lease. A
-   * suspicion, or a process that seems to have started again, is no such knowledge.
+   * Whether all former owners are known to have sent their last orders. The last owner stops its orders before
+   * it announces that it is leaving, and this daemon has known it long enough for the leases of earlier owners to
+   * have expired. A suspicion, or an apparent restart of the owner's process, does not prove this.
    */
   private formerOwnersHaveStopped(): boolean {
-    // The store may have lost the record of an owner whose lease goes on.
+    // The store may have lost the record of an owner whose lease is still valid.
     if (steadyNow() - this.restoredAt < TAKEOVER_DELAY_MS) return false;
     if (this.record === undefined) return true;
-    return this.ownerHasLeft() && steadyNow() - this.knownSince >= TAKEOVER_DELAY_MS;
+    return this.ownerHasLeft() && steadyNow() - this.ownerKnownSince >= TAKEOVER_DELAY_MS;
   }
 
-  /** After a lost answer the record itself tells whether the claim was written. */
-  private async isOurs(claim: string, failure: string): Promise<boolean> {
+  /** Reads the record to find out whether a claim whose write got no response was stored. */
+  private async isClaimStored(claim: string, failure: string): Promise<boolean> {
     if (failure !== 'unknown') return false;
     const read = await this.options.store.read('owners', this.options.service);
     return read.isOk && ownerRecord(read.value?.value)?.claim === claim;
--- a/src/gateway/placement-exchange.ts
+++ b/src/gateway/placement-exchange.ts
@@ -1,4 +1,4 @@
-/** How a daemon hears where an owner has placed models: from its updates, and from an answer to a question where it missed one. */
+/** Receives where the owner of a service has placed models: from its updates and, after a missed update, from a full update that the daemon requests. */
 import { create } from '@bufbuild/protobuf';
 import type { Logger } from '../common/logger.js';
 import type { BackendDirectory } from '../core/backend-directory.js';
@@ -8,7 +8,7 @@
 import { encodePlacement } from './gateway-codec.js';
 import { steadyNow } from './steady-clock.js';
 
-/** Between two requests for everything that an owner knows. */
+/** Interval between requests for the full placement of a service, in milliseconds. */
 const PLACEMENT_REQUEST_PERIOD_MS = 250;
 
 /** Options of {@link PlacementExchange}. */
@@ -16,32 +16,32 @@
   readonly self: string;
   readonly logger: Logger;
   readonly directory: BackendDirectory;
-  /** Everything that this daemon has placed, if it owns the service. */
+  /** Full placement of the service, if this daemon owns it. */
   readonly everythingOf: (service: string) => PlacementUpdate | undefined;
-  /** Version of the configuration in force, which each update names. */
+  /** Version of the configuration in force; sent with each update. */
   readonly version: () => number;
   readonly send: (to: string, body: PeerBody) => void;
   readonly broadcast: (body: PeerBody) => void;
-  /** Another owner than before places the service's models. */
+  /** Called when a new owner places the service's models. */
   readonly onNewOwner: (service: string, now: number) => void;
   readonly onApplied: () => void;
 }
 
-/** One daemon's part. */
+/** Sends, receives and requests placement updates for one daemon. */
 export class PlacementExchange {
-  /** Steady times of the last requests for everything, by service. */
+  /** Steady times of the last requests for a full update, by service. */
   private readonly requestedAt = new Map<string, number>();
 
   constructor(private readonly options: PlacementExchangeOptions) {}
 
-  /** Tells all daemons of an update of this one, and takes it here. */
+  /** Applies an update of this daemon and broadcasts it to all others. */
   publish(update: PlacementUpdate): void {
     const { self, broadcast, version } = this.options;
     this.hear(self, update);
     broadcast(encodePlacement(update, version()));
   }
 
-  /** An owner has told of an update. */
+  /** Applies an update of an owner. */
   hear(owner: string, update: PlacementUpdate): void {
     const { directory, onNewOwner, onApplied } = this.options;
     const now = steadyNow();
@@ -52,26 +52,26 @@
     if (outcome === 'gap') this.catchUp(owner, update.service, now);
   }
 
-  /** A daemon that has missed an update asks for everything. */
+  /** Sends the full placement to a daemon that has missed an update. */
   answerRequest(from: string, service: string): void {
     const { everythingOf, version, send } = this.options;
-    const everything = everythingOf(service);
-    if (everything === undefined) return;
-    send(from, encodePlacement(everything, version()));
+    const fullUpdate = everythingOf(service);
+    if (fullUpdate === undefined) return;
+    send(from, encodePlacement(fullUpdate, version()));
   }
 
-  /** Changes can't be applied here: takes everything, from the owner in this process or by a question to another. */
+  /** Handles an incremental update that cannot be applied: takes the full placement from the owner in this process or requests it from the owner's daemon. */
   private catchUp(owner: string, service: string, now: number): void {
     const { self, directory, everythingOf, onApplied } = this.options;
-    if (owner !== self) return this.request(owner, service, now);
-    const everything = everythingOf(service);
-    if (everything === undefined) return;
-    directory.applyPlacementUpdate(everything, now);
+    if (owner !== self) return this.requestFullUpdate(owner, service, now);
+    const fullUpdate = everythingOf(service);
+    if (fullUpdate === undefined) return;
+    directory.applyPlacementUpdate(fullUpdate, now);
     onApplied();
   }
 
-  /** An update was missed: the owner tells everything. */
-  private request(owner: string, service: string, now: number): void {
+  /** Requests the full placement from the owner after a missed update. */
+  private requestFullUpdate(owner: string, service: string, now: number): void {
     const { directory, logger, send } = this.options;
     const requestedAt = this.requestedAt.get(service) ?? -Infinity;
     if (now - requestedAt < PLACEMENT_REQUEST_PERIOD_MS) return;
--- a/src/gateway/ports.ts
+++ b/src/gateway/ports.ts
@@ -1,7 +1,7 @@
 /**
- * What the gateway needs from outside: the operator's configuration, the list of
- * backends, records with versions, and backends that take orders and requests.
- * An adapter implements these for one platform; the gateway knows no other names.
+ * Interfaces through which the gateway uses its platform: the operator's configuration,
+ * the list of backends, versioned records, and backends that accept orders and requests.
+ * An adapter implements them for one platform; the gateway contains no platform-specific names.
  */
 import type http from 'node:http';
 import type { Result } from 'true-myth';
@@ -15,56 +15,56 @@
   ServiceConfiguration,
 } from '../core/service-configuration.js';
 
-/** Who told this daemon of a configuration. */
+/** Where a configuration came from: the platform's store or another daemon. */
 export type ConfigurationSource = 'store' | 'peer';
 
-/** Hears what the platform's directory says. */
+/** Receives updates from the platform's directory. */
 export interface DirectoryListener {
-  /** A configuration that is newer than all before. */
+  /** Called with a configuration that is newer than all earlier ones. */
   onConfiguration(configuration: ServiceConfiguration, source: ConfigurationSource): void;
-  /** All backends as they are listed now. */
+  /** Called with the current list of all backends. */
   onBackends(list: BackendList): void;
   /**
-   * The platform had no configuration newer than `version` at `askedAt`, the time of the lease clock at which
-   * it was asked. Its answers that may be late confirm nothing.
+   * Called when the platform has confirmed that it had no configuration newer than `version` at `askedAt`, the time by the
+   * lease clock at which the request was sent. Not called for responses that may be out of date.
    */
   onConfirmed(version: number, askedAt: number): void;
 }
 
-/** How closely the directory is followed. */
+/** How quickly changes of the directory must be noticed. */
 export type DirectoryAttention =
-  /** Each change at once: this daemon gives orders. */
+  /** Each change immediately, because this daemon sends orders to backends. */
   | 'immediate'
-  /** Each change within a fraction of a second: this daemon tells others. */
+  /** Each change within a fraction of a second, because this daemon forwards changes to others. */
   | 'close'
-  /** The same for this daemon alone; all may be alone at once, so it calls a platform in trouble less often. */
+  /** Like `close`, but only for this daemon. All daemons may be in this mode at the same time, so it sends fewer requests to a failing platform. */
   | 'alone'
-  /** Readings may be late by seconds; others tell what must be known at once. */
+  /** Reads may be seconds out of date; other daemons forward urgent changes. */
   | 'relaxed';
 
 /** The platform's configuration and list of backends. */
 export interface PlatformDirectory {
-  /** Reads both and follows their changes until stopped. */
+  /** Reads the configuration and the list of backends and watches both until stopped. */
   start(listener: DirectoryListener): void;
-  /** Chooses between changes at once and cheaper readings that may be late. */
+  /** Selects between immediate notification of changes and cheaper reads that may be out of date. */
   setAttention(attention: DirectoryAttention): void;
-  /** Reads the configuration at once: somebody knows a newer one. */
+  /** Reads the configuration immediately, because another daemon has a newer one. */
   refreshConfiguration(): void;
-  /** Reads the configuration once, to confirm it; true if the platform has answered. */
+  /** Reads the configuration once to confirm that it is current; true if the platform responded. */
   confirmConfiguration(): Promise<boolean>;
-  /** The newest configuration for a peer, in the adapter's own form; undefined if none is known. */
+  /** The newest configuration, in the adapter's own encoding, to send to a peer; undefined if none is known. */
   configurationDocument(): Uint8Array | undefined;
   /**
-   * Milliseconds since the platform last answered readings without delay, of both; infinite while it
-   * does not answer, and where readings may be late.
+   * Milliseconds since the platform last responded without delay to reads of both the configuration and the
+   * list of backends; infinite while it does not respond, and while reads may be out of date.
    */
   readingAgeMs(): number;
-  /** Takes a peer's document if it is newer than what is known; true if it was. */
+  /** Applies a peer's document if it is newer than the known configuration; true if it was. */
   takeConfigurationDocument(document: Uint8Array): boolean;
   stop(): void;
 }
 
-/** A record and the revision at which it was read or written. */
+/** A record with the revision at which it was read or written. */
 export interface StoredRecord {
   readonly name: string;
   readonly value: unknown;
@@ -73,31 +73,31 @@
 
 /** Why a record could not be read or written. */
 export type RecordFailure =
-  /** It has changed since it was read. */
+  /** The record has changed since it was read. */
   | { readonly type: 'conflict' }
-  /** Nothing was done. */
+  /** The operation was not carried out. */
   | { readonly type: 'unavailable'; readonly reason: string }
-  /** It may have been done, now or later. */
+  /** The operation may have been carried out, or may still be. */
   | { readonly type: 'unknown'; readonly reason: string };
 
-/** Kinds of records that the gateway keeps. */
+/** Kinds of records that the gateway stores. */
 export type RecordKind = 'owners' | 'members' | 'limitShares';
 
-/** How new a reading must be. */
+/** Whether a read must return the current state or may return an older one. */
 export type ReadFreshness = 'current' | 'late';
 
-/** Records with revisions; what must last lives here. */
+/** Durable store of records with revisions. */
 export interface RecordStore {
   /**
-   * Rises by one each time the store comes back from a copy and has lost what was written since. 0 while it names none; undefined
-   * before its first answer.
+   * Increases by one each time the store is restored from a backup and loses the writes since that backup. 0 while the store reports
+   * no era; undefined before its first response.
    */
   era(): number | undefined;
-  /** Undefined if there is none. */
+  /** Returns the record, or undefined if it does not exist. */
   read(kind: RecordKind, name: string): Promise<Result<StoredRecord | undefined, RecordFailure>>;
-  /** All records of a kind; late ones are cheaper, and may be seconds old. */
+  /** Lists all records of a kind; a `late` list is cheaper and may be seconds old. */
   list(kind: RecordKind, freshness: ReadFreshness): Promise<Result<StoredRecord[], RecordFailure>>;
-  /** Creates the record, or replaces exactly the given revision. */
+  /** Creates the record, or replaces it if it still has the given revision. */
   write(
     kind: RecordKind,
     name: string,
@@ -107,46 +107,46 @@
   remove(kind: RecordKind, name: string): Promise<void>;
 }
 
-/** Gives orders to backends. */
+/** Sends orders to backends. */
 export interface BackendControl {
   order(backend: BackendRecord, order: ModelOrder, fence: OrderFence): Promise<OrderOutcome>;
-  /** Undefined if no understandable report came. */
+  /** Requests a report; undefined if no valid one was received. */
   report(backend: BackendRecord): Promise<BackendReport | undefined>;
 }
 
-/** What the gateway reads from a request's head. */
+/** Fields that the gateway reads from the headers of a request. */
 export interface RequestHead {
-  /** The caller's name for this attempt. */
+  /** Identifier that the caller gave to this attempt. */
   readonly attemptId: string | undefined;
-  /** Milliseconds that the caller will wait. */
+  /** Time for which the caller waits, in milliseconds. */
   readonly deadlineMs: number | undefined;
   readonly model: ModelReference | undefined;
-  /** Names the beginning of the prompt that other requests share. */
+  /** Identifies the prefix of the prompt that this request shares with others. */
   readonly sharedPrompt: string | undefined;
-  /** The caller takes a stream up after this event. */
+  /** The caller resumes a stream after this event. */
   readonly lastEventId: string | undefined;
   /** SHA-256 of the caller's key in hexadecimal. */
   readonly keyDigest: string | undefined;
-  /** Tokens that the request names: of its prompt, and of the longest answer. */
+  /** Number of tokens that the request declares: its prompt plus its maximum answer length. */
   readonly tokens: number | undefined;
-  /** Expected work in tokens of an answer; undefined if the head does not tell. */
+  /** Expected work in answer tokens; undefined if the headers do not give it. */
   readonly expectedWork: number | undefined;
 }
 
-/** What the gateway reads from the head of a backend's answer. */
+/** Fields that the gateway reads from the headers of a backend's answer. */
 export interface AnswerHead {
   readonly attemptId: string | undefined;
-  /** The backend vouches for the answer. */
+  /** Whether the backend has signed the answer. */
   readonly signed: boolean;
-  /** The backend says that it has not run the request. */
+  /** Whether the backend states that it has not run the request. */
   readonly notRun: boolean;
-  /** Another process has the backend's address. */
+  /** Whether another process answered at the backend's address. */
   readonly misdirected: boolean;
-  /** The process that answers says that it leaves. */
+  /** Whether the backend states that it is shutting down. */
   readonly leaving: boolean;
-  /** The limit that the backend names for requests from all daemons. */
+  /** Rate limit that the backend states for requests from all daemons together. */
   readonly rateLimit: RateLimitNotice;
-  /** It turns the request away, and wants none of this daemon for so many milliseconds; undefined if it asks for nothing. */
+  /** Backoff in milliseconds that the backend requests from this daemon when it rejects a request; undefined if it requests none. */
   readonly backoffMs: number | undefined;
 }
 
@@ -156,24 +156,24 @@
   readonly remainingMs: number;
   readonly lastEventId: string | undefined;
   readonly priority: number;
-  /** Whose key the caller has; undefined if it needs none. */
+  /** Tenant that owns the caller's key; undefined if no key is required. */
   readonly tenant: string | undefined;
 }
 
-/** How heads of requests and answers are spelled. */
+/** Names and formats of the headers of requests and answers. */
 export interface RequestDialect {
-  /** Path at which the entry asks whether new connections are wanted. */
+  /** Path of the load balancer's readiness probe. */
   readonly readinessPath: string;
-  /** Headers that only the gateway may set; names in lower case. Those of callers are taken off. */
+  /** Headers that only the gateway may set, in lower case; removed from callers' requests. */
   readonly systemHeaders: ReadonlySet<string>;
-  /** Header with the caller's key, in lower case: not passed on where callers need one. */
+  /** Name of the header with the caller's key, in lower case; not forwarded to backends if keys are required. */
   readonly keyHeader: string;
-  /** What a caller without a known key is told to send. */
+  /** Authentication challenge sent to a caller without a known key. */
   readonly keyChallenge: string;
   readRequest(headers: http.IncomingHttpHeaders): RequestHead;
-  /** Headers that replace those of the caller; names in lower case. */
+  /** Headers that replace the caller's headers of the same name, in lower case. */
   backendHeaders(fields: BackendRequestFields): Readonly<Record<string, string>>;
   readAnswer(status: number, headers: http.IncomingHttpHeaders): AnswerHead;
-  /** Headers of the gateway's own answers. */
+  /** Headers of answers that the gateway itself produces. */
   ownAnswerHeaders(head: RequestHead): Readonly<Record<string, string>>;
 }
--- a/src/gateway/service-duties.ts
+++ b/src/gateway/service-duties.ts
@@ -1,4 +1,4 @@
-/** The services that this daemon owns, or could come to own. */
+/** The services that this daemon owns or may claim. */
 import type { Logger } from '../common/logger.js';
 import type { BackendDirectory } from '../core/backend-directory.js';
 import type { DutyMember } from '../core/duties.js';
@@ -13,8 +13,8 @@
 import type { BackendControl, RecordStore } from './ports.js';
 import { ServiceOwner } from './service-owner.js';
 
-/** Loads that the ceiling allows besides its rate. */
-const CEILING_EXTRA_LOADS = 3;
+/** Number of loads that the ceiling allows in each window in addition to the store's rate. */
+const EXTRA_LOADS_PER_WINDOW = 3;
 
 /** Options of {@link ServiceDuties}. */
 export interface ServiceDutiesOptions {
@@ -26,81 +26,81 @@
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
   readonly listed: () => readonly DutyMember[];
-  /** Whether a daemon is heard that the platform answers. */
+  /** Whether this daemon receives messages from another one that the platform responds to. */
   readonly platformAnswersOthers: () => boolean;
   readonly publish: (update: PlacementUpdate) => void;
 }
 
-interface Duty {
+interface ServiceState {
   readonly ownership: Ownership;
   owner: ServiceOwner | undefined;
 }
 
-/** Ownership of all services with models. */
+/** Ownership of all services that host models. */
 export class ServiceDuties {
-  private readonly duties = new Map<string, Duty>();
+  private readonly services = new Map<string, ServiceState>();
   private configuration: ServiceConfiguration | undefined;
   private stopped = false;
 
   constructor(private readonly options: ServiceDutiesOptions) {}
 
-  /** Takes a newer configuration. */
+  /** Applies a newer configuration. */
   configure(configuration: ServiceConfiguration): void {
     this.configuration = configuration;
     for (const service of configuration.services) {
-      if (service.modelHost === undefined || this.duties.has(service.name)) continue;
-      this.duties.set(service.name, this.makeDuty(service.name));
+      if (service.modelHost === undefined || this.services.has(service.name)) continue;
+      this.services.set(service.name, this.makeState(service.name));
     }
   }
 
-  /** Looks at the clock; call it often. */
+  /** Runs the periodic work of all services; must be called frequently. */
   tick(): void {
     if (this.stopped) return;
-    for (const { ownership, owner } of this.duties.values()) {
+    for (const { ownership, owner } of this.services.values()) {
       ownership.tick();
       owner?.tick();
     }
   }
 
-  /** Whether this daemon owns a service. */
+  /** Whether this daemon owns at least one service. */
   ownsAny(): boolean {
-    return [...this.duties.values()].some((duty) => duty.owner !== undefined);
+    return [...this.services.values()].some((state) => state.owner !== undefined);
   }
 
-  /** Gives all ownership up and claims nothing any more. */
+  /** Gives up all ownerships and makes no further claims. */
   stop(reason: string): void {
     this.stopped = true;
-    for (const { ownership } of this.duties.values()) ownership.stop(reason);
+    for (const { ownership } of this.services.values()) ownership.stop(reason);
   }
 
   backendsChanged(): void {
-    for (const { owner } of this.duties.values()) owner?.backendsChanged();
+    for (const { owner } of this.services.values()) owner?.backendsChanged();
   }
 
-  /** Takes a report of demand; false if this daemon does not own the service. */
+  /** Applies a demand report; returns false if this daemon does not own the service. */
   hear(service: string, report: DemandReport): boolean {
-    const owner = this.duties.get(service)?.owner;
+    const owner = this.services.get(service)?.owner;
     owner?.hear(report);
     return owner !== undefined;
   }
 
   hearOwner(address: string, service: string, epoch: number): void {
-    this.duties.get(service)?.ownership.hearOwner(address, epoch);
+    this.services.get(service)?.ownership.hearOwner(address, epoch);
   }
 
-  /** Everything that this daemon tells of a service that it owns. */
+  /** Full placement of a service; undefined if this daemon does not own it. */
   everythingOf(service: string): PlacementUpdate | undefined {
-    return this.duties.get(service)?.owner?.everything();
+    return this.services.get(service)?.owner?.everything();
   }
 
   /** Peer address of a service's owner, if one is known. */
   ownerAddress(service: string): string | undefined {
-    return this.duties.get(service)?.ownership.ownerAddress;
+    return this.services.get(service)?.ownership.ownerAddress;
   }
 
-  private makeDuty(service: string): Duty {
+  private makeState(service: string): ServiceState {
     const { peers, store, logger, listed, settings, platformAnswersOthers } = this.options;
-    const duty: Duty = {
+    const state: ServiceState = {
       owner: undefined,
       ownership: new Ownership({
         service,
@@ -111,15 +111,15 @@
         platformAnswersOthers,
         listed,
         onChange: (epoch) => {
-          duty.owner?.stop();
-          duty.owner = epoch === undefined ? undefined : this.makeOwner(service, epoch, duty);
+          state.owner?.stop();
+          state.owner = epoch === undefined ? undefined : this.makeOwner(service, epoch, state);
         },
       }),
     };
-    return duty;
+    return state;
   }
 
-  private makeOwner(service: string, epoch: number, duty: Duty): ServiceOwner {
+  private makeOwner(service: string, epoch: number, state: ServiceState): ServiceOwner {
     const { settings, peers, control, directory, logger, metrics, publish } = this.options;
     const host = (): ReturnType<ServiceDuties['hostOf']> => this.hostOf(service);
     return new ServiceOwner(
@@ -135,11 +135,11 @@
         logger,
         metrics,
         publish,
-        isOwner: () => duty.ownership.isOwner(),
-        orderDelayMs: () => duty.ownership.orderDelayMs(),
+        isOwner: () => state.ownership.isOwner(),
+        orderDelayMs: () => state.ownership.orderDelayMs(),
         daemonCount: () => peers.live().length,
       },
-      () => duty.ownership.giveUp('a backend has seen a higher epoch'),
+      () => state.ownership.giveUp('a backend has seen a higher epoch'),
     );
   }
 
@@ -152,7 +152,7 @@
   private ceiling(service: string): StoreLoadCeiling {
     const { storeLoadWindowSeconds, storeLoadExcess } = this.options.settings.bounds;
     const rate = this.hostOf(service)?.loadsPerSecond ?? 0;
-    const loads = rate * storeLoadWindowSeconds * storeLoadExcess + CEILING_EXTRA_LOADS;
+    const loads = rate * storeLoadWindowSeconds * storeLoadExcess + EXTRA_LOADS_PER_WINDOW;
     return { windowMs: storeLoadWindowSeconds * 1_000, loads };
   }
 }
--- a/src/gateway/service-owner.ts
+++ b/src/gateway/service-owner.ts
@@ -1,6 +1,6 @@
 /**
- * The owner of a service: gathers demand, plans, gives orders to the backends,
- * and tells every daemon where the models are.
+ * The owner of a service: collects demand, plans the placement of models, sends orders
+ * to the backends and publishes to every daemon where the models are placed.
  */
 import type { Logger } from '../common/logger.js';
 import { BackendLedger } from '../core/backend-ledger.js';
@@ -28,28 +28,28 @@
 import type { BackendControl } from './ports.js';
 import { steadyNow } from './steady-clock.js';
 
-/** Between two rounds while nothing calls for one. */
+/** Interval between planning rounds while no event triggers one, in milliseconds. */
 const ROUND_PERIOD_MS = 100;
-/** Least time between two rounds. */
+/** Minimum time between two rounds, in milliseconds. */
 const ROUND_PAUSE_MS = 20;
-/** Time between two rounds for each daemon that is told: at most 1,250 messages a second. */
+/** Minimum time between two rounds per daemon that receives updates, in milliseconds: at most 1,250 messages per second. */
 const ROUND_PAUSE_PER_DAEMON_MS = 0.8;
-/** A report shows the state of some time ago; one asked for earlier may not show an order. */
+/** Delay of a report request after an order, in milliseconds: reports lag behind, so an earlier one may not show the order. */
 const REPORT_LAG_MS = 220;
-/** Between two reports of one backend. */
+/** Interval between two reports of one backend, in milliseconds. */
 const REPORT_PERIOD_MS = 150;
-/** A held model for which requests wait so long makes its holder doubtful. */
-const DOUBT_AFTER_MS = 200;
-/** Between two questions to a doubtful backend. */
-const DOUBT_PERIOD_MS = 600;
-/** The owner's word is repeated so often, with the loads that have changed. */
-const REPEAT_PERIOD_MS = 250;
-/** Share of a backend's slots by which its load must change to be told again. */
+/** Time in milliseconds that requests wait for a model after which a backend that has it loaded is suspected to have failed. */
+const SUSPECT_AFTER_MS = 200;
+/** Minimum interval between two report requests to a suspected backend, in milliseconds. */
+const SUSPECT_REPORT_PERIOD_MS = 600;
+/** Interval at which the owner publishes an update even without changes of placement, with the loads that have changed, in milliseconds. */
+const PUBLISH_PERIOD_MS = 250;
+/** Fraction of a backend's slots by which its load must change to be published again. */
 const LOAD_TOLERANCE_SHARE = 1 / 6;
 
 /**
- * A time told may be off by this share of itself before it is told again: a caller who holds or
- * leaves by it decides the same, and the daemons are sent a fraction of the changes of a long queue.
+ * A published forecast is published again only if it is off by more than this fraction of itself. The
+ * decision whether a caller waits stays the same, and daemons receive only a fraction of the changes of a long queue.
  */
 const FORECAST_TOLERANCE_SHARE = 0.15;
 
@@ -57,7 +57,7 @@
 export interface ServiceOwnerOptions {
   readonly service: string;
   readonly epoch: number;
-  /** Names this daemon in orders. */
+  /** Name of this daemon in orders. */
   readonly holder: string;
   readonly host: () => ModelHostSpec | undefined;
   readonly directory: BackendDirectory;
@@ -66,27 +66,27 @@
   readonly policies: Policies;
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
-  /** Tells every daemon, this one included. */
+  /** Publishes an update to every daemon, including this one. */
   readonly publish: (update: PlacementUpdate) => void;
-  /** Whether this daemon still owns the service, as far as it can know. */
+  /** Whether this daemon still owns the service, according to its own state. */
   readonly isOwner: () => boolean;
-  /** Milliseconds until an order may be sent; infinite if that cannot be told. Until then nothing is planned. */
+  /** Milliseconds until an order may be sent; infinite if unknown. No orders are planned until then. */
   readonly orderDelayMs: () => number;
-  /** Daemons that are told; each update costs a message to each of them. */
+  /** Number of daemons that receive updates; each update costs one message per daemon. */
   readonly daemonCount: () => number;
 }
 
-/** Gives orders under one epoch until stopped. */
+/** Sends orders under one epoch until stopped. */
 export class ServiceOwner {
   readonly demand: ModelDemand;
   private readonly planner = new PlacementPlanner();
   private readonly ledgers = new Map<string, BackendLedger>();
-  private readonly reportDue = new Map<string, number>();
+  private readonly reportDueAt = new Map<string, number>();
   private readonly lastReport = new Map<string, number>();
   private readonly storeLoads: StoreLoadWindow;
   private readonly storeLimit: StoreLoadLimit;
   private readonly loadWatch: LoadWatch;
-  /** Undefined if all backends count as alike. */
+  /** Learned speeds of the backends; undefined if all backends count as equally fast. */
   private readonly capacity: CapacityWatch | undefined;
   private readonly publisher: PlacementPublisher;
   private roundTimer: NodeJS.Timeout | undefined;
@@ -96,7 +96,7 @@
   private failingNames = '';
   private stopped = false;
 
-  /** @param onFenced - A backend has seen a higher epoch. */
+  /** @param onFenced - Called when a backend has refused an order because it has seen a higher epoch. */
   constructor(
     private readonly options: ServiceOwnerOptions,
     private readonly onFenced: () => void,
@@ -105,7 +105,7 @@
     const { service, epoch, policies, logger, metrics } = options;
     this.demand = new ModelDemand(comparatorForPolicies(policies));
     this.storeLimit = policies.storeLoadLimit
-      ? new AdaptiveStoreLoadLimit(this.firstStoreLoadLimit())
+      ? new AdaptiveStoreLoadLimit(this.startingStoreLoadLimit())
       : new UnlimitedStoreLoads();
     this.loadWatch = new LoadWatch({ service, epoch, limit: this.storeLimit, logger, metrics });
     const isListed = (backend: string): boolean => this.ledgers.has(backend);
@@ -118,8 +118,8 @@
     );
   }
 
-  /** What the former owner had learned, or a guess. */
-  private firstStoreLoadLimit(): number {
+  /** The limit that the previous owner learned, or an initial estimate. */
+  private startingStoreLoadLimit(): number {
     const { directory, service, host } = this.options;
     const learned = directory.storeLoadLimitOf(service);
     if (learned > 0) return learned;
@@ -127,25 +127,25 @@
     return spec === undefined ? 1 : initialStoreLoadLimit(spec);
   }
 
-  /** Everything that the daemons have been told, for one that missed an update. */
+  /** Full update of everything published so far, for a daemon that missed an update. */
   everything(): PlacementUpdate {
     return this.publisher.fullUpdate(steadyNow());
   }
 
-  /** Gives no further orders. */
+  /** Stops sending orders and updates. */
   stop(): void {
     this.stopped = true;
     clearTimeout(this.roundTimer);
   }
 
-  /** Takes a daemon's demand; waiting requests call for a round. */
+  /** Applies a daemon's demand report; waiting requests trigger a planning round. */
   hear(report: DemandReport): void {
     this.demand.applyReport(report, steadyNow());
     this.capacity?.hear(report, steadyNow());
-    if (report.samples.some((sample) => sample.waiting > 0)) this.roundSoon();
+    if (report.samples.some((sample) => sample.waiting > 0)) this.scheduleRound();
   }
 
-  /** The platform's list has changed. */
+  /** Handles a change of the platform's list of backends. */
   backendsChanged(): void {
     for (const backend of this.backends()) {
       const ledger = this.ledgers.get(backend.id);
@@ -156,21 +156,21 @@
       }
       ledger.setCopies(backend.inMemory, backend.onDisk);
       if (!ledger.applyListing(backend, steadyNow())) continue;
-      this.reportDue.delete(backend.id);
+      this.reportDueAt.delete(backend.id);
       this.changed = true;
     }
-    this.roundSoon();
+    this.scheduleRound();
   }
 
-  /** Looks at the clock; call it often. */
+  /** Runs a planning round or publishes an update when due; must be called frequently. */
   tick(): void {
     const now = steadyNow();
     if (now - this.lastRound >= ROUND_PERIOD_MS) this.round();
-    if (now - this.lastPublished >= REPEAT_PERIOD_MS) this.publish(now);
+    if (now - this.lastPublished >= PUBLISH_PERIOD_MS) this.publish(now);
   }
 
-  /** A round now, or as soon as the pause after the last one has passed: one for all that calls for it. */
-  private roundSoon(): void {
+  /** Runs a round now or after the minimum pause since the last one; all triggers within the pause share one round. */
+  private scheduleRound(): void {
     if (this.roundTimer !== undefined || this.stopped) return;
     const perDaemon = ROUND_PAUSE_PER_DAEMON_MS * this.options.daemonCount();
     const dueIn = this.lastRound + Math.max(ROUND_PAUSE_MS, perDaemon) - steadyNow();
@@ -188,29 +188,30 @@
     this.syncLedgers(now);
     this.loadWatch.settle(this.ledgers, now);
     this.capacity?.settle(now);
-    this.noteFailing(now);
-    this.doubtHolders(now);
+    this.logFailingBackends(now);
+    this.checkSuspectHolders(now);
     this.readReports(now);
     const mayOrder = this.options.orderDelayMs() === 0;
-    this.giveAll(mayOrder ? this.planner.plan(this.planningInput(host, now)) : [], now);
+    this.sendOrders(mayOrder ? this.planner.plan(this.planningInput(host, now)) : [], now);
     this.options.metrics.roundSeconds.observe((steadyNow() - now) / 1_000);
   }
 
-  private giveAll(orders: readonly PlannedOrder[], now: number): void {
-    const given = orders.flatMap((planned) => {
+  private sendOrders(orders: readonly PlannedOrder[], now: number): void {
+    const sendable = orders.flatMap((planned) => {
       const ledger = this.ledgers.get(planned.backend);
       const backend = this.options.directory.get(planned.backend);
       return ledger === undefined || backend === undefined ? [] : [{ planned, ledger, backend }];
     });
-    for (const { planned, ledger } of given) {
+    for (const { planned, ledger } of sendable) {
       if (planned.copy === 'store') this.storeLoads.count(now);
       ledger.recordSent(planned.order, now + planned.durationMs);
       this.loadWatch.begin(planned, now);
     }
     // Daemons must stop sending requests for a model before its unload is ordered.
-    const unloads = given.some(({ planned }) => planned.order.operation === 'unload');
+    const unloads = sendable.some(({ planned }) => planned.order.operation === 'unload');
     if (this.changed || unloads) this.publish(now);
-    for (const { planned, ledger, backend } of given) void this.carryOut(planned, ledger, backend);
+    for (const { planned, ledger, backend } of sendable)
+      void this.sendOrder(planned, ledger, backend);
   }
 
   private planningInput(host: ModelHostSpec, now: number): PlanningInput {
@@ -223,22 +224,22 @@
         return ledger === undefined || ledger.isUnresponsive ? [] : [ledger];
       });
     const storeLoads = this.storeLoads.available(now);
-    const storePlaceWaits = this.storePlaceWaits(now);
+    const storeSlotWaits = this.storeSlotWaits(now);
     const { demand, options } = this;
     const { policies } = options;
     const { unloadTimes } = this.loadWatch;
     const capacity = this.capacity?.planned();
-    const loads = { storeLoads, storeSlotWaitsMs: storePlaceWaits, unloadTimes };
+    const loads = { storeLoads, storeSlotWaitsMs: storeSlotWaits, unloadTimes };
     return { host, backends, demand, policies, now, ...loads, capacity };
   }
 
-  /** Milliseconds until each place for a load from the store is free: those beyond the limit never are. */
-  private storePlaceWaits(now: number): number[] {
-    const { maxConcurrent: most } = this.storeLimit;
-    if (!Number.isFinite(most)) return [0];
+  /** Milliseconds until each slot for a load from the store is free; loads in progress beyond the limit free no slot. */
+  private storeSlotWaits(now: number): number[] {
+    const { maxConcurrent: limit } = this.storeLimit;
+    if (!Number.isFinite(limit)) return [0];
     const ends = this.loadWatch.storeLoadEnds(now).sort((a, b) => a - b);
-    const excess = Math.max(0, ends.length - most);
-    const free = Math.max(0, most - ends.length);
+    const excess = Math.max(0, ends.length - limit);
+    const free = Math.max(0, limit - ends.length);
     return [...Array<number>(free).fill(0), ...ends.slice(excess).map((end) => Math.max(1, end))];
   }
 
@@ -247,13 +248,13 @@
     return directory.all().filter((backend) => backend.service === service);
   }
 
-  /** One ledger for each listed process; those of ended processes go. */
+  /** Creates a ledger for each listed backend process and removes the ledgers of processes that are no longer listed. */
   private syncLedgers(now: number): void {
     const listed = new Set<string>();
     for (const backend of this.backends()) {
       listed.add(backend.id);
       const known = this.ledgers.get(backend.id);
-      if (known === undefined) this.beginLedger(backend, now);
+      if (known === undefined) this.createLedger(backend, now);
       else if (isDifferentStart(known, backend)) this.restartLedger(known, backend, now);
       else {
         known.start ??= backend.start;
@@ -263,33 +264,33 @@
     for (const id of this.ledgers.keys()) {
       if (listed.has(id)) continue;
       this.ledgers.delete(id);
-      this.reportDue.delete(id);
+      this.reportDueAt.delete(id);
       this.lastReport.delete(id);
       this.capacity?.forget(id);
       this.changed = true;
     }
   }
 
-  private beginLedger(backend: BackendRecord, now: number): BackendLedger {
+  private createLedger(backend: BackendRecord, now: number): BackendLedger {
     const ledger = new BackendLedger(backend.id, backend.start);
     ledger.seedFromListing(backend);
     const loading = this.options.directory.expectedLoadAt(backend, now);
     if (loading !== undefined) ledger.seedLoad(loading.model, loading.expectedEnd);
     this.ledgers.set(backend.id, ledger);
-    this.reportDue.set(backend.id, 0);
+    this.reportDueAt.set(backend.id, 0);
     this.changed = true;
     return ledger;
   }
 
-  /** Orders, answers and reports of a backend's earlier start are void; what may still reach it is reckoned with. */
+  /** Discards the orders, responses and reports of a backend's earlier process, and reserves memory for its unanswered orders that may still arrive. */
   private restartLedger(earlier: BackendLedger, backend: BackendRecord, now: number): void {
     const { id } = backend;
     this.lastReport.delete(id);
     this.loadWatch.backendRestarted(id, now);
     this.demand.removeBackend(id);
     this.capacity?.forget(id);
-    const late = earlier.unansweredOrders(now);
-    this.beginLedger(backend, now).reserveForLateOrders(late);
+    const lateOrders = earlier.unansweredOrders(now);
+    this.createLedger(backend, now).reserveForLateOrders(lateOrders);
     const { service, epoch, logger } = this.options;
     logger.info('backend_ledger_restarted', {
       service,
@@ -297,29 +298,30 @@
       backend: id,
       start: backend.start,
       earlierSequence: earlier.sequence,
-      lateOrders: late.length,
+      lateOrders: lateOrders.length,
     });
   }
 
-  /** Requests wait although a backend holds their model: it is asked whether it lives. */
-  private doubtHolders(now: number): void {
-    const awaited = this.demand.modelsWaitingFor(DOUBT_AFTER_MS, now);
-    if (awaited.size === 0) return;
+  /** Requests reports from backends for whose loaded models requests wait, to find out whether they still respond. */
+  private checkSuspectHolders(now: number): void {
+    const awaitedModels = this.demand.modelsWaitingFor(SUSPECT_AFTER_MS, now);
+    if (awaitedModels.size === 0) return;
     for (const ledger of this.ledgers.values()) {
-      if (ledger.phase !== 'ready' || this.reportDue.has(ledger.id)) continue;
-      const holds = [...ledger.models.keys()].some((model) => awaited.has(model));
-      const isRecent = now - (this.lastReport.get(ledger.id) ?? -Infinity) < DOUBT_PERIOD_MS;
-      if (holds && !isRecent) this.reportDue.set(ledger.id, now);
+      if (ledger.phase !== 'ready' || this.reportDueAt.has(ledger.id)) continue;
+      const holds = [...ledger.models.keys()].some((model) => awaitedModels.has(model));
+      const isRecent =
+        now - (this.lastReport.get(ledger.id) ?? -Infinity) < SUSPECT_REPORT_PERIOD_MS;
+      if (holds && !isRecent) this.reportDueAt.set(ledger.id, now);
     }
   }
 
   private readReports(now: number): void {
     for (const backend of this.backends()) {
       const ledger = this.ledgers.get(backend.id);
-      const due = this.reportDue.get(backend.id);
+      const due = this.reportDueAt.get(backend.id);
       if (ledger === undefined || due === undefined || due > now) continue;
       if (ledger.phase === 'ordering') continue;
-      this.reportDue.delete(backend.id);
+      this.reportDueAt.delete(backend.id);
       this.lastReport.set(backend.id, now);
       void this.readReport(backend, ledger);
     }
@@ -330,19 +332,19 @@
     const now = steadyNow();
     if (this.stopped || this.ledgers.get(backend.id) !== ledger) return;
     if (ledger.phase === 'ordering') {
-      this.reportDue.set(backend.id, now + REPORT_LAG_MS);
+      this.reportDueAt.set(backend.id, now + REPORT_LAG_MS);
       return;
     }
-    this.noteSilence(ledger, report === undefined);
+    this.setUnresponsive(ledger, report === undefined);
     const current = report !== undefined && ledger.applyReport(report, now);
-    const awaited = !current || ledger.loadingAdapters.size > 0;
-    if (awaited) this.reportDue.set(backend.id, now + REPORT_PERIOD_MS);
+    const isReportNeeded = !current || ledger.loadingAdapters.size > 0;
+    if (isReportNeeded) this.reportDueAt.set(backend.id, now + REPORT_PERIOD_MS);
     this.changed = true;
-    if (current || ledger.isUnresponsive) this.roundSoon();
+    if (current || ledger.isUnresponsive) this.scheduleRound();
   }
 
-  /** What the daemons say of failing backends changes what the owner counts on. */
-  private noteFailing(now: number): void {
+  /** Logs changes of the set of backends that daemons report as failing; planning leaves these out. */
+  private logFailingBackends(now: number): void {
     const failing = this.demand.failingBackends(this.backends().length, now);
     const names = [...failing].sort().join(',');
     if (names === this.failingNames) return;
@@ -351,7 +353,7 @@
     logger.warn('backends_failing', { service, epoch, backends: names });
   }
 
-  private noteSilence(ledger: BackendLedger, isSilent: boolean): void {
+  private setUnresponsive(ledger: BackendLedger, isSilent: boolean): void {
     if (ledger.isUnresponsive === isSilent) return;
     ledger.isUnresponsive = isSilent;
     const { service, epoch, logger } = this.options;
@@ -363,7 +365,7 @@
     });
   }
 
-  private async carryOut(
+  private async sendOrder(
     planned: PlannedOrder,
     ledger: BackendLedger,
     backend: BackendRecord,
@@ -390,16 +392,16 @@
     });
     if (!isCurrent()) return;
     ledger.recordOutcome(order, outcome, now, planned.durationMs);
-    this.reportDue.set(backend.id, now + this.reportDelay(planned, ledger));
+    this.reportDueAt.set(backend.id, now + this.reportDelay(planned, ledger));
     if (outcome.type === 'fenced') return this.onFenced();
     this.changed = true;
-    this.roundSoon();
+    this.scheduleRound();
   }
 
   private reportDelay(planned: PlannedOrder, ledger: BackendLedger): number {
     if (ledger.phase === 'unsynchronized') return REPORT_LAG_MS;
     const isAdapter = planned.order.adapter !== undefined;
-    // The platform's list tells of models at once; the report is the way round a lost word.
+    // The platform's list shows changes of models immediately; the report covers a lost notification.
     return isAdapter ? planned.durationMs + 70 : planned.durationMs * 1.5 + REPORT_LAG_MS;
   }
 
@@ -410,35 +412,35 @@
     const backends = new Map<string, KnownPlacement[]>();
     for (const ledger of this.ledgers.values()) {
       if (ledger.phase === 'unsynchronized' && ledger.models.size === 0) continue;
-      // Nobody is to wait for what a silent backend holds.
+      // Requests must not wait for models on an unresponsive backend.
       backends.set(ledger.id, ledger.isUnresponsive ? [] : placementOf(ledger, now));
     }
     const forecasts = host === undefined ? new Map<string, number>() : this.forecasts(host, now);
     const loads = new Map<string, number>();
     for (const id of this.ledgers.keys()) loads.set(id, this.demand.inFlightAt(id, now));
     const loadTolerance = Math.max(1, (host?.slots ?? 1) * LOAD_TOLERANCE_SHARE);
-    const { maxConcurrent: most } = this.storeLimit;
-    const storeLoadLimit = Number.isFinite(most) ? most : 0;
+    const { maxConcurrent: limit } = this.storeLimit;
+    const storeLoadLimit = Number.isFinite(limit) ? limit : 0;
     const capacity = this.capacity?.figures;
     const state = { backends, forecasts, loads, storeLoadLimit, loadTolerance, capacity };
     const update = this.publisher.nextUpdate(state, now);
     const isNew = update.version !== update.baseVersion;
-    if (!isNew && now - this.lastPublished < REPEAT_PERIOD_MS) return;
+    if (!isNew && now - this.lastPublished < PUBLISH_PERIOD_MS) return;
     this.lastPublished = now;
     this.options.publish(update);
   }
 
-  /** Expected times at which models that no backend holds are loaded. */
+  /** Expected steady times at which models that no backend has loaded will be loaded. */
   private forecasts(host: ModelHostSpec, now: number): Map<string, number> {
     const delayMs = this.options.orderDelayMs();
-    // Nobody is to wait for a load that may not be ordered for as long as cannot be told.
+    // Requests must not wait for a load whose order has an unknown delay.
     if (!Number.isFinite(delayMs)) return new Map();
     const forecasts = this.planner.forecasts(this.planningInput(host, now));
     return new Map([...forecasts].map(([model, readyInMs]) => [model, now + delayMs + readyInMs]));
   }
 }
 
-/** The models of one backend, as every daemon is told. */
+/** The models of one backend, in the form that is published to every daemon. */
 function placementOf(ledger: BackendLedger, now: number): KnownPlacement[] {
   const order = ledger.currentOrder;
   const placed: KnownPlacement[] = [];
--- a/src/gateway/status-ports.ts
+++ b/src/gateway/status-ports.ts
@@ -1,4 +1,4 @@
-/** The ports on which a gateway daemon tells the entry whether it is ready, and an operator its metrics. */
+/** HTTP ports of a gateway daemon for the load balancer's readiness probe and for the operator's metrics. */
 import http from 'node:http';
 import type { Registry } from 'prom-client';
 import { splitAddress } from '../common/http-client.js';
@@ -6,32 +6,32 @@
 import type { CrashWatch } from './crash-watch.js';
 import type { GatewaySettings } from './gateway-settings.js';
 
-/** GET lists them; DELETE with the digest of one behind it has it sent to backends again. */
-const CRASHING_REQUESTS = '/crashing-requests';
+/** GET lists the refused requests; DELETE on the path followed by a digest allows that request to be sent to backends again. */
+const CRASHING_REQUESTS_PATH = '/crashing-requests';
 
 /** Options of {@link StatusPorts}. */
 export interface StatusPortsOptions {
   readonly settings: Pick<GatewaySettings, 'readiness' | 'address' | 'metricsPort'>;
-  /** Path at which the entry asks. */
+  /** Path of the load balancer's readiness probe. */
   readonly readinessPath: string;
-  /** Whether new connections are wanted. */
+  /** Whether the daemon accepts new connections. */
   readonly isReady: () => boolean;
   readonly registry: Registry;
-  /** Sets the metrics that are worked out when they are asked for. */
+  /** Updates the metrics that are computed only when they are scraped. */
   readonly refreshMetrics: () => void;
   readonly crashes: Pick<CrashWatch, 'refusedRequests' | 'lift'>;
 }
 
-/** Both ports. */
+/** HTTP servers of the readiness port and the metrics port. */
 export class StatusPorts {
   private readonly readiness: http.Server;
   private readonly metrics: http.Server;
 
   constructor(private readonly options: StatusPortsOptions) {
     this.readiness = http.createServer((request, response) => {
-      this.answerReadiness(request, response);
+      this.handleReadiness(request, response);
     });
-    this.metrics = http.createServer((request, response) => this.answerOperator(request, response));
+    this.metrics = http.createServer((request, response) => this.handleOperator(request, response));
   }
 
   async start(): Promise<void> {
@@ -46,25 +46,25 @@
     this.metrics.close();
   }
 
-  private answerReadiness(request: http.IncomingMessage, response: http.ServerResponse): void {
+  private handleReadiness(request: http.IncomingMessage, response: http.ServerResponse): void {
     const { readinessPath, isReady } = this.options;
-    const asked = request.url === readinessPath;
-    response.writeHead(asked && isReady() ? 200 : asked ? 503 : 404, { 'content-length': 0 });
+    const isProbe = request.url === readinessPath;
+    response.writeHead(isProbe && isReady() ? 200 : isProbe ? 503 : 404, { 'content-length': 0 });
     response.end();
   }
 
-  /** Metrics under any path but that of the requests which are refused because backends have crashed under them. */
-  private answerOperator(request: http.IncomingMessage, response: http.ServerResponse): void {
+  /** Serves metrics under every path except that of the requests that are refused because they have crashed backends. */
+  private handleOperator(request: http.IncomingMessage, response: http.ServerResponse): void {
     const { crashes } = this.options;
     const path = request.url ?? '';
-    if (!path.startsWith(CRASHING_REQUESTS)) return void this.answerMetrics(response);
+    if (!path.startsWith(CRASHING_REQUESTS_PATH)) return void this.sendMetrics(response);
     if (request.method === 'GET') return sendJson(response, 200, crashes.refusedRequests());
     if (request.method !== 'DELETE') return sendJson(response, 405, {});
-    const isLifted = crashes.lift(path.slice(CRASHING_REQUESTS.length + 1));
+    const isLifted = crashes.lift(path.slice(CRASHING_REQUESTS_PATH.length + 1));
     sendJson(response, isLifted ? 200 : 404, {});
   }
 
-  private async answerMetrics(response: http.ServerResponse): Promise<void> {
+  private async sendMetrics(response: http.ServerResponse): Promise<void> {
     const { registry, refreshMetrics } = this.options;
     refreshMetrics();
     const text = await registry.metrics();
--- a/src/gateway/steady-clock.ts
+++ b/src/gateway/steady-clock.ts
@@ -1,6 +1,6 @@
 /**
- * The steady clock: unlike the time of day it never jumps. It stands still while the machine is suspended, so it counts what must
- * be waited for, and what takes time; what may be done up to a time is counted by `common/lease-clock.ts`.
+ * The steady clock: a monotonic clock that never jumps, unlike the time of day. It may stop while the machine is suspended, so use
+ * it for delays and for measured durations; for permissions that expire use `common/lease-clock.ts`.
  */
 
 /** Milliseconds since the process started. */
