--- a/src/gateway/gateway-settings.ts
+++ b/src/gateway/gateway-settings.ts
@@ -14,7 +14,7 @@
 
 /** Service-level bounds that the operator guarantees for the whole system. */
 export interface GatewayBounds {
-  /** Maximum duration of a graceful stop, in seconds. */
+  /** Maximum duration of a planned stop, in seconds. */
   readonly stopSeconds: number;
   /** Maximum number of retries per request, over all daemons. */
   readonly retryRatio: number;
@@ -78,7 +78,10 @@
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** Reads and validates a settings file. Fails with `settings_invalid`; the message names the file, the key and the expected value. */
+/**
+ * Reads and validates a settings file. Fails with `settings_invalid`; the message names the file, the key and
+ * the expected value.
+ */
 export function loadGatewaySettings(file: string): Result<GatewaySettings, ServiceError> {
   let text: string;
   try {
@@ -162,7 +165,7 @@
   number(key: string, minimum: number): number {
     const value = this.fields[key];
     if (typeof value === 'number' && value >= minimum) return value;
-    this.problem(key, `a number of at minimum ${minimum}`);
+    this.problem(key, `a number of at least ${minimum}`);
     return minimum;
   }
 
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -55,7 +55,10 @@
 const TICK_MS = 100;
 /** Interval between demand reports to an owner, in milliseconds. */
 const DEMAND_PERIOD_MS = 250;
-/** Interval at which an unchanged report is repeated, in milliseconds: twice within the time for which an owner counts a report. */
+/**
+ * Interval at which an unchanged report is repeated, in milliseconds: twice within the time for which an owner
+ * counts a report.
+ */
 const DEMAND_REPEAT_MS = 1_000;
 /** Time after the start of a drain during which the load balancer may still send requests, in milliseconds. */
 const BALANCER_DELAY_MS = 2_300;
@@ -92,7 +95,7 @@
   private readonly crashes: CrashWatch;
   private readonly leavings: LeavingNews;
   private readonly directoryReader: DirectoryDuty;
-  private readonly duties: ServiceDuties;
+  private readonly ownerships: ServiceDuties;
   private readonly placements: PlacementExchange;
   private readonly front: CallerFront;
   private readonly status: StatusPorts;
@@ -112,9 +115,9 @@
 
   constructor(
     private readonly settings: GatewaySettings,
-    private readonly outside: GatewayDependencies,
+    private readonly external: GatewayDependencies,
   ) {
-    const { logger } = outside;
+    const { logger } = external;
     this.peers = new PeerGroup({
       host: settings.address,
       port: settings.peerPort,
@@ -129,11 +132,11 @@
       },
     });
     this.shares = new LimitShares(this.peers.address);
-    this.members = new MemberList(settings, outside.store, this.peers, logger, (askedAt) =>
+    this.members = new MemberList(settings, external.store, this.peers, logger, (askedAt) =>
       this.shares.recordRenewal(askedAt),
     );
     this.configurations = new ConfigurationExchange({
-      directory: outside.directory,
+      directory: external.directory,
       logger,
       version: () => this.version,
       send: (to, body) => this.peers.send(to, body),
@@ -141,7 +144,7 @@
     this.proofs = this.makeProofs();
     this.admission = new CallerAdmission({
       lease: this.proofs.lease,
-      logger: outside.logger,
+      logger: external.logger,
       revocationMs: settings.bounds.revocationMs,
       configurationMs: settings.bounds.configurationMs,
       isInformed: () => this.directoryReader.isInformed(),
@@ -151,14 +154,14 @@
     this.crashes = this.makeCrashWatch();
     this.leavings = this.makeLeavingNotices();
     this.slots = settings.policies.sharedSlots ? this.makeSlots() : undefined;
-    this.duties = new ServiceDuties({
+    this.ownerships = new ServiceDuties({
       settings,
       peers: this.peers,
-      store: outside.store,
-      control: outside.control,
+      store: external.store,
+      control: external.control,
       directory: this.backends,
       logger,
-      metrics: outside.metrics,
+      metrics: external.metrics,
       listed: () => this.members.listed,
       platformAnswersOthers: () => this.directoryReader.hearsAnsweredReader(),
       publish: (update) => this.placements.publish(update),
@@ -166,12 +169,12 @@
     this.placements = this.makePlacements();
     this.context = this.makeContext();
     this.directoryReader = new DirectoryDuty({
-      directory: outside.directory,
+      directory: external.directory,
       backends: this.backends,
       peers: this.peers,
       logger,
       version: () => this.version,
-      ownsService: () => this.duties.ownsAny(),
+      ownsService: () => this.ownerships.ownsAny(),
       inFlightAt: (backend) => this.context.tracker.inFlightAt(backend),
       onLeaving: (backend) => this.leavings.announce(backend),
       onChange: () => this.backendsChanged(),
@@ -187,11 +190,11 @@
   }
 
   private async open(): Promise<void> {
-    const { settings, outside } = this;
+    const { settings, external } = this;
     await this.peers.start();
     await this.front.start();
     await this.status.start();
-    outside.directory.start({
+    external.directory.start({
       onConfiguration: (configuration, source) => this.configure(configuration, source),
       onBackends: (list) => {
         this.hasBackendList = true;
@@ -202,12 +205,12 @@
     this.members.start();
     this.limits.start();
     const onFault = (fault: unknown): void => {
-      outside.logger.error('tick_fault', { reason: faultText(fault) });
+      external.logger.error('tick_fault', { reason: faultText(fault) });
     };
     this.ticker = startTicker(TICK_MS, () => this.tick(), onFault);
-    leaseClock.onLeap = (milliseconds) => outside.logger.warn('time_leap', { milliseconds });
-    for (const name of settings.retiredPolicies) outside.logger.warn('policy_retired', { name });
-    outside.logger.info('started', { milliseconds: Math.round(steadyNow()) });
+    leaseClock.onLeap = (milliseconds) => external.logger.warn('time_leap', { milliseconds });
+    for (const name of settings.retiredPolicies) external.logger.warn('policy_retired', { name });
+    external.logger.info('started', { milliseconds: Math.round(steadyNow()) });
   }
 
   /**
@@ -222,11 +225,11 @@
   private async finish(): Promise<void> {
     const drainStart = steadyNow();
     this.drainingSince = drainStart;
-    const { logger } = this.outside;
+    const { logger } = this.external;
     logger.info('draining', { unfinished: this.context.exchanges.size });
     // A start in progress would leave its ports open and this daemon's entry in the list of daemons.
     await this.starting;
-    this.duties.stop('the daemon stops');
+    this.ownerships.stop('the daemon stops');
     this.shares.leave();
     this.peers.leave();
     await this.members.leave();
@@ -251,41 +254,41 @@
     if (this.stopped) return;
     this.stopped = true;
     this.ticker?.stop();
-    this.outside.directory.stop();
+    this.external.directory.stop();
     this.front.stop();
     this.status.stop();
     this.peers.stop();
   }
 
   private makeProofs(): CurrencyProofs {
-    const { settings, outside, peers } = this;
+    const { settings, external, peers } = this;
     return new CurrencyProofs({
       self: peers.address,
-      logger: outside.logger,
+      logger: external.logger,
       asksPeers: settings.policies.proofsFromPeers,
       live: () => peers.live(),
       version: () => this.version,
       sendDatagram: (to, body) => peers.sendDatagram(to, body),
-      readStore: () => outside.directory.confirmConfiguration(),
+      readStore: () => external.directory.confirmConfiguration(),
       hearVersion: (from, version) => this.configurations.hearVersion(from, version),
     });
   }
 
   private makeLimits(): RateLimiting {
-    const { outside, peers, settings } = this;
+    const { external, peers, settings } = this;
     const { limitWindowSeconds, limitExcess, limitSlack } = settings.bounds;
     return new RateLimiting({
       peers,
       links: this.gossipLinks(),
-      logger: outside.logger,
-      metrics: outside.metrics,
+      logger: external.logger,
+      metrics: external.metrics,
       tenantWindow: {
         windowMs: limitWindowSeconds * 1_000,
         excess: limitExcess,
         slack: limitSlack,
       },
       shares: this.shares,
-      store: outside.store,
+      store: external.store,
       hasEnded: (address) => this.members.hasEnded(address),
       tenantLimit: (name) => this.admission.tenant(name)?.limit,
       areTenantsLimited: () => this.admission.needsKeys,
@@ -294,11 +297,11 @@
   }
 
   private makeSlots(): SlotAdmission {
-    const { outside, peers, backends } = this;
+    const { external, peers, backends } = this;
     return new SlotAdmission({
       self: peers.address,
-      logger: outside.logger,
-      metrics: outside.metrics,
+      logger: external.logger,
+      metrics: external.metrics,
       live: () => peers.live(),
       reachable: () => peers.reachableOthers(),
       slotsOf: (id) => slotsOf(backends.getServing(id)),
@@ -307,7 +310,7 @@
   }
 
   private makeCrashWatch(): CrashWatch {
-    const { logger, metrics } = this.outside;
+    const { logger, metrics } = this.external;
     return new CrashWatch({
       ...this.gossipLinks(),
       logger,
@@ -330,7 +333,7 @@
   private makeLeavingNotices(): LeavingNews {
     return new LeavingNews({
       directory: this.backends,
-      logger: this.outside.logger,
+      logger: this.external.logger,
       broadcast: (body) => this.peers.broadcast(body),
       onChange: () => this.backendsChanged(),
     });
@@ -340,9 +343,9 @@
     const { peers } = this;
     return new PlacementExchange({
       self: peers.address,
-      logger: this.outside.logger,
+      logger: this.external.logger,
       directory: this.backends,
-      everythingOf: (service) => this.duties.everythingOf(service),
+      everythingOf: (service) => this.ownerships.everythingOf(service),
       version: () => this.version,
       send: (to, body) => peers.send(to, body),
       broadcast: (body) => peers.broadcast(body),
@@ -354,7 +357,7 @@
   }
 
   private makeStatusPorts(): StatusPorts {
-    const { dialect, metrics } = this.outside;
+    const { dialect, metrics } = this.external;
     return new StatusPorts({
       settings: this.settings,
       readinessPath: dialect.readinessPath,
@@ -366,8 +369,8 @@
   }
 
   private makeContext(): GatewayContext {
-    const { settings, outside } = this;
-    const { logger, dialect, metrics, agent } = outside;
+    const { settings, external } = this;
+    const { logger, dialect, metrics, agent } = external;
     return {
       settings,
       dialect,
@@ -426,12 +429,15 @@
     this.admission.configure(configuration);
     this.proofs.lease.setVersion(configuration.version);
     for (const reason of configuration.problems) {
-      this.outside.logger.warn('configuration_problem', { version: configuration.version, reason });
+      this.external.logger.warn('configuration_problem', {
+        version: configuration.version,
+        reason,
+      });
     }
     this.front.setLimits(configuration.limits);
-    this.duties.configure(configuration);
-    this.outside.metrics.configurationVersion.set(configuration.version);
-    this.outside.logger.info('configuration', {
+    this.ownerships.configure(configuration);
+    this.external.metrics.configurationVersion.set(configuration.version);
+    this.external.logger.info('configuration', {
       version: configuration.version,
       source,
       routes: configuration.routes.length,
@@ -444,7 +450,7 @@
   private backendsChanged(): void {
     for (const restart of this.backends.takeRestarts()) forgetEarlierStart(this.context, restart);
     this.context.health.keepOnly(new Set(this.backends.all().map((backend) => backend.id)));
-    this.duties.backendsChanged();
+    this.ownerships.backendsChanged();
     this.scheduleRecheck();
   }
 
@@ -453,13 +459,13 @@
     if (!this.membersHaveChanged) return;
     this.membersHaveChanged = false;
     const live = this.peers.live().length;
-    this.outside.logger.info('members', { live, listed: this.members.listed.length });
+    this.external.logger.info('members', { live, listed: this.members.listed.length });
   }
 
   private tick(): void {
     const now = steadyNow();
     this.peers.look();
-    this.duties.tick();
+    this.ownerships.tick();
     if (this.admission.needsLease) this.proofs.tick();
     this.limits.tick();
     this.slots?.tick();
@@ -485,8 +491,8 @@
   private reportDemand(service: string): void {
     const failing = this.context.health.failingBackends(steadyNow());
     const report = this.context.tracker.report(service, this.peers.address, failing, steadyNow());
-    if (this.duties.hear(service, report)) return;
-    const owner = this.duties.ownerAddress(service);
+    if (this.ownerships.hear(service, report)) return;
+    const owner = this.ownerships.ownerAddress(service);
     if (owner === undefined) return;
     this.peers.send(owner, encodeDemand(service, report, this.version));
   }
@@ -501,7 +507,7 @@
     if (this.slots?.receive(from, body) || this.crashes.receive(from, body)) return;
     if (this.leavings.receive(from, body)) return;
     if (body.case === 'serviceDemand') {
-      this.duties.hear(body.value.service, decodeDemand(from, body.value));
+      this.ownerships.hear(body.value.service, decodeDemand(from, body.value));
       this.configurations.hearVersion(from, body.value.configurationVersion);
     }
     if (body.case === 'directoryNews') {
@@ -510,7 +516,7 @@
     }
     if (body.case === 'servicePlacement') {
       const update = decodePlacement(body.value);
-      this.duties.hearOwner(from, update.service, update.epoch);
+      this.ownerships.hearOwner(from, update.service, update.epoch);
       this.placements.hear(from, update);
       this.configurations.hearVersion(from, body.value.configurationVersion);
     }
@@ -537,7 +543,7 @@
   }
 
   private refreshMetrics(): void {
-    const { inFlight, leaseAge, controlBytes, heldBytes } = this.outside.metrics;
+    const { inFlight, leaseAge, controlBytes, heldBytes } = this.external.metrics;
     heldBytes.set(this.context.answers.heldBytes);
     this.limits.refreshMetrics(this.backends.all());
     inFlight.set(this.context.exchanges.size);
--- a/src/gateway/ownership.ts
+++ b/src/gateway/ownership.ts
@@ -18,8 +18,8 @@
 import { leaseNow } from '../common/lease-clock.js';
 import { steadyNow } from './steady-clock.js';
 
-/** Interval between two ticks above which the process counts as suspended, in milliseconds. */
-const SUSPENDED_AFTER_MS = 1_000;
+/** Interval between two ticks above which the process counts as having been paused, in milliseconds. */
+const PAUSED_AFTER_MS = 1_000;
 /** Time for which a daemon discovers the others before it claims a service, in milliseconds. */
 const DISCOVERY_MS = 700;
 /** Interval between reads of the record while it names an owner that is not live, in milliseconds. */
@@ -99,7 +99,7 @@
   private formerEpochLogged = 0;
   /** Steady time since which this daemon has known the owner in its record. */
   private ownerKnownSince = -Infinity;
-  /** Steady time since which this process has run without a suspension. */
+  /** Steady time since which this process has run without a pause. */
   private runningSince = steadyNow();
   /** Steady time since which this owner has had no proof while the platform responds to others. */
   private unprovenSince = Infinity;
@@ -128,9 +128,9 @@
     return this.record?.address;
   }
 
-  /** Whether this daemon owns the service now. Gives up the ownership if the process was suspended since the last tick. */
+  /** Whether this daemon owns the service now. Gives up the ownership if the process was paused since the last tick. */
   isOwner(): boolean {
-    this.detectSuspension(steadyNow());
+    this.detectPause(steadyNow());
     return this.epoch !== undefined;
   }
 
@@ -149,7 +149,7 @@
   /** Checks the clock and the membership, and claims or gives up the service; must be called frequently. */
   tick(): void {
     const now = steadyNow();
-    this.detectSuspension(now);
+    this.detectPause(now);
     this.detectRestore(now);
     this.lastTick = now;
     if (this.epoch !== undefined) {
@@ -255,30 +255,36 @@
     this.claimsAllowedAt = steadyNow() + CLAIM_PAUSE_MS;
   }
 
-  /** Handles a record that names another owner or is missing. Shortly after a restore the backup alone may cause this, while no other daemon acts as the owner, so this daemon does not yield. */
+  /**
+   * Handles a record that names another owner or is missing. Shortly after a restore the backup alone may cause
+   * this, while no other daemon acts as the owner, so this daemon does not yield.
+   */
   private handleLostRecord(): void {
     const isRestored = steadyNow() - this.restoredAt < TAKEOVER_DELAY_MS;
     if (isRestored) this.giveUp('the store was restored from a backup');
     else this.yieldOwnership('its record names another owner');
   }
 
-  private detectSuspension(now: number): void {
+  private detectPause(now: number): void {
     const gap = now - this.lastTick;
-    if (gap <= SUSPENDED_AFTER_MS) return;
+    if (gap <= PAUSED_AFTER_MS) return;
     this.lastTick = now;
     this.options.logger.warn('standstill', { milliseconds: Math.round(gap) });
     this.claimsAllowedAt = now + DISCOVERY_MS;
     this.runningSince = now;
     this.record = undefined;
     this.resignedEpoch = undefined;
-    this.giveUp('the process was suspended');
+    this.giveUp('the process was paused');
   }
 
   private reachesEnough(): boolean {
     return reachesHalf(this.options.peers.live(), this.options.listed());
   }
 
-  /** Whether this daemon may claim the service. The first in rank may be unable to claim, so the next ones claim after a longer silence of the owner. */
+  /**
+   * Whether this daemon may claim the service. The first in rank may be unable to claim, so the next ones claim
+   * after a longer silence of the owner.
+   */
   private isSuccessor(): boolean {
     const { peers, service } = this.options;
     const candidates = highCapacityMembers(peers.live()).map((member) => member.address);
@@ -301,7 +307,10 @@
     return owner.incarnation - record.incarnation < MIN_RESTART_MS;
   }
 
-  /** A claim from a silent owner is safe: the higher epoch, or the end of its lease, stops the orders of an owner that does not know that it was replaced. */
+  /**
+   * A claim from a silent owner is safe: the higher epoch, or the end of its lease, stops the orders of an owner
+   * that does not know that it was replaced.
+   */
   private isOwnerSilent(): boolean {
     return this.ownerSilentMs() > OWNER_SILENT_MS;
   }
@@ -382,7 +391,10 @@
     return Math.max(known, this.recordPosition()) + 1;
   }
 
-  /** Store position of the last write of the owner's record; 0 if the store reports no era, because such a store loses no writes. */
+  /**
+   * Store position of the last write of the owner's record; 0 if the store reports no era, because such a store
+   * loses no writes.
+   */
   private recordPosition(): StorePosition {
     const era = this.options.store.era() ?? 0;
     return era === 0 ? 0 : Math.max(positionOf(era, 0), this.revision ?? 0);
--- a/src/gateway/placement-exchange.ts
+++ b/src/gateway/placement-exchange.ts
@@ -1,4 +1,7 @@
-/** Receives where the owner of a service has placed models: from its updates and, after a missed update, from a full update that the daemon requests. */
+/**
+ * Receives where the owner of a service has placed models: from its updates and, after a missed update, from a
+ * full update that the daemon requests.
+ */
 import { create } from '@bufbuild/protobuf';
 import type { Logger } from '../common/logger.js';
 import type { BackendDirectory } from '../core/backend-directory.js';
@@ -60,7 +63,10 @@
     send(from, encodePlacement(fullUpdate, version()));
   }
 
-  /** Handles an incremental update that cannot be applied: takes the full placement from the owner in this process or requests it from the owner's daemon. */
+  /**
+   * Handles an incremental update that cannot be applied: takes the full placement from the owner in this
+   * process or requests it from the owner's daemon.
+   */
   private catchUp(owner: string, service: string, now: number): void {
     const { self, directory, everythingOf, onApplied } = this.options;
     if (owner !== self) return this.requestFullUpdate(owner, service, now);
--- a/src/gateway/ports.ts
+++ b/src/gateway/ports.ts
@@ -37,7 +37,10 @@
   | 'immediate'
   /** Each change within a fraction of a second, because this daemon forwards changes to others. */
   | 'close'
-  /** Like `close`, but only for this daemon. All daemons may be in this mode at the same time, so it sends fewer requests to a failing platform. */
+  /**
+   * Like `close`, but only for this daemon. All daemons may be in this mode at the same time, so it sends fewer
+   * requests to a failing platform.
+   */
   | 'alone'
   /** Reads may be seconds out of date; other daemons forward urgent changes. */
   | 'relaxed';
@@ -146,7 +149,10 @@
   readonly leaving: boolean;
   /** Rate limit that the backend states for requests from all daemons together. */
   readonly rateLimit: RateLimitNotice;
-  /** Backoff in milliseconds that the backend requests from this daemon when it rejects a request; undefined if it requests none. */
+  /**
+   * Backoff in milliseconds that the backend requests from this daemon when it rejects a request; undefined if
+   * it requests none.
+   */
   readonly backoffMs: number | undefined;
 }
 
--- a/src/gateway/service-duties.ts
+++ b/src/gateway/service-duties.ts
@@ -16,7 +16,7 @@
 /** Number of loads that the ceiling allows in each window in addition to the store's rate. */
 const EXTRA_LOADS_PER_WINDOW = 3;
 
-/** Options of {@link ServiceDuties}. */
+/** Options of {@link ServiceOwnerships}. */
 export interface ServiceDutiesOptions {
   readonly settings: GatewaySettings;
   readonly peers: PeerGroup;
--- a/src/gateway/service-owner.ts
+++ b/src/gateway/service-owner.ts
@@ -42,7 +42,10 @@
 const SUSPECT_AFTER_MS = 200;
 /** Minimum interval between two report requests to a suspected backend, in milliseconds. */
 const SUSPECT_REPORT_PERIOD_MS = 600;
-/** Interval at which the owner publishes an update even without changes of placement, with the loads that have changed, in milliseconds. */
+/**
+ * Interval at which the owner publishes an update even without changes of placement, with the loads that have
+ * changed, in milliseconds.
+ */
 const PUBLISH_PERIOD_MS = 250;
 /** Fraction of a backend's slots by which its load must change to be published again. */
 const LOAD_TOLERANCE_SHARE = 1 / 6;
@@ -282,7 +285,10 @@
     return ledger;
   }
 
-  /** Discards the orders, responses and reports of a backend's earlier process, and reserves memory for its unanswered orders that may still arrive. */
+  /**
+   * Discards the orders, responses and reports of a backend's earlier process, and reserves memory for its
+   * unanswered orders that may still arrive.
+   */
   private restartLedger(earlier: BackendLedger, backend: BackendRecord, now: number): void {
     const { id } = backend;
     this.lastReport.delete(id);
--- a/test/gateway/gateway-harness.ts
+++ b/test/gateway/gateway-harness.ts
@@ -1,4 +1,4 @@
-/** One gateway daemon in this process, with outside systems of the test's own. */
+/** Runs one gateway daemon in this process with test doubles for the external systems. */
 import http from 'node:http';
 import { Result } from 'true-myth';
 import { credentialHash } from '../../src/core/admission/api-keys.js';
@@ -21,7 +21,7 @@
 import type { DirectoryListener, RequestDialect, StoredRecord } from '../../src/gateway/ports.js';
 import { findFreePorts } from '../../src/testbed/free-ports.js';
 
-/** Headers of the tests' own spelling. */
+/** Header names and formats that only the tests use. */
 export const testDialect: RequestDialect = {
   readinessPath: '/ready',
   systemHeaders: new Set(['tenant', 'urgency', 'held']),
@@ -59,7 +59,7 @@
   ownAnswerHeaders: () => ({}),
 };
 
-/** A route of the tests; change what matters. */
+/** A route with default values for tests; `part` overrides them. */
 export function testRoute(part: Partial<Route> = {}): Route {
   return {
     name: 'route',
@@ -78,7 +78,7 @@
   };
 }
 
-/** A configuration with one service without models. */
+/** A configuration with one service that hosts no models; `part` overrides its fields. */
 export function testConfiguration(part: Partial<ServiceConfiguration> = {}): ServiceConfiguration {
   return {
     version: 1,
@@ -96,14 +96,14 @@
   };
 }
 
-/** What a test's backend does with a request. */
+/** Handles a request to a test backend. */
 export type BackendHandler = (
   request: http.IncomingMessage,
   response: http.ServerResponse,
   body: string,
 ) => void;
 
-/** A backend that counts what reaches it. */
+/** A backend that records the ids of the requests it receives. */
 export class TestBackend {
   arrivals: string[] = [];
   readonly server: http.Server;
@@ -151,20 +151,20 @@
   }
 }
 
-/** Answers with a signed body that names the request. */
+/** Answers with a signed body that contains the id of the request. */
 export function answerWhole(request: http.IncomingMessage, response: http.ServerResponse): void {
   const id = String(request.headers['request-id'] ?? '');
   response.writeHead(200, { signed: 'yes', 'request-id': id });
   response.end(`done ${id}`);
 }
 
-/** Something else than the next event comes after an event. */
+/** Calls a function instead of sending the next event of a stream. */
 export interface StreamBreak {
   readonly after: number;
   readonly with: () => void;
 }
 
-/** Answers with events `first` to `last`, one each `gapMs`, unless the stream breaks before. */
+/** Answers with events `first` to `last`, one every `gapMs` milliseconds, unless the stream breaks before. */
 export function answerEvents(
   first: number,
   last: number,
@@ -191,16 +191,16 @@
   };
 }
 
-/** An answer as the caller sees it. */
+/** An answer as the caller receives it. */
 export interface CallerView {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
-  /** Whether the answer ended as HTTP says. */
+  /** Whether the answer is complete according to HTTP. */
   readonly complete: boolean;
 }
 
-/** One request of a test. */
+/** A request that a test sends. */
 export interface TestCall {
   readonly id: string;
   readonly path?: string;
@@ -209,7 +209,7 @@
   readonly body?: string;
 }
 
-/** A running gateway. */
+/** A gateway daemon with its test doubles. */
 export class GatewayHarness {
   readonly lines: { event: string; fields: LogFields }[] = [];
   listener: DirectoryListener | undefined;
@@ -217,7 +217,7 @@
   /** Whether the platform's store confirms the configuration. */
   isStoreAnswering = true;
   private version = 0;
-  /** Revision of the last list. */
+  /** Revision of the last list of backends. */
   private revision = 0;
   readonly records = new Map<string, StoredRecord>();
   readonly gateway: Gateway;
@@ -299,12 +299,12 @@
   static async start(part: Partial<GatewaySettings> = {}): Promise<GatewayHarness> {
     const harness = await GatewayHarness.prepare(part);
     await harness.gateway.start();
-    // The slack of the retry budget is granted after its window.
+    // The retry budget grants its slack only after one window.
     await pause(2 * 1_000 * harness.settings.bounds.retryWindowSeconds);
     return harness;
   }
 
-  /** A started gateway with the usual configuration, before backends that it starts and lists. */
+  /** Starts a gateway with the default configuration, and starts and lists the given backends. */
   static async startBefore(backends: readonly TestBackend[]): Promise<GatewayHarness> {
     const harness = await GatewayHarness.start();
     for (const backend of backends) await backend.start();
@@ -313,7 +313,7 @@
     return harness;
   }
 
-  /** The platform answers, if it does, with the newest configuration that the test has given. */
+  /** Confirms the newest configuration that the test has set, if the platform's store responds. */
   private confirm(): Promise<boolean> {
     const askedAt = leaseNow();
     if (this.isStoreAnswering) this.listener?.onConfirmed(this.version, askedAt);
@@ -330,7 +330,7 @@
     this.listener?.onBackends({ backends, revision: this.revision, mayMissBackends: false });
   }
 
-  /** Sends a request on a connection of its own. */
+  /** Sends a request on a new connection and returns the whole answer. */
   call(call: TestCall): Promise<CallerView> {
     return new Promise((resolve, reject) => {
       const request = this.request(call, (response) => {
@@ -350,7 +350,7 @@
     });
   }
 
-  /** Sends a request; the test looks after the answer. */
+  /** Sends a request; the test handles the answer. */
   request(call: TestCall, onAnswer: (response: http.IncomingMessage) => void): http.ClientRequest {
     const [host, port] = this.settings.callers.split(':');
     const request = http.request(
@@ -368,12 +368,12 @@
     return request;
   }
 
-  /** What the gateway's requests share. */
+  /** State that the gateway's requests share. */
   context(): GatewayContext {
     return (this.gateway as unknown as { context: GatewayContext }).context;
   }
 
-  /** Whether a kept connection to "ip:port" rests. */
+  /** Whether the agent has an idle connection to "ip:port". */
   restingConnections(address: string): boolean {
     return this.agent.hasIdleConnection(address);
   }
@@ -397,7 +397,7 @@
   }
 }
 
-/** Waits for milliseconds. */
+/** Waits for a number of milliseconds. */
 export function pause(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
--- a/test/gateway/owner-out-of-sight.test.ts
+++ b/test/gateway/owner-out-of-sight.test.ts
@@ -1,9 +1,8 @@
 /*
- * A service had no owner for 4.9 s, and models that callers waited for were not loaded, when its owner had given it up
- * because it saw too few of the listed daemons for a moment, and saw them again. Soak seed 30010, after an outage of the
- * store in which all four daemons had started again: `ownership_ended epoch=8 reason="sees too few daemons"` at 0.146 s,
- * `members live=4 listed=4` at the same daemon at 0.457 s, `ownership_claimed epoch=9 cause="it lives but is silent"` at
- * another one at 5.079 s: it waits for 2.5 s for the owner that it has heard last, then as long for the one of the record.
+ * Failure: a service had no owner for 4.9 s (soak seed 30010), so requested models were not loaded. After a store outage in
+ * which all four daemons had restarted, the owner reached too few of the listed daemons and gave the service up (epoch 8) at
+ * 0.146 s. It reached all four again at 0.457 s but did not claim. Another daemon claimed (epoch 9) only at 5.079 s: it waits
+ * 2.5 s for the owner whose announcement it received last, and then as long for the owner in the record.
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { rankCandidates } from '../../src/common/rendezvous.js';
@@ -13,7 +12,7 @@
 const [FIRST = '', OWNER = ''] = RANKED;
 const OTHERS = RANKED.filter((address) => address !== OWNER);
 
-describe('an owner that has seen too few others for a moment', () => {
+describe('an owner that briefly reached too few other daemons', () => {
   let scene: OwnershipScene;
 
   beforeEach(async () => {
@@ -33,7 +32,7 @@
     return RANKED.filter((address) => scene.ownerships.get(address)?.epoch !== undefined);
   }
 
-  it('owns the service again at once', async () => {
+  it('claims the service again immediately', async () => {
     for (const address of OTHERS) scene.cut(OWNER, address);
     await scene.runHeard(300);
     expect(owners()).toEqual([]);
@@ -43,7 +42,7 @@
     expect(scene.ownerships.get(OWNER)?.epoch).toBe(2);
   });
 
-  it('owns it again though a former owner still speaks', async () => {
+  it('claims the service again although a former owner still announces itself', async () => {
     for (const address of OTHERS) scene.cut(OWNER, address);
     await scene.runHeard(300);
     for (const address of OTHERS) scene.heal(OWNER, address);
@@ -52,7 +51,7 @@
     expect(owners()).toEqual([OWNER]);
   });
 
-  it('leaves it to another that has claimed it meanwhile', async () => {
+  it('does not claim the service if another daemon has claimed it meanwhile', async () => {
     for (const address of OTHERS) scene.cut(OWNER, address);
     await scene.runHeard(4_000);
     expect(owners()).toEqual([FIRST]);
--- a/test/gateway/ownership-scene.ts
+++ b/test/gateway/ownership-scene.ts
@@ -1,4 +1,4 @@
-/** Daemons that may own a service, on a virtual clock, with one store and views that may differ. */
+/** Simulates daemons that may own a service, on a virtual clock, with one store and membership views that may differ. */
 import { Result } from 'true-myth';
 import { vi } from 'vitest';
 import { sleep } from '../../src/common/process.js';
@@ -8,29 +8,29 @@
 import { Ownership } from '../../src/gateway/ownership.js';
 import type { RecordFailure, RecordStore, StoredRecord } from '../../src/gateway/ports.js';
 
-/** The service that is owned. */
+/** Name of the service that the daemons own. */
 export const SERVICE = 'models';
 
-/** Between two looks of each daemon at its clock. */
+/** Interval between ticks of each daemon, in milliseconds. */
 const TICK_MS = 50;
-/** Between two words of an owner. */
-const WORD_PERIOD_MS = 250;
+/** Interval between announcements of an owner, in milliseconds. */
+const ANNOUNCEMENT_PERIOD_MS = 250;
 
-/** Daemons that see each other as the test says, and one store. */
+/** Daemons whose view of each other the test controls, and one store. */
 export class OwnershipScene {
   readonly members = new Map<string, MemberView>();
   readonly ownerships = new Map<string, Ownership>();
   record: StoredRecord | undefined;
-  /** Era of the store; 0 if it names none. */
+  /** Era of the store; 0 if the store reports none. */
   era = 0;
-  /** Daemons that the store does not answer. */
+  /** Daemons whose requests the store rejects. */
   readonly turnedAway = new Set<string>();
-  /** The store answers a write so long after it was done. */
+  /** Delay of the store's response after a write, in milliseconds. */
   answerDelayMs = 0;
-  /** A write is under way for so long before the store does it. */
+  /** Delay before the store carries out a write, in milliseconds. */
   writeDelayMs = 0;
   writesUnderWay = 0;
-  /** Pairs "a b" of daemons of which the first does not see or hear the second. */
+  /** Pairs "a b" of daemons of which the first receives nothing from the second. */
   private readonly cuts = new Set<string>();
 
   /** @param backendsCheckEpochs - Whether backends refuse orders of a lower epoch. */
@@ -59,37 +59,37 @@
     return ownership;
   }
 
-  /** Neither of two daemons sees or hears the other any more. */
+  /** Cuts the connection between two daemons in both directions. */
   cut(one: string, other: string): void {
     this.cuts.add(`${one} ${other}`);
     this.cuts.add(`${other} ${one}`);
   }
 
-  /** The store comes back with an earlier record. */
+  /** Restores the store from a backup that holds an earlier record. */
   restore(copy: StoredRecord | undefined): void {
     this.era += 1;
     const revision = positionOf(this.era, revisionOf(copy?.revision ?? 0));
     this.record = copy === undefined ? undefined : { ...copy, revision };
   }
 
-  /** They see and hear each other again. */
+  /** Restores the connection between two daemons. */
   heal(one: string, other: string): void {
     this.cuts.delete(`${one} ${other}`);
     this.cuts.delete(`${other} ${one}`);
   }
 
-  /** Time in which each owner is heard by those that it reaches. */
+  /** Advances the clock while each owner announces itself to the daemons that it reaches. */
   async runHeard(milliseconds: number, onTick = (): void => {}): Promise<void> {
     for (let passed = 0; passed < milliseconds; passed += TICK_MS) {
       await vi.advanceTimersByTimeAsync(TICK_MS);
       for (const ownership of this.ownerships.values()) ownership.tick();
-      if (passed % WORD_PERIOD_MS === 0) this.tellOwners();
+      if (passed % ANNOUNCEMENT_PERIOD_MS === 0) this.announceOwners();
       onTick();
     }
     await vi.advanceTimersByTimeAsync(0);
   }
 
-  private tellOwners(): void {
+  private announceOwners(): void {
     for (const [from, { epoch }] of this.ownerships) {
       if (epoch === undefined) continue;
       for (const [to, ownership] of this.ownerships) {
@@ -98,12 +98,12 @@
     }
   }
 
-  private async later<Answer>(answer: Answer): Promise<Answer> {
+  private async delayResponse<Answer>(answer: Answer): Promise<Answer> {
     if (this.answerDelayMs > 0) await sleep(this.answerDelayMs);
     return answer;
   }
 
-  /** As the store does it: it compares revisions, which it gives out again after a restore. */
+  /** Writes like the store: compares revisions, which the store uses again after a restore. */
   private writeRecord(
     name: string,
     value: unknown,
@@ -120,7 +120,7 @@
     return Result.ok(this.record);
   }
 
-  private async reachStore(): Promise<void> {
+  private async delayWrite(): Promise<void> {
     if (this.writeDelayMs === 0) return;
     this.writesUnderWay += 1;
     await sleep(this.writeDelayMs);
@@ -134,18 +134,21 @@
   }
 
   private storeOf(address: string): RecordStore {
-    const away = { type: 'unavailable' as const, reason: 'turned away' };
-    const isAway = (): boolean => this.turnedAway.has(address);
+    const rejection = {
+      type: 'unavailable' as const,
+      reason: 'the store rejects requests of this daemon',
+    };
+    const isRejected = (): boolean => this.turnedAway.has(address);
     return {
       era: () => this.era,
-      read: () => Promise.resolve(isAway() ? Result.err(away) : Result.ok(this.record)),
+      read: () => Promise.resolve(isRejected() ? Result.err(rejection) : Result.ok(this.record)),
       list: () => Promise.resolve(Result.ok([])),
       write: async (_kind, name, value, revision) => {
-        if (isAway()) return Result.err(away);
-        const isOfThisEra = revision === undefined || eraOf(revision) === this.era;
-        if (!isOfThisEra) return Result.err({ type: 'conflict' as const });
-        await this.reachStore();
-        return this.later(this.writeRecord(name, value, revision));
+        if (isRejected()) return Result.err(rejection);
+        const isOfCurrentEra = revision === undefined || eraOf(revision) === this.era;
+        if (!isOfCurrentEra) return Result.err({ type: 'conflict' as const });
+        await this.delayWrite();
+        return this.delayResponse(this.writeRecord(name, value, revision));
       },
       remove: () => Promise.resolve(),
     };
--- a/test/gateway/ownership.test.ts
+++ b/test/gateway/ownership.test.ts
@@ -3,8 +3,11 @@
 import type { Ownership } from '../../src/gateway/ownership.js';
 import { OwnershipScene, SERVICE } from './ownership-scene.js';
 
-/** Time in which each daemon that owns the service is heard by the others. */
-async function runHeard(ownerships: readonly Ownership[], milliseconds: number): Promise<void> {
+/** Advances the clock while each owner announces itself to the other daemons. */
+async function runWithAnnouncements(
+  ownerships: readonly Ownership[],
+  milliseconds: number,
+): Promise<void> {
   for (let passed = 0; passed < milliseconds; passed += 500) {
     await run(ownerships, 500);
     for (const owner of ownerships) {
@@ -36,35 +39,35 @@
     vi.useRealTimers();
   });
 
-  it('is claimed by the first in rank, with an epoch above the former one', async () => {
+  it('is claimed by the daemon that ranks first, with the first epoch', async () => {
     const a = scene.join(first, 1_000);
     const b = scene.join(second, 1_000);
     await run([a, b], 1_500);
     expect([a.epoch, b.epoch]).toEqual([1, undefined]);
   });
 
-  it('stays with a live owner when a daemon that ranks before it comes', async () => {
+  it('stays with a live owner when a daemon with a higher rank joins', async () => {
     const b = scene.join(second, 1_000);
     await run([b], 1_500);
     const a = scene.join(first, 9_000);
-    await runHeard([a, b], 9_000);
+    await runWithAnnouncements([a, b], 9_000);
     expect([a.epoch, b.epoch]).toEqual([undefined, 1]);
   });
 
-  it('passes on when its owner lives but has given it up', async () => {
+  it('passes to another daemon when its owner is alive but has given it up', async () => {
     const b = scene.join(second, 1_000);
     await run([b], 1_500);
     const a = scene.join(first, 1_500);
-    await runHeard([a, b], 2_000);
+    await runWithAnnouncements([a, b], 2_000);
     b.giveUp('the process stood still');
-    await runHeard([a, b], 4_000);
+    await runWithAnnouncements([a, b], 4_000);
     expect([a.epoch, b.epoch]).toEqual([2, undefined]);
   });
 
-  it('goes to one of the most powerful machines', async () => {
+  it('goes to a daemon on one of the most powerful machines', async () => {
     const a = scene.join(first, 1_000, 0.3);
     const b = scene.join(second, 1_000, 1.35);
-    await runHeard([a, b], 2_000);
+    await runWithAnnouncements([a, b], 2_000);
     expect([a.epoch, b.epoch]).toEqual([undefined, 1]);
   });
 
@@ -74,11 +77,11 @@
     const view = scene.members.get(second);
     if (view !== undefined) scene.members.set(second, { ...view, incarnation: 1_003 });
     const a = scene.join(first, 9_000);
-    await runHeard([a, b], 9_000);
+    await runWithAnnouncements([a, b], 9_000);
     expect([a.epoch, b.epoch]).toEqual([undefined, 1]);
   });
 
-  it('passes on when the owner dies, and when its process starts again', async () => {
+  it('passes to another daemon when the process of its owner has restarted', async () => {
     const b = scene.join(second, 1_000);
     await run([b], 1_500);
     const a = scene.join(first, 1_500);
@@ -88,7 +91,7 @@
     expect(a.epoch).toBe(2);
   });
 
-  it('gives no order after a standstill, before it has looked at the clock', async () => {
+  it('allows no order after a pause of the process, even before the next tick', async () => {
     const a = scene.join(first, 1_000);
     await run([a], 1_500);
     expect(a.mayOrder()).toBe(true);
@@ -97,7 +100,7 @@
     expect(a.epoch).toBeUndefined();
   });
 
-  it('is given up by a daemon that stood still, or sees too few others', async () => {
+  it('is given up by a daemon that was paused or reaches too few others', async () => {
     const a = scene.join(first, 1_000);
     await run([a], 1_500);
     expect(a.epoch).toBe(1);
--- a/test/gateway/service-owner.test.ts
+++ b/test/gateway/service-owner.test.ts
@@ -11,7 +11,7 @@
 
 const HOST = hostOf(['hot', 'rare1', 'rare2']);
 
-function recordOf(id: string, held: readonly string[]): BackendRecord {
+function recordOf(id: string, loadedModels: readonly string[]): BackendRecord {
   return {
     id,
     service: 'models',
@@ -19,7 +19,7 @@
     zone: 'a',
     slots: 64,
     leaving: false,
-    models: held.map((name) => ({ name, adapters: [] })),
+    models: loadedModels.map((name) => ({ name, adapters: [] })),
     revision: 1,
     sequence: 0,
     inMemory: [],
@@ -34,13 +34,13 @@
 describe('ServiceOwner', () => {
   const directory = new BackendDirectory();
   const orders: string[] = [];
-  let silent = '';
+  let unresponsiveBackend = '';
   let orderDelayMs = 0;
   let answerOrder: (() => Promise<OrderOutcome>) | undefined;
   let owner: ServiceOwner;
 
   function reportOf(backend: BackendRecord): BackendReport | undefined {
-    if (backend.id === silent) return undefined;
+    if (backend.id === unresponsiveBackend) return undefined;
     const { models, sequence, inMemory, onDisk } = backend;
     return {
       busy: false,
@@ -57,7 +57,7 @@
   beforeEach(() => {
     vi.useFakeTimers({ toFake: ['performance', 'setTimeout', 'Date'] });
     orders.length = 0;
-    silent = '';
+    unresponsiveBackend = '';
     orderDelayMs = 0;
     answerOrder = undefined;
     const backends = [recordOf('x', ['hot']), recordOf('y', [])];
@@ -115,7 +115,7 @@
     expect(orders.every((order) => order.endsWith('load rare1'))).toBe(true);
   });
 
-  it('waits for its lease, tells what backends hold and when the load may come, and then orders', async () => {
+  it('publishes placements and forecasts while it waits for its lease, and then sends orders', async () => {
     orderDelayMs = 2_000;
     await run(1_000, 'rare1');
     expect(orders).toEqual([]);
@@ -127,26 +127,26 @@
     expect(orders.length).toBeGreaterThan(0);
   });
 
-  it('forecasts no load while it cannot be told when one may be ordered', async () => {
+  it('forecasts no load while the delay of orders is unknown', async () => {
     orderDelayMs = Infinity;
     await run(1_000, 'rare1');
     expect(orders).toEqual([]);
     expect([...owner.everything().forecasts.keys()]).toEqual([]);
   });
 
-  it('loads a model elsewhere when its only holder has fallen silent', async () => {
+  it('loads a model on another backend when the only one that holds it stops responding', async () => {
     await run(200, 'hot');
     await run(600, 'hot');
-    silent = 'x';
+    unresponsiveBackend = 'x';
     orders.length = 0;
     await run(2_500, 'hot');
     expect(orders).toContain('y load hot');
   });
 
-  it('plans anew for a backend that starts again under its id, and takes no order of before for one of now', async () => {
+  it('plans again for a backend that restarts under its id and ignores responses to orders before the restart', async () => {
     directory.setBackends(listOf(2, { ...recordOf('y', []), start: 'one' }), 0);
     await run(800, 'unlisted');
-    // The order's answer comes when the process that took it has ended.
+    // The response to the order arrives after the process that received the order has ended.
     let answer = (): void => {};
     answerOrder = () => new Promise((resolve) => (answer = () => resolve({ type: 'accepted' })));
     await run(300, 'rare1');
@@ -163,7 +163,7 @@
     expect(orders.some((order) => order.endsWith('load rare1'))).toBe(true);
   });
 
-  it('loads a model elsewhere when its only holder fails although it says that it is well', async () => {
+  it('loads a model on another backend when the only one that holds it fails requests but reports no fault', async () => {
     await run(800, 'hot');
     orders.length = 0;
     await run(1_500, 'hot', ['x']);
--- a/test/gateway/status-ports.test.ts
+++ b/test/gateway/status-ports.test.ts
@@ -6,7 +6,7 @@
 
 const DIGEST = 'a'.repeat(32);
 
-describe('the ports for the entry and for operators', () => {
+describe('the readiness port and the metrics port', () => {
   let ports: StatusPorts;
   let metricsPort: number;
   let readinessPort: number;
@@ -30,7 +30,7 @@
   });
   afterEach(() => ports.stop());
 
-  function ask(port: number, path: string, method = 'GET'): Promise<[number, string]> {
+  function send(port: number, path: string, method = 'GET'): Promise<[number, string]> {
     return new Promise((resolve, reject) => {
       const request = http.request({ host: '127.0.0.1', port, path, method, agent: false });
       request.on('error', reject);
@@ -43,20 +43,20 @@
     });
   }
 
-  it('tell the entry whether new connections are wanted', async () => {
-    expect((await ask(readinessPort, '/ready'))[0]).toBe(503);
+  it('report to the load balancer whether the daemon accepts new connections', async () => {
+    expect((await send(readinessPort, '/ready'))[0]).toBe(503);
     isReady = true;
-    expect((await ask(readinessPort, '/ready'))[0]).toBe(200);
-    expect((await ask(readinessPort, '/other'))[0]).toBe(404);
+    expect((await send(readinessPort, '/ready'))[0]).toBe(200);
+    expect((await send(readinessPort, '/other'))[0]).toBe(404);
   });
 
-  it('list requests that are refused for crashes, and lift one', async () => {
-    const [status, body] = await ask(metricsPort, '/crashing-requests');
+  it('list requests that are refused because of crashes, and allow one again', async () => {
+    const [status, body] = await send(metricsPort, '/crashing-requests');
     expect(status).toBe(200);
     expect(JSON.parse(body)).toMatchObject([{ digest: DIGEST }]);
-    expect((await ask(metricsPort, `/crashing-requests/${DIGEST}`, 'DELETE'))[0]).toBe(200);
-    expect((await ask(metricsPort, '/crashing-requests/b', 'DELETE'))[0]).toBe(404);
-    expect((await ask(metricsPort, '/crashing-requests', 'POST'))[0]).toBe(405);
-    expect((await ask(metricsPort, '/metrics'))[0]).toBe(200);
+    expect((await send(metricsPort, `/crashing-requests/${DIGEST}`, 'DELETE'))[0]).toBe(200);
+    expect((await send(metricsPort, '/crashing-requests/b', 'DELETE'))[0]).toBe(404);
+    expect((await send(metricsPort, '/crashing-requests', 'POST'))[0]).toBe(405);
+    expect((await send(metricsPort, '/metrics'))[0]).toBe(200);
   });
 });
--- a/test/gateway/stop-at-start.test.ts
+++ b/test/gateway/stop-at-start.test.ts
@@ -1,12 +1,12 @@
 /*
- * A daemon that was asked to stop while it started entered itself in the platform's list of daemons after it
- * had left it, and ended: the list kept a daemon that is gone, and each tenant's share of its limit was
- * divided by one too many until the same daemon came back.
+ * Failure: a daemon that was stopped during its start added itself to the platform's list of daemons after it had
+ * removed itself, and then ended. The list kept an entry without a daemon, so each tenant's limit was divided
+ * among one daemon too many until that daemon was started again.
  */
 import { afterEach, describe, expect, it } from 'vitest';
 import { GatewayHarness } from './gateway-harness.js';
 
-describe('a stop while the daemon starts', () => {
+describe('a stop during the start of the daemon', () => {
   let harness: GatewayHarness | undefined;
 
   afterEach(() => harness?.stop());
--- a/test/gateway/stop.test.ts
+++ b/test/gateway/stop.test.ts
@@ -29,7 +29,7 @@
     backend.stop();
   });
 
-  it('lets a stream end that began before it', async () => {
+  it('lets a stream that began before the stop complete', async () => {
     backend.handle = answerEvents(1, 20, 20);
     const answer = harness.call({ id: 'a' });
     await pause(100);
@@ -38,7 +38,7 @@
     await stopped;
   });
 
-  it('still takes requests until the entry has noticed', async () => {
+  it('still accepts requests until the load balancer has noticed', async () => {
     const stopped = harness.gateway.drain();
     backend.handle = answerEvents(1, 2, 10);
     const answer = await harness.call({ id: 'a' });
@@ -47,7 +47,7 @@
     await stopped;
   });
 
-  it('refuses with a promise what comes later, as a stream would be cut', async () => {
+  it('refuses later requests, stating that they have not run, because a stream might be interrupted', async () => {
     backend.handle = answerEvents(1, 200, 20);
     const running = harness.call({ id: 'long', headers: { deadline: '9000' } });
     await pause(50);
--- a/test/gateway/store-restored-owners.test.ts
+++ b/test/gateway/store-restored-owners.test.ts
@@ -1,6 +1,6 @@
 /*
- * The store came back from a copy that named a former owner. It claimed the service with the epoch that the present owner had, and
- * backends that fence by the epoch took the orders of both for 30 s.
+ * Failure: the store was restored from a backup that named a former owner. That daemon claimed the service with the epoch of the
+ * current owner, and backends that fence by epoch accepted the orders of both for 30 s.
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { rankCandidates } from '../../src/common/rendezvous.js';
@@ -9,14 +9,14 @@
 import { OwnershipScene, SERVICE } from './ownership-scene.js';
 
 const SETTLED_MS = 10_000;
-const PLAYED_MS = 30_000;
+const SIMULATED_MS = 30_000;
 const STEP_MS = 50;
-/** An order may arrive so long after it was sent. */
-const ORDER_ON_ITS_WAY_MS = TAKEOVER_DELAY_MS - ORDER_LEASE_MS;
-/** Longer than between two proofs of an owner's lease. */
+/** Maximum time between sending an order and its arrival, in milliseconds. */
+const ORDER_IN_FLIGHT_MS = TAKEOVER_DELAY_MS - ORDER_LEASE_MS;
+/** Longer than the interval between two proofs of an owner's lease, in milliseconds. */
 const PROOF_PERIOD_MS = 1_000;
 
-describe('owners of a service when the store comes back from a copy', () => {
+describe('owners of a service when the store is restored from a backup', () => {
   beforeEach(() =>
     vi.useFakeTimers({ toFake: ['setTimeout', 'clearTimeout', 'performance', 'Date'] }),
   );
@@ -29,7 +29,7 @@
   }
 
   it.each([true, false])(
-    'never have the same epoch, and one of them may order later (epochs checked: %s)',
+    'never have the same epoch, and one of them may send orders afterwards (epochs checked: %s)',
     async (backendsCheckEpochs) => {
       const scene = new OwnershipScene(backendsCheckEpochs);
       scene.era = 1;
@@ -41,15 +41,15 @@
       const others = names.filter((address) => address !== former?.address);
       for (const other of others) scene.cut(former?.address ?? '', other);
       await scene.runHeard(SETTLED_MS);
-      const present = ownersOf(scene).filter(({ address }) => address !== former?.address);
-      expect(present).toHaveLength(1);
+      const current = ownersOf(scene).filter(({ address }) => address !== former?.address);
+      expect(current).toHaveLength(1);
       scene.restore(copy);
       for (const other of others) scene.heal(former?.address ?? '', other);
-      const [owner] = present;
+      const [owner] = current;
       const cutOff = others.filter((address) => address !== owner?.address)[0] ?? '';
       scene.cut(owner?.address ?? '', former?.address ?? '');
       scene.cut(owner?.address ?? '', cutOff);
-      for (let at = 0; at < PLAYED_MS; at += STEP_MS) {
+      for (let at = 0; at < SIMULATED_MS; at += STEP_MS) {
         await scene.runHeard(STEP_MS);
         const epochs = ownersOf(scene).map(({ epoch }) => epoch);
         expect(new Set(epochs).size).toBe(epochs.length);
@@ -59,7 +59,7 @@
     },
   );
 
-  it('do not own by a claim that was written under way, on another state of the same revision', async () => {
+  it('do not own a service by a claim in flight during the restore, which replaced another state of the same revision', async () => {
     const scene = new OwnershipScene(true);
     scene.era = 1;
     scene.writeDelayMs = 1_000;
@@ -77,32 +77,32 @@
     expect(ownersOf(scene)).toHaveLength(1);
   });
 
-  it('never have the same epoch, also when a claim of a former era takes the place of a later one', async () => {
+  it('never have the same epoch, even if a claim of an earlier era replaces a later one', async () => {
     const scene = new OwnershipScene(true);
     scene.era = 1;
     const names = rankCandidates(SERVICE, ['a', 'b', 'c', 'd']);
-    const [former, late, present, onlooker] = names as [string, string, string, string];
+    const [former, late, current, bystander] = names as [string, string, string, string];
     names.forEach((address, index) => scene.join(address, 1_000 + index));
     await scene.runHeard(SETTLED_MS);
     expect(ownersOf(scene).map(({ address }) => address)).toEqual([former]);
     scene.writeDelayMs = 4_000;
-    for (const other of [late, present, onlooker]) scene.cut(former, other);
+    for (const other of [late, current, bystander]) scene.cut(former, other);
     for (let at = 0; at < SETTLED_MS && scene.writesUnderWay === 0; at += STEP_MS) {
       await scene.runHeard(STEP_MS);
     }
     expect(scene.writesUnderWay).toBe(1);
     scene.writeDelayMs = 0;
-    scene.cut(late, present);
+    scene.cut(late, current);
     scene.restore(undefined);
     await scene.runHeard(SETTLED_MS);
     const owners = new Map(ownersOf(scene).map(({ address, epoch }) => [address, epoch]));
-    expect(owners.get(present)).toBeGreaterThan(positionOf(2, 0));
+    expect(owners.get(current)).toBeGreaterThan(positionOf(2, 0));
     expect(owners.get(late)).toBeGreaterThan(positionOf(2, 0));
     expect(new Set(owners.values()).size).toBe(owners.size);
   });
 
   it.each([0, 1])(
-    'leave orders the time to arrive before another owner orders, when the store has lost the record in era %i',
+    'send no orders before those of the former owner have arrived if the store has lost the record in era %i',
     async (era) => {
       const tooSoon: string[] = [];
       for (let phaseMs = 0; phaseMs < PROOF_PERIOD_MS; phaseMs += STEP_MS) {
@@ -126,7 +126,7 @@
         const last = Math.max(...(orderedAt.get(former) ?? []));
         const first = Math.min(...(orderedAt.get(second) ?? []));
         expect(Number.isFinite(first - last)).toBe(true);
-        if (first - last < ORDER_ON_ITS_WAY_MS) tooSoon.push(`${phaseMs} ms: ${first - last} ms`);
+        if (first - last < ORDER_IN_FLIGHT_MS) tooSoon.push(`${phaseMs} ms: ${first - last} ms`);
       }
       expect(tooSoon).toEqual([]);
     },
--- a/test/gateway/two-owners.test.ts
+++ b/test/gateway/two-owners.test.ts
@@ -1,13 +1,11 @@
 /**
- * Symptom: a backend that does not check epochs got an order with a lower epoch than one that it had
- * seen before: two daemons gave orders for one service.
+ * Failure: two daemons sent orders for one service, so a backend that does not check epochs received an
+ * order with a lower epoch than an earlier one.
  *
- * Sequence: an owner and the daemon that ranks after it stop hearing each other, while both still see
- * half of the daemons; the other claims the service, with a higher epoch, and gives orders; the
- * former owner is not told, for its successor does not see it, and goes on ordering.
- *
- * Cause: an owner never had to confirm that it still is one. It relied on backends that refuse a
- * lower epoch, and some do not check epochs.
+ * An owner and the next daemon in rank lose contact while both still reach half of the daemons. The
+ * other daemon claims the service with a higher epoch and sends orders. The former owner receives no
+ * announcement from it and continues to send orders, because an owner did not have to prove that it
+ * still was the owner and relied on backends that refuse lower epochs.
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { firstCandidate } from '../../src/common/rendezvous.js';
@@ -16,7 +14,7 @@
 
 const ADDRESSES = ['one', 'two', 'three', 'four', 'five'];
 
-describe('two daemons that do not hear each other', () => {
+describe('two daemons that cannot reach each other', () => {
   let scene: OwnershipScene;
 
   beforeEach(() => {
@@ -27,7 +25,7 @@
     vi.useRealTimers();
   });
 
-  /** The first in rank has owned the service for a while; the next one would be its successor. */
+  /** Lets the first daemon in rank own the service; the next in rank is its successor. */
   async function begin(): Promise<{ owner: string; successor: string }> {
     const owner = firstCandidate(SERVICE, ADDRESSES) ?? '';
     const others = ADDRESSES.filter((address) => address !== owner);
@@ -38,7 +36,7 @@
     return { owner, successor };
   }
 
-  /** The daemon stops its orders, and then says that it leaves. */
+  /** Stops the orders of a daemon, and then marks it as leaving. */
   function leave(address: string): void {
     const view = scene.members.get(address);
     if (view === undefined) throw new Error(`${address} is no member`);
@@ -50,7 +48,7 @@
     while (scene.ownerships.get(address)?.epoch === undefined) await scene.runHeard(50);
   }
 
-  /** Epochs under which orders may be given, in the order of time. */
+  /** Returns the epochs under which orders may be sent, in chronological order. */
   async function epochsOfOrders(milliseconds: number): Promise<number[]> {
     const epochs: number[] = [];
     await scene.runHeard(milliseconds, () => {
@@ -61,7 +59,7 @@
     return epochs;
   }
 
-  it('never order by turns', async () => {
+  it('never send orders alternately', async () => {
     const { owner, successor } = await begin();
     scene.cut(owner, successor);
     const epochs = await epochsOfOrders(10_000);
@@ -69,7 +67,7 @@
     expect(epochs).toEqual([...epochs].sort((a, b) => a - b));
   });
 
-  it('never order by turns when the store turns the owner away as well', async () => {
+  it('never send orders alternately when the store also rejects the owner', async () => {
     const { owner, successor } = await begin();
     scene.cut(owner, successor);
     scene.turnedAway.add(owner);
@@ -78,7 +76,7 @@
     expect(epochs).toEqual([...epochs].sort((a, b) => a - b));
   });
 
-  it('leave the service to its owner, which orders again, when the store was away for all', async () => {
+  it('leave the service to its owner, which sends orders again after a store outage for all daemons', async () => {
     const { owner } = await begin();
     for (const address of ADDRESSES) scene.turnedAway.add(address);
     await scene.runHeard(800);
@@ -91,14 +89,14 @@
     expect(scene.ownerships.get(owner)?.epoch).toBe(1);
   });
 
-  it('hand the service over without a wait for a lease when the owner says that it leaves', async () => {
+  it('hand the service over without waiting for a lease to expire when the owner announces that it is leaving', async () => {
     const { owner, successor } = await begin();
     leave(owner);
     await scene.runHeard(1_500);
     expect(scene.ownerships.get(successor)?.mayOrder()).toBe(true);
   });
 
-  it('wait for the owner before the former one, too, when that one leaves while it waits itself', async () => {
+  it('also wait for the lease of the first owner when the second one leaves during its own wait', async () => {
     const { owner, successor } = await begin();
     scene.cut(owner, successor);
     await runUntilOwned(successor);
@@ -108,7 +106,7 @@
     expect(epochs).toEqual([...epochs].sort((a, b) => a - b));
   });
 
-  it('wait for the owner before it when the successor gives up while it waits, and claims again', async () => {
+  it('wait for the lease of the first owner when its successor gives up during the wait and claims again', async () => {
     const { owner, successor } = await begin();
     scene.cut(owner, successor);
     scene.turnedAway.add(owner);
@@ -119,7 +117,7 @@
     expect(epochs).toEqual([...epochs].sort((a, b) => a - b));
   });
 
-  it('wait for an owner that has refuted so many suspicions that it seems to be a new process', async () => {
+  it('wait for the lease of an owner that appears to have restarted because it refuted many suspicions', async () => {
     const { owner, successor } = await begin();
     const view = scene.members.get(owner);
     if (view === undefined) throw new Error('the owner is no member');
@@ -130,7 +128,7 @@
     expect(epochs).toEqual([...epochs].sort((a, b) => a - b));
   });
 
-  it('take up no claim that is answered after they were asked to stop', async () => {
+  it('ignore the response to a claim that arrives after the stop', async () => {
     const owner = scene.join('one', 1_000);
     scene.answerDelayMs = 200;
     await scene.runHeard(900);
@@ -139,7 +137,7 @@
     expect([owner.epoch, owner.mayOrder()]).toEqual([undefined, false]);
   });
 
-  it('leave the service to others when the platform answers these, and not the owner', async () => {
+  it('pass the service to another daemon when the platform responds to the others but not to the owner', async () => {
     const { owner } = await begin();
     scene.turnedAway.add(owner);
     const epochs = await epochsOfOrders(12_000);
@@ -147,7 +145,7 @@
     expect(epochs).toEqual([...epochs].sort((a, b) => a - b));
   });
 
-  it('order nothing after a standstill, whatever they had proved before', async () => {
+  it('send no orders after a pause of the process, regardless of earlier proofs', async () => {
     const { owner } = await begin();
     await vi.advanceTimersByTimeAsync(ORDER_LEASE_MS + 100);
     expect(scene.ownerships.get(owner)?.mayOrder()).toBe(false);
