--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -115,9 +115,9 @@
 
   constructor(
     private readonly settings: GatewaySettings,
-    private readonly external: GatewayDependencies,
+    private readonly systems: GatewayDependencies,
   ) {
-    const { logger } = external;
+    const { logger } = systems;
     this.peers = new PeerGroup({
       host: settings.address,
       port: settings.peerPort,
@@ -132,11 +132,11 @@
       },
     });
     this.shares = new LimitShares(this.peers.address);
-    this.members = new MemberList(settings, external.store, this.peers, logger, (askedAt) =>
+    this.members = new MemberList(settings, systems.store, this.peers, logger, (askedAt) =>
       this.shares.recordRenewal(askedAt),
     );
     this.configurations = new ConfigurationExchange({
-      directory: external.directory,
+      directory: systems.directory,
       logger,
       version: () => this.version,
       send: (to, body) => this.peers.send(to, body),
@@ -144,7 +144,7 @@
     this.proofs = this.makeProofs();
     this.admission = new CallerAdmission({
       lease: this.proofs.lease,
-      logger: external.logger,
+      logger: systems.logger,
       revocationMs: settings.bounds.revocationMs,
       configurationMs: settings.bounds.configurationMs,
       isInformed: () => this.directoryReader.isInformed(),
@@ -157,11 +157,11 @@
     this.ownerships = new ServiceDuties({
       settings,
       peers: this.peers,
-      store: external.store,
-      control: external.control,
+      store: systems.store,
+      control: systems.control,
       directory: this.backends,
       logger,
-      metrics: external.metrics,
+      metrics: systems.metrics,
       listed: () => this.members.listed,
       platformAnswersOthers: () => this.directoryReader.hearsAnsweredReader(),
       publish: (update) => this.placements.publish(update),
@@ -169,7 +169,7 @@
     this.placements = this.makePlacements();
     this.context = this.makeContext();
     this.directoryReader = new DirectoryDuty({
-      directory: external.directory,
+      directory: systems.directory,
       backends: this.backends,
       peers: this.peers,
       logger,
@@ -190,11 +190,11 @@
   }
 
   private async open(): Promise<void> {
-    const { settings, external } = this;
+    const { settings, systems } = this;
     await this.peers.start();
     await this.front.start();
     await this.status.start();
-    external.directory.start({
+    systems.directory.start({
       onConfiguration: (configuration, source) => this.configure(configuration, source),
       onBackends: (list) => {
         this.hasBackendList = true;
@@ -205,12 +205,12 @@
     this.members.start();
     this.limits.start();
     const onFault = (fault: unknown): void => {
-      external.logger.error('tick_fault', { reason: faultText(fault) });
+      systems.logger.error('tick_fault', { reason: faultText(fault) });
     };
     this.ticker = startTicker(TICK_MS, () => this.tick(), onFault);
-    leaseClock.onLeap = (milliseconds) => external.logger.warn('time_leap', { milliseconds });
-    for (const name of settings.retiredPolicies) external.logger.warn('policy_retired', { name });
-    external.logger.info('started', { milliseconds: Math.round(steadyNow()) });
+    leaseClock.onLeap = (milliseconds) => systems.logger.warn('time_leap', { milliseconds });
+    for (const name of settings.retiredPolicies) systems.logger.warn('policy_retired', { name });
+    systems.logger.info('started', { milliseconds: Math.round(steadyNow()) });
   }
 
   /**
@@ -225,7 +225,7 @@
   private async finish(): Promise<void> {
     const drainStart = steadyNow();
     this.drainingSince = drainStart;
-    const { logger } = this.external;
+    const { logger } = this.systems;
     logger.info('draining', { unfinished: this.context.exchanges.size });
     // A start in progress would leave its ports open and this daemon's entry in the list of daemons.
     await this.starting;
@@ -254,41 +254,41 @@
     if (this.stopped) return;
     this.stopped = true;
     this.ticker?.stop();
-    this.external.directory.stop();
+    this.systems.directory.stop();
     this.front.stop();
     this.status.stop();
     this.peers.stop();
   }
 
   private makeProofs(): CurrencyProofs {
-    const { settings, external, peers } = this;
+    const { settings, systems, peers } = this;
     return new CurrencyProofs({
       self: peers.address,
-      logger: external.logger,
+      logger: systems.logger,
       asksPeers: settings.policies.proofsFromPeers,
       live: () => peers.live(),
       version: () => this.version,
       sendDatagram: (to, body) => peers.sendDatagram(to, body),
-      readStore: () => external.directory.confirmConfiguration(),
+      readStore: () => systems.directory.confirmConfiguration(),
       hearVersion: (from, version) => this.configurations.hearVersion(from, version),
     });
   }
 
   private makeLimits(): RateLimiting {
-    const { external, peers, settings } = this;
+    const { systems, peers, settings } = this;
     const { limitWindowSeconds, limitExcess, limitSlack } = settings.bounds;
     return new RateLimiting({
       peers,
       links: this.gossipLinks(),
-      logger: external.logger,
-      metrics: external.metrics,
+      logger: systems.logger,
+      metrics: systems.metrics,
       tenantWindow: {
         windowMs: limitWindowSeconds * 1_000,
         excess: limitExcess,
         slack: limitSlack,
       },
       shares: this.shares,
-      store: external.store,
+      store: systems.store,
       hasEnded: (address) => this.members.hasEnded(address),
       tenantLimit: (name) => this.admission.tenant(name)?.limit,
       areTenantsLimited: () => this.admission.needsKeys,
@@ -297,11 +297,11 @@
   }
 
   private makeSlots(): SlotAdmission {
-    const { external, peers, backends } = this;
+    const { systems, peers, backends } = this;
     return new SlotAdmission({
       self: peers.address,
-      logger: external.logger,
-      metrics: external.metrics,
+      logger: systems.logger,
+      metrics: systems.metrics,
       live: () => peers.live(),
       reachable: () => peers.reachableOthers(),
       slotsOf: (id) => slotsOf(backends.getServing(id)),
@@ -310,7 +310,7 @@
   }
 
   private makeCrashWatch(): CrashWatch {
-    const { logger, metrics } = this.external;
+    const { logger, metrics } = this.systems;
     return new CrashWatch({
       ...this.gossipLinks(),
       logger,
@@ -333,7 +333,7 @@
   private makeLeavingNotices(): LeavingNews {
     return new LeavingNews({
       directory: this.backends,
-      logger: this.external.logger,
+      logger: this.systems.logger,
       broadcast: (body) => this.peers.broadcast(body),
       onChange: () => this.backendsChanged(),
     });
@@ -343,7 +343,7 @@
     const { peers } = this;
     return new PlacementExchange({
       self: peers.address,
-      logger: this.external.logger,
+      logger: this.systems.logger,
       directory: this.backends,
       everythingOf: (service) => this.ownerships.everythingOf(service),
       version: () => this.version,
@@ -357,7 +357,7 @@
   }
 
   private makeStatusPorts(): StatusPorts {
-    const { dialect, metrics } = this.external;
+    const { dialect, metrics } = this.systems;
     return new StatusPorts({
       settings: this.settings,
       readinessPath: dialect.readinessPath,
@@ -369,8 +369,8 @@
   }
 
   private makeContext(): GatewayContext {
-    const { settings, external } = this;
-    const { logger, dialect, metrics, agent } = external;
+    const { settings, systems } = this;
+    const { logger, dialect, metrics, agent } = systems;
     return {
       settings,
       dialect,
@@ -429,15 +429,15 @@
     this.admission.configure(configuration);
     this.proofs.lease.setVersion(configuration.version);
     for (const reason of configuration.problems) {
-      this.external.logger.warn('configuration_problem', {
+      this.systems.logger.warn('configuration_problem', {
         version: configuration.version,
         reason,
       });
     }
     this.front.setLimits(configuration.limits);
     this.ownerships.configure(configuration);
-    this.external.metrics.configurationVersion.set(configuration.version);
-    this.external.logger.info('configuration', {
+    this.systems.metrics.configurationVersion.set(configuration.version);
+    this.systems.logger.info('configuration', {
       version: configuration.version,
       source,
       routes: configuration.routes.length,
@@ -459,7 +459,7 @@
     if (!this.membersHaveChanged) return;
     this.membersHaveChanged = false;
     const live = this.peers.live().length;
-    this.external.logger.info('members', { live, listed: this.members.listed.length });
+    this.systems.logger.info('members', { live, listed: this.members.listed.length });
   }
 
   private tick(): void {
@@ -543,7 +543,7 @@
   }
 
   private refreshMetrics(): void {
-    const { inFlight, leaseAge, controlBytes, heldBytes } = this.external.metrics;
+    const { inFlight, leaseAge, controlBytes, heldBytes } = this.systems.metrics;
     heldBytes.set(this.context.answers.heldBytes);
     this.limits.refreshMetrics(this.backends.all());
     inFlight.set(this.context.exchanges.size);
