--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -429,10 +429,7 @@
     this.admission.configure(configuration);
     this.proofs.lease.setVersion(configuration.version);
     for (const reason of configuration.problems) {
-      this.systems.logger.warn('configuration_problem', {
-        version: configuration.version,
-        reason,
-      });
+      this.systems.logger.warn('configuration_problem', { version: configuration.version, reason });
     }
     this.front.setLimits(configuration.limits);
     this.ownerships.configure(configuration);
