--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -1,6 +1,6 @@
 /**
- * One gateway daemon: serves opaque requests on routes to services, and owns
- * services by rank. Puts the parts together.
+ * One gateway daemon: forwards opaque requests to services by route and owns services
+ * according to its rank among the daemons. Creates and connects the daemon's components.
  */
 import { faultText, type Logger } from '../common/logger.js';
 import { leaseClock, leaseNow } from '../common/lease-clock.js';
@@ -51,24 +51,27 @@
 import { StatusPorts } from './status-ports.js';
 import { RateLimiting } from './rate-limiting.js';
 
-/** Between two looks at the clock: of the membership, the duties, and what is told. */
+/** Interval of the periodic work of the membership, the owned services and the exchanges with other daemons, in milliseconds. */
 const TICK_MS = 100;
-/** Between two reports of demand to an owner. */
+/** Interval between demand reports to an owner, in milliseconds. */
 const DEMAND_PERIOD_MS = 250;
-/** An unchanged report is repeated so often: twice within the time that an owner counts it. */
+/**
+ * Interval at which an unchanged report is repeated, in milliseconds: twice within the time for which an owner
+ * counts a report.
+ */
 const DEMAND_REPEAT_MS = 1_000;
-/** After a stop is asked for, callers still come until the entry has noticed. */
-const ENTRY_NOTICES_MS = 2_300;
-/** Left of the time for a stop when what still runs is broken off. */
+/** Time after the start of a drain during which the load balancer may still send requests, in milliseconds. */
+const BALANCER_DELAY_MS = 2_300;
+/** Time before the end of a stop at which requests still in flight are interrupted, in milliseconds. */
 const STOP_MARGIN_MS = 500;
 
-/** The outside systems. */
+/** External systems that a gateway uses. */
 export interface GatewayDependencies {
   readonly directory: PlatformDirectory;
   readonly store: RecordStore;
   readonly control: BackendControl;
   readonly dialect: RequestDialect;
-  /** Keeps the connections to backends. */
+  /** Pools the connections to backends. */
   readonly agent: BackendAgent;
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
@@ -79,7 +82,7 @@
   private readonly context: GatewayContext;
   private readonly backends = new BackendDirectory();
   private readonly budgets = new Map<string, RetryBudget>();
-  /** By route. */
+  /** Deadlines of earlier callers, by route. */
   private readonly callerDeadlines = new Map<string, CallerDeadlines>();
   private readonly peers: PeerGroup;
   private readonly shares: LimitShares;
@@ -91,30 +94,30 @@
   private readonly slots: SlotAdmission | undefined;
   private readonly crashes: CrashWatch;
   private readonly leavings: LeavingNews;
-  private readonly directoryDuty: DirectoryDuty;
-  private readonly duties: ServiceDuties;
+  private readonly directoryReader: DirectoryDuty;
+  private readonly ownerships: ServiceDuties;
   private readonly placements: PlacementExchange;
   private readonly front: CallerFront;
   private readonly status: StatusPorts;
   private readonly startedAt = steadyNow();
   private routing: RoutingTable | undefined;
-  private knowsBackends = false;
-  /** Steady time at which a stop was asked for. */
+  private hasBackendList = false;
+  /** Steady time at which the drain started. */
   private drainingSince: number | undefined;
   private starting: Promise<void> | undefined;
   private draining: Promise<void> | undefined;
   private stopped = false;
   private ticker: Ticker | undefined;
-  private lastDemand = 0;
-  private lastRepeated = 0;
-  private lookScheduled = false;
+  private lastReport = 0;
+  private lastFullReport = 0;
+  private recheckScheduled = false;
   private membersHaveChanged = false;
 
   constructor(
     private readonly settings: GatewaySettings,
-    private readonly outside: GatewayDependencies,
+    private readonly systems: GatewayDependencies,
   ) {
-    const { logger } = outside;
+    const { logger } = systems;
     this.peers = new PeerGroup({
       host: settings.address,
       port: settings.peerPort,
@@ -129,11 +132,11 @@
       },
     });
     this.shares = new LimitShares(this.peers.address);
-    this.members = new MemberList(settings, outside.store, this.peers, logger, (askedAt) =>
+    this.members = new MemberList(settings, systems.store, this.peers, logger, (askedAt) =>
       this.shares.recordRenewal(askedAt),
     );
     this.configurations = new ConfigurationExchange({
-      directory: outside.directory,
+      directory: systems.directory,
       logger,
       version: () => this.version,
       send: (to, body) => this.peers.send(to, body),
@@ -141,37 +144,37 @@
     this.proofs = this.makeProofs();
     this.admission = new CallerAdmission({
       lease: this.proofs.lease,
-      logger: outside.logger,
+      logger: systems.logger,
       revocationMs: settings.bounds.revocationMs,
       configurationMs: settings.bounds.configurationMs,
-      isInformed: () => this.directoryDuty.isInformed(),
+      isInformed: () => this.directoryReader.isInformed(),
       onDoubt: () => this.proofs.tick(),
     });
     this.limits = this.makeLimits();
     this.crashes = this.makeCrashWatch();
-    this.leavings = this.makeLeavingNews();
+    this.leavings = this.makeLeavingNotices();
     this.slots = settings.policies.sharedSlots ? this.makeSlots() : undefined;
-    this.duties = new ServiceDuties({
+    this.ownerships = new ServiceDuties({
       settings,
       peers: this.peers,
-      store: outside.store,
-      control: outside.control,
+      store: systems.store,
+      control: systems.control,
       directory: this.backends,
       logger,
-      metrics: outside.metrics,
+      metrics: systems.metrics,
       listed: () => this.members.listed,
-      platformAnswersOthers: () => this.directoryDuty.hearsAnsweredReader(),
+      platformAnswersOthers: () => this.directoryReader.hearsAnsweredReader(),
       publish: (update) => this.placements.publish(update),
     });
     this.placements = this.makePlacements();
     this.context = this.makeContext();
-    this.directoryDuty = new DirectoryDuty({
-      directory: outside.directory,
+    this.directoryReader = new DirectoryDuty({
+      directory: systems.directory,
       backends: this.backends,
       peers: this.peers,
       logger,
       version: () => this.version,
-      ownsService: () => this.duties.ownsAny(),
+      ownsService: () => this.ownerships.ownsAny(),
       inFlightAt: (backend) => this.context.tracker.inFlightAt(backend),
       onLeaving: (backend) => this.leavings.announce(backend),
       onChange: () => this.backendsChanged(),
@@ -180,39 +183,39 @@
     this.status = this.makeStatusPorts();
   }
 
-  /** Opens the ports and follows the platform. */
+  /** Opens the ports and starts to watch the platform. */
   start(): Promise<void> {
     this.starting = this.open();
     return this.starting;
   }
 
   private async open(): Promise<void> {
-    const { settings, outside } = this;
+    const { settings, systems } = this;
     await this.peers.start();
     await this.front.start();
     await this.status.start();
-    outside.directory.start({
+    systems.directory.start({
       onConfiguration: (configuration, source) => this.configure(configuration, source),
       onBackends: (list) => {
-        this.knowsBackends = true;
-        this.directoryDuty.takeList(list);
+        this.hasBackendList = true;
+        this.directoryReader.takeList(list);
       },
       onConfirmed: (version, askedAt) => this.proofs.confirmed(version, askedAt),
     });
     this.members.start();
     this.limits.start();
     const onFault = (fault: unknown): void => {
-      outside.logger.error('tick_fault', { reason: faultText(fault) });
+      systems.logger.error('tick_fault', { reason: faultText(fault) });
     };
     this.ticker = startTicker(TICK_MS, () => this.tick(), onFault);
-    leaseClock.onLeap = (milliseconds) => outside.logger.warn('time_leap', { milliseconds });
-    for (const name of settings.retiredPolicies) outside.logger.warn('policy_retired', { name });
-    outside.logger.info('started', { milliseconds: Math.round(steadyNow()) });
+    leaseClock.onLeap = (milliseconds) => systems.logger.warn('time_leap', { milliseconds });
+    for (const name of settings.retiredPolicies) systems.logger.warn('policy_retired', { name });
+    systems.logger.info('started', { milliseconds: Math.round(steadyNow()) });
   }
 
   /**
-   * Ends without cutting a request, as far as the time for a stop allows. Asked again, it waits for the same end:
-   * a second signal to stop must not end the process under requests that the first one lets finish.
+   * Stops gracefully: requests in flight may complete within the time for a stop. A further call waits for the same drain,
+   * because a second stop signal must not end the process while requests that the first one lets complete are in flight.
    */
   drain(): Promise<void> {
     this.draining ??= this.finish();
@@ -220,85 +223,85 @@
   }
 
   private async finish(): Promise<void> {
-    const begun = steadyNow();
-    this.drainingSince = begun;
-    const { logger } = this.outside;
+    const drainStart = steadyNow();
+    this.drainingSince = drainStart;
+    const { logger } = this.systems;
     logger.info('draining', { unfinished: this.context.exchanges.size });
-    // What a start under way still opens would be left open, and its entry in the list of daemons kept.
+    // A start in progress would leave its ports open and this daemon's entry in the list of daemons.
     await this.starting;
-    this.duties.stop('the daemon stops');
+    this.ownerships.stop('the daemon stops');
     this.shares.leave();
     this.peers.leave();
     await this.members.leave();
-    const limit = begun + this.settings.bounds.stopSeconds * 1_000 - STOP_MARGIN_MS;
-    while (steadyNow() < limit && !this.isDrained(begun)) await sleep(50);
+    const limit = drainStart + this.settings.bounds.stopSeconds * 1_000 - STOP_MARGIN_MS;
+    while (steadyNow() < limit && !this.isDrained(drainStart)) await sleep(50);
     for (const exchange of [...this.context.exchanges]) exchange.interrupt();
     await sleep(50);
     this.stop();
-    logger.info('stopped', { milliseconds: Math.round(steadyNow() - begun) });
+    logger.info('stopped', { milliseconds: Math.round(steadyNow() - drainStart) });
   }
 
-  private isDrained(begun: number): boolean {
-    if (steadyNow() - begun < ENTRY_NOTICES_MS) return false;
-    // Node takes a connection whose answer is written, but not read, for one that rests.
+  private isDrained(drainStart: number): boolean {
+    if (steadyNow() - drainStart < BALANCER_DELAY_MS) return false;
+    // Node treats a connection as idle once its answer is written, although the caller has not read it yet.
     if (this.context.answers.unreadCallers > 0) return false;
     this.front.closeIdle();
     return this.context.exchanges.size === 0;
   }
 
-  /** Closes all ports at once. */
+  /** Closes all ports immediately. */
   stop(): void {
     if (this.stopped) return;
     this.stopped = true;
     this.ticker?.stop();
-    this.outside.directory.stop();
+    this.systems.directory.stop();
     this.front.stop();
     this.status.stop();
     this.peers.stop();
   }
 
   private makeProofs(): CurrencyProofs {
-    const { settings, outside, peers } = this;
+    const { settings, systems, peers } = this;
     return new CurrencyProofs({
       self: peers.address,
-      logger: outside.logger,
+      logger: systems.logger,
       asksPeers: settings.policies.proofsFromPeers,
       live: () => peers.live(),
       version: () => this.version,
       sendDatagram: (to, body) => peers.sendDatagram(to, body),
-      readStore: () => outside.directory.confirmConfiguration(),
+      readStore: () => systems.directory.confirmConfiguration(),
       hearVersion: (from, version) => this.configurations.hearVersion(from, version),
     });
   }
 
   private makeLimits(): RateLimiting {
-    const { outside, peers, settings } = this;
+    const { systems, peers, settings } = this;
     const { limitWindowSeconds, limitExcess, limitSlack } = settings.bounds;
     return new RateLimiting({
       peers,
       links: this.gossipLinks(),
-      logger: outside.logger,
-      metrics: outside.metrics,
+      logger: systems.logger,
+      metrics: systems.metrics,
       tenantWindow: {
         windowMs: limitWindowSeconds * 1_000,
         excess: limitExcess,
         slack: limitSlack,
       },
       shares: this.shares,
-      store: outside.store,
+      store: systems.store,
       hasEnded: (address) => this.members.hasEnded(address),
       tenantLimit: (name) => this.admission.tenant(name)?.limit,
       areTenantsLimited: () => this.admission.needsKeys,
-      onChange: () => this.scheduleLook(),
+      onChange: () => this.scheduleRecheck(),
     });
   }
 
   private makeSlots(): SlotAdmission {
-    const { outside, peers, backends } = this;
+    const { systems, peers, backends } = this;
     return new SlotAdmission({
       self: peers.address,
-      logger: outside.logger,
-      metrics: outside.metrics,
+      logger: systems.logger,
+      metrics: systems.metrics,
       live: () => peers.live(),
       reachable: () => peers.reachableOthers(),
       slotsOf: (id) => slotsOf(backends.getServing(id)),
@@ -307,13 +310,13 @@
   }
 
   private makeCrashWatch(): CrashWatch {
-    const { logger, metrics } = this.outside;
+    const { logger, metrics } = this.systems;
     return new CrashWatch({
       ...this.gossipLinks(),
       logger,
       metrics,
       listed: (backend) => this.backends.get(backend),
-      onCondemned: () => this.scheduleLook(),
+      onCondemned: () => this.scheduleRecheck(),
     });
   }
 
@@ -327,10 +330,10 @@
     };
   }
 
-  private makeLeavingNews(): LeavingNews {
+  private makeLeavingNotices(): LeavingNews {
     return new LeavingNews({
       directory: this.backends,
-      logger: this.outside.logger,
+      logger: this.systems.logger,
       broadcast: (body) => this.peers.broadcast(body),
       onChange: () => this.backendsChanged(),
     });
@@ -340,21 +343,21 @@
     const { peers } = this;
     return new PlacementExchange({
       self: peers.address,
-      logger: this.outside.logger,
+      logger: this.systems.logger,
       directory: this.backends,
-      everythingOf: (service) => this.duties.everythingOf(service),
+      everythingOf: (service) => this.ownerships.everythingOf(service),
       version: () => this.version,
       send: (to, body) => peers.send(to, body),
       broadcast: (body) => peers.broadcast(body),
       onNewOwner: (service, now) => {
         if (this.settings.policies.recallDemand) this.context.tracker.recall(service, now);
       },
-      onApplied: () => this.scheduleLook(),
+      onApplied: () => this.scheduleRecheck(),
     });
   }
 
   private makeStatusPorts(): StatusPorts {
-    const { dialect, metrics } = this.outside;
+    const { dialect, metrics } = this.systems;
     return new StatusPorts({
       settings: this.settings,
       readinessPath: dialect.readinessPath,
@@ -366,8 +369,8 @@
   }
 
   private makeContext(): GatewayContext {
-    const { settings, outside } = this;
-    const { logger, dialect, metrics, agent } = outside;
+    const { settings, systems } = this;
+    const { logger, dialect, metrics, agent } = systems;
     return {
       settings,
       dialect,
@@ -392,18 +395,18 @@
         metrics,
       }),
       exchanges: new Set<RequestExchange>(),
-      backendsAgeMs: () => this.directoryDuty.knowledgeAgeMs(),
+      backendsAgeMs: () => this.directoryReader.knowledgeAgeMs(),
       budgetOf: (service) => this.budgetOf(service),
       budgetParts: () => 1 / this.shares.ownShare(leaseNow()),
-      noteCaller: (route, deadlineMs) => this.noteCaller(route, deadlineMs),
+      noteCaller: (route, deadlineMs) => this.recordCallerDeadline(route, deadlineMs),
       demandUrgent: (service) => this.reportDemand(service),
-      lookAgain: () => this.scheduleLook(),
+      lookAgain: () => this.scheduleRecheck(),
       isDraining: () => this.drainingSince !== undefined,
       refusesRequests: () => this.refusesRequests(),
     };
   }
 
-  private noteCaller(route: string, deadlineMs: number | undefined): boolean {
+  private recordCallerDeadline(route: string, deadlineMs: number | undefined): boolean {
     if (deadlineMs === undefined || !this.settings.policies.keepReturningCallers) return false;
     const deadlines = this.callerDeadlines.get(route) ?? new CallerDeadlines();
     this.callerDeadlines.set(route, deadlines);
@@ -426,67 +429,67 @@
     this.admission.configure(configuration);
     this.proofs.lease.setVersion(configuration.version);
     for (const reason of configuration.problems) {
-      this.outside.logger.warn('configuration_problem', { version: configuration.version, reason });
+      this.systems.logger.warn('configuration_problem', { version: configuration.version, reason });
     }
     this.front.setLimits(configuration.limits);
-    this.duties.configure(configuration);
-    this.outside.metrics.configurationVersion.set(configuration.version);
-    this.outside.logger.info('configuration', {
+    this.ownerships.configure(configuration);
+    this.systems.metrics.configurationVersion.set(configuration.version);
+    this.systems.logger.info('configuration', {
       version: configuration.version,
       source,
       routes: configuration.routes.length,
       services: configuration.services.length,
     });
-    this.directoryDuty.configurationChanged();
-    this.scheduleLook();
+    this.directoryReader.configurationChanged();
+    this.scheduleRecheck();
   }
 
   private backendsChanged(): void {
     for (const restart of this.backends.takeRestarts()) forgetEarlierStart(this.context, restart);
     this.context.health.keepOnly(new Set(this.backends.all().map((backend) => backend.id)));
-    this.duties.backendsChanged();
-    this.scheduleLook();
+    this.ownerships.backendsChanged();
+    this.scheduleRecheck();
   }
 
-  /** One line for all changes of a period: at a start every daemon hears of every other. */
+  /** Logs one line for all changes of a period, because a starting daemon discovers all others at about the same time. */
   private logMembers(): void {
     if (!this.membersHaveChanged) return;
     this.membersHaveChanged = false;
     const live = this.peers.live().length;
-    this.outside.logger.info('members', { live, listed: this.members.listed.length });
+    this.systems.logger.info('members', { live, listed: this.members.listed.length });
   }
 
   private tick(): void {
     const now = steadyNow();
     this.peers.look();
-    this.duties.tick();
+    this.ownerships.tick();
     if (this.admission.needsLease) this.proofs.tick();
     this.limits.tick();
     this.slots?.tick();
     this.crashes.tick();
     this.leavings.tick();
-    if (now - this.lastDemand < DEMAND_PERIOD_MS) return;
-    this.lastDemand = now;
+    if (now - this.lastReport < DEMAND_PERIOD_MS) return;
+    this.lastReport = now;
     this.logMembers();
-    this.directoryDuty.tick();
+    this.directoryReader.tick();
     this.reportAll(now);
   }
 
-  /** Reports what has changed, and all in time before the owner takes this daemon for silent. */
+  /** Reports changed demand, and periodically all demand, before the owner considers this daemon's reports outdated. */
   private reportAll(now: number): void {
     const { tracker } = this.context;
-    const isRepeated = now - this.lastRepeated >= DEMAND_REPEAT_MS;
-    if (isRepeated) this.lastRepeated = now;
+    const isFullReport = now - this.lastFullReport >= DEMAND_REPEAT_MS;
+    if (isFullReport) this.lastFullReport = now;
     for (const service of tracker.activeServices()) {
-      if (isRepeated || tracker.hasChanged(service)) this.reportDemand(service);
+      if (isFullReport || tracker.hasChanged(service)) this.reportDemand(service);
     }
   }
 
   private reportDemand(service: string): void {
     const failing = this.context.health.failingBackends(steadyNow());
     const report = this.context.tracker.report(service, this.peers.address, failing, steadyNow());
-    if (this.duties.hear(service, report)) return;
-    const owner = this.duties.ownerAddress(service);
+    if (this.ownerships.hear(service, report)) return;
+    const owner = this.ownerships.ownerAddress(service);
     if (owner === undefined) return;
     this.peers.send(owner, encodeDemand(service, report, this.version));
   }
@@ -501,43 +504,43 @@
     if (this.slots?.receive(from, body) || this.crashes.receive(from, body)) return;
     if (this.leavings.receive(from, body)) return;
     if (body.case === 'serviceDemand') {
-      this.duties.hear(body.value.service, decodeDemand(from, body.value));
+      this.ownerships.hear(body.value.service, decodeDemand(from, body.value));
       this.configurations.hearVersion(from, body.value.configurationVersion);
     }
     if (body.case === 'directoryNews') {
-      this.directoryDuty.hear(from, body.value);
+      this.directoryReader.hear(from, body.value);
       this.configurations.hearVersion(from, body.value.configurationVersion);
     }
     if (body.case === 'servicePlacement') {
       const update = decodePlacement(body.value);
-      this.duties.hearOwner(from, update.service, update.epoch);
+      this.ownerships.hearOwner(from, update.service, update.epoch);
       this.placements.hear(from, update);
       this.configurations.hearVersion(from, body.value.configurationVersion);
     }
     if (body.case === 'placementRequest') this.placements.answerRequest(from, body.value.service);
   }
 
-  /** Waiting requests look again, once for all changes of one turn. */
-  private scheduleLook(): void {
-    if (this.lookScheduled) return;
-    this.lookScheduled = true;
+  /** Lets waiting requests check for a backend again, once for all changes in one turn of the event loop. */
+  private scheduleRecheck(): void {
+    if (this.recheckScheduled) return;
+    this.recheckScheduled = true;
     setImmediate(() => {
-      this.lookScheduled = false;
+      this.recheckScheduled = false;
       for (const exchange of [...this.context.exchanges]) exchange.look();
     });
   }
 
-  /** A request taken long after a stop was asked for might be cut at its end. */
+  /** Whether to refuse new requests: one accepted late in a drain might be interrupted at the end of it. */
   private refusesRequests(): boolean {
-    return steadyNow() - (this.drainingSince ?? Infinity) >= ENTRY_NOTICES_MS;
+    return steadyNow() - (this.drainingSince ?? Infinity) >= BALANCER_DELAY_MS;
   }
 
   private isReady(): boolean {
-    return this.drainingSince === undefined && this.routing !== undefined && this.knowsBackends;
+    return this.drainingSince === undefined && this.routing !== undefined && this.hasBackendList;
   }
 
   private refreshMetrics(): void {
-    const { inFlight, leaseAge, controlBytes, heldBytes } = this.outside.metrics;
+    const { inFlight, leaseAge, controlBytes, heldBytes } = this.systems.metrics;
     heldBytes.set(this.context.answers.heldBytes);
     this.limits.refreshMetrics(this.backends.all());
     inFlight.set(this.context.exchanges.size);
