--- a/src/gateway/answer-buffer.ts
+++ b/src/gateway/answer-buffer.ts
@@ -1,6 +1,6 @@
 /**
- * Answers between backends and callers that read more slowly than these send. What a caller has not read lies in
- * the writer's own buffer; here it is counted, and the callers that must be ended for it are broken off.
+ * Accounts for answer bytes that backends have sent and callers have not read yet. The bytes are in the write
+ * buffers of the callers' responses; this module counts them and disconnects the callers that read too slowly.
  */
 import type http from 'node:http';
 import type { Logger } from '../common/logger.js';
@@ -8,8 +8,8 @@
 import type { GatewayMetrics } from './gateway-metrics.js';
 import { steadyNow } from './steady-clock.js';
 
-/** Between two looks for callers that are too slow. */
-const LOOK_MS = 200;
+/** Interval between checks for callers that read too slowly. */
+const CHECK_INTERVAL_MS = 200;
 
 /** Options of {@link AnswerBuffer}. */
 export interface AnswerBufferOptions {
@@ -18,9 +18,9 @@
   readonly metrics: GatewayMetrics;
 }
 
-/** One answer's part. */
+/** Account of the buffered bytes of one answer. */
 export interface AnswerAccount {
-  /** So many bytes were written. Returns false if the backend should not be read on until the caller has read. */
+  /** Records bytes written to the caller. Returns false if reading from the backend should pause until the caller has read. */
   written(bytes: number): boolean;
 }
 
@@ -31,7 +31,7 @@
   writtenBytes: number;
 }
 
-/** All answers of one daemon that are being written. */
+/** Tracks all answers that one daemon is writing. */
 export class AnswerBuffer {
   private readonly budget: AnswerBudget;
   private readonly answers = new Map<number, OpenAnswer>();
@@ -42,23 +42,23 @@
     this.budget = new AnswerBudget(options.room);
   }
 
-  /** Bytes that are held: of answers, and of requests' bodies. */
+  /** Buffered bytes of answers and request bodies. */
   get heldBytes(): number {
     return this.budget.heldBytes;
   }
 
-  /** Callers that have not read all that was written for them. */
+  /** Number of callers that have not read all bytes written to them. */
   get unreadCallers(): number {
-    this.noteAll(steadyNow());
+    this.updateAllProgress(steadyNow());
     return this.budget.unreadCallers;
   }
 
-  /** Holds further bytes of a body or of an answer that is not whole yet; fewer if negative. */
+  /** Adds to the buffered bytes of request bodies and incomplete answers; a negative value subtracts. */
   hold(bytes: number): void {
     this.budget.addBuffered(bytes);
   }
 
-  /** Begins to count what is written for a caller, until it has read it or has gone. */
+  /** Starts to count the bytes written to a caller, until the response closes. */
   open(
     response: http.ServerResponse,
     request: string | undefined,
@@ -75,19 +75,19 @@
     const answer = this.answers.get(id);
     if (answer === undefined) return true;
     answer.writtenBytes += bytes;
-    if (answer.response.writableLength > 0) this.lookSoon();
-    return this.note(id, answer, steadyNow());
+    if (answer.response.writableLength > 0) this.scheduleCheck();
+    return this.updateProgress(id, answer, steadyNow());
   }
 
-  private note(id: number, answer: OpenAnswer, now: number): boolean {
+  private updateProgress(id: number, answer: OpenAnswer, now: number): boolean {
     const { response, writtenBytes, isStream } = answer;
-    // The head and the frames of chunks are held with the answer's own bytes.
+    // writableLength also counts the head and the chunk framing, which are not bytes of the answer.
     const unreadBytes = Math.min(response.writableLength, writtenBytes);
     return this.budget.recordProgress(id, { writtenBytes, unreadBytes, isStream }, now);
   }
 
-  private noteAll(now: number): void {
-    for (const [id, answer] of this.answers) this.note(id, answer, now);
+  private updateAllProgress(now: number): void {
+    for (const [id, answer] of this.answers) this.updateProgress(id, answer, now);
   }
 
   private release(id: number): void {
@@ -95,24 +95,24 @@
     this.budget.release(id);
   }
 
-  private lookSoon(): void {
+  private scheduleCheck(): void {
     if (this.timer !== undefined) return;
-    this.timer = setTimeout(() => this.look(), LOOK_MS);
+    this.timer = setTimeout(() => this.checkCallers(), CHECK_INTERVAL_MS);
     this.timer.unref();
   }
 
-  private look(): void {
+  private checkCallers(): void {
     this.timer = undefined;
     const now = steadyNow();
-    this.noteAll(now);
+    this.updateAllProgress(now);
     const { daemonBytes } = this.options.room;
     const heldBytes = this.budget.heldBytes;
     for (const caller of this.budget.removeSlowCallers(now))
-      this.end(caller, heldBytes, daemonBytes);
-    if (this.budget.unreadCallers > 0) this.lookSoon();
+      this.disconnect(caller, heldBytes, daemonBytes);
+    if (this.budget.unreadCallers > 0) this.scheduleCheck();
   }
 
-  private end(caller: SlowCaller, heldBytes: number, roomBytes: number): void {
+  private disconnect(caller: SlowCaller, heldBytes: number, limitBytes: number): void {
     const { id, reason, unreadBytes, behindMs, readBytes } = caller;
     const answer = this.answers.get(id);
     if (answer === undefined) return;
@@ -125,7 +125,7 @@
       behindMs: Math.round(behindMs),
       readBytes,
       heldBytes,
-      roomBytes,
+      roomBytes: limitBytes,
     });
     answer.response.destroy();
   }
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -1,4 +1,4 @@
-/** One send of a request to one backend, and the check of what comes back. */
+/** Sends a request to one backend once, and validates the answer. */
 import type http from 'node:http';
 import type { Ran } from '../common/errors.js';
 import type { RateLimitNotice } from '../core/backend-rate-limits.js';
@@ -19,70 +19,70 @@
 
 /** How an attempt ended. */
 export type AttemptEnd =
-  /** The caller has been given the backend's whole answer. */
+  /** The backend's complete answer was sent to the caller. */
   | { readonly type: 'done'; readonly status: number }
   | {
       readonly type: 'failed';
       readonly ran: Ran;
-      /** Whether any byte of the request may have reached the backend. */
+      /** Whether the backend may have received any byte of the request. */
       readonly reached: boolean;
       readonly reason: string;
-      /** The backend did not answer at all, or not in time. */
+      /** The backend could not be reached, or sent nothing before the timeout. */
       readonly silent: boolean;
-      /** The backend broke the connection off before it answered. */
+      /** The backend closed the connection before the answer began. */
       readonly broken: boolean;
-      /** The connection broke off under the request, before the answer began or after. */
+      /** The connection was closed during the request, before or after the answer began. */
       readonly cutOff: boolean;
-      /** The backend refused because it lacks the model, or is another process. */
+      /** The backend refused the request because it lacks the model or is a different process. */
       readonly lacksModel: boolean;
-      /** A failure that the backend vouches for; the caller may be given it. */
+      /** An error answer signed by the backend, which may be forwarded to the caller. */
       readonly answer?: WholeAnswer;
     };
 
-/** What an attempt needs. */
+/** Options of {@link Attempt}. */
 export interface AttemptOptions {
   readonly backend: BackendRecord;
   readonly route: Route;
   readonly request: CallerRequest;
-  /** Whose key the caller has; undefined if it needs none. */
+  /** Tenant of the caller's key; undefined if the route needs no key. */
   readonly tenant: CallerTenant | undefined;
   /**
-   * Priority told to the backend in place of the tenant's or the route's; undefined where no slots are kept
-   * for all daemons, and the backend orders its requests itself.
+   * Priority sent to the backend instead of the tenant's or the route's. Undefined if slots are not allocated
+   * across daemons; the backend then orders its requests itself.
    */
   readonly urgency: number | undefined;
   /** Time left until the request's deadline. */
   readonly remainingMs: number;
-  /** The stream goes on after this event. */
+  /** Id of the event after which the stream resumes. */
   readonly lastEventId: string | undefined;
-  /** Without a first byte after this time the attempt is given up. */
+  /** Timeout for the first byte of the answer. */
   readonly silentAfterMs: number;
-  /** Without a further byte after this time a stream is given up. */
+  /** Timeout for each further byte of a stream. */
   readonly stalledAfterMs: number;
-  /** Whether another backend could take the request over now. */
+  /** Returns whether another backend could take the request now. */
   readonly hasAlternative: () => boolean;
-  /** The backend has said that it leaves, in whatever answer. */
+  /** Called when any answer of the backend announces that the backend is leaving. */
   readonly onLeaving: () => void;
-  /** What the answer says of the backend's rate limit. */
+  /** Called with the information about the backend's rate limit in the answer. */
   readonly onRateLimit: (notice: RateLimitNotice) => void;
-  /** The backend wants no request for so many milliseconds. */
+  /** Called when the backend requests a backoff of this many milliseconds. */
   readonly onBackoff: (backoffMs: number) => void;
-  /** The backend is silent and nobody else can take the request; called once. */
+  /** Called once when the timeout has passed and no other backend can take the request. */
   readonly onSilent: () => void;
-  /** Notes the gaps between events; undefined if they tell nothing of the backend. */
+  /** Records the gaps between events; undefined if the gaps say nothing about the backend. */
   readonly gaps: StreamGaps | undefined;
   readonly answer: CallerAnswer;
   readonly onEnd: (end: AttemptEnd) => void;
 }
 
-/** Between two looks for another backend while the present one is silent. */
-const ALTERNATIVE_LOOK_MS = 100;
+/** Interval between checks for another backend after a timeout. */
+const ALTERNATIVE_CHECK_MS = 100;
 const FIRST_FAILURE_STATUS = 400;
-/** Statuses that promise that the request has not run; a backend's own word is needed for that. */
-const PROMISES = new Set([408, 421, 429, 503]);
+/** Statuses that promise that the request has not run. They are forwarded only if the backend marks the answer as not run. */
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 const FIRST_SERVER_FAILURE_STATUS = 500;
 
-/** One attempt under way. */
+/** A running attempt. */
 export class Attempt {
   private readonly exchange: BackendExchange;
   private readonly parser = new EventStreamParser();
@@ -92,16 +92,16 @@
   private timer: NodeJS.Timeout | undefined;
   private ended = false;
   private isPaused = false;
-  /** Bytes of an answer that is gathered until it is whole. */
-  private gatheredBytes = 0;
-  private silenceTold = false;
+  /** Bytes of an answer that is buffered until it is complete. */
+  private bufferedBytes = 0;
+  private timeoutReported = false;
 
   constructor(
     private readonly context: GatewayContext,
     private readonly options: AttemptOptions,
   ) {
     const { backend, request } = options;
-    this.watch(options.silentAfterMs);
+    this.startTimeout(options.silentAfterMs);
     this.exchange = new BackendExchange(
       {
         address: backend.address,
@@ -120,33 +120,34 @@
     );
   }
 
-  /** The backend it was sent to. */
+  /** Id of the backend that the request was sent to. */
   get backendId(): string {
     return this.options.backend.id;
   }
 
   /**
-   * The backend has started again. What was sent to another address went to its earlier process; at the same
-   * address, the later one may have taken the request before its start was known here.
+   * Handles a restart of the backend. A request sent to a different address went to the earlier process and
+   * fails. At the same address, the new process may have received the request before its start was known here,
+   * so the connection is probed.
    */
   backendRestarted(address: string): void {
     if (address === this.options.backend.address) return this.exchange.probe();
-    this.exchange.giveUp('the backend has ended and started again');
+    this.exchange.giveUp('the backend restarted');
   }
 
-  /** Drops the attempt; its end is not told. */
+  /** Aborts the attempt without calling `onEnd`. */
   abort(): void {
     this.ended = true;
     clearTimeout(this.timer);
     this.options.gaps?.end();
     this.exchange.abort();
-    this.releaseGathered();
+    this.releaseBuffered();
   }
 
   private requestHeaders(): string[] {
     const { request, route, tenant, backend, remainingMs, lastEventId } = this.options;
     const { dialect, admission } = this.context;
-    const own = dialect.backendHeaders({
+    const ownHeaders = dialect.backendHeaders({
       backend: backend.id,
       remainingMs,
       lastEventId,
@@ -156,11 +157,11 @@
     const replaced = new Set([
       ...dialect.systemHeaders,
       ...(admission.needsKeys ? [dialect.keyHeader] : []),
-      ...Object.keys(own).map((name) => name.toLowerCase()),
+      ...Object.keys(ownHeaders).map((name) => name.toLowerCase()),
       'content-length',
     ]);
     const headers = forwardedHeaders(request.rawHeaders, replaced);
-    for (const [name, value] of Object.entries(own)) headers.push(name, value);
+    for (const [name, value] of Object.entries(ownHeaders)) headers.push(name, value);
     const hasBody = request.body.length > 0 || request.method === 'POST';
     if (hasBody) headers.push('Content-Length', String(request.body.length));
     return headers;
@@ -171,7 +172,7 @@
     this.incoming = answer;
     this.head = this.context.dialect.readAnswer(status, answer.headers);
     const { head } = this;
-    // What another process at the address says of itself says nothing of this backend.
+    // A misdirected answer comes from another process at the address and does not apply to this backend.
     if (head.leaving && !head.misdirected) this.options.onLeaving();
     if (this.isOwnAnswer(head)) this.options.onRateLimit(head.rateLimit);
     if (head.backoffMs !== undefined) this.options.onBackoff(head.backoffMs);
@@ -184,17 +185,17 @@
       return this.fail('no', `refused with status ${status}`, { lacksModel, keep: true });
     }
     if (answer.headers['content-encoding'] !== undefined) {
-      return this.fail('unknown', 'the answer is encoded', {});
+      return this.fail('unknown', 'the answer has a Content-Encoding', {});
     }
     if (status < FIRST_FAILURE_STATUS && !head.signed) {
       return this.fail('unknown', 'the answer is not signed', {});
     }
-    this.watch(this.isEventStream() ? this.options.stalledAfterMs : Infinity);
+    this.startTimeout(this.isEventStream() ? this.options.stalledAfterMs : Infinity);
   }
 
   /**
-   * Whether the answer is the backend's own to this request. One that names no request may name a limit, but its silence lifts
-   * none: it may be of any time.
+   * Returns whether the backend sent the answer for this request. An answer without a request id may set a rate
+   * limit, but one without a limit does not remove it: the answer may be old.
    */
   private isOwnAnswer({ attemptId, misdirected, rateLimit }: AnswerHead): boolean {
     if (misdirected) return false;
@@ -211,17 +212,17 @@
     if (this.ended) return;
     if (!this.isEventStream()) {
       this.chunks.push(chunk);
-      this.gatheredBytes += chunk.length;
+      this.bufferedBytes += chunk.length;
       this.context.answers.hold(chunk.length);
       return;
     }
-    if (!this.isPaused) this.watch(this.options.stalledAfterMs);
+    if (!this.isPaused) this.startTimeout(this.options.stalledAfterMs);
     const events = this.parser.push(chunk);
     this.options.gaps?.recordRead(events.length, steadyNow());
-    for (const event of events) this.passOn(event);
+    for (const event of events) this.forwardEvent(event);
   }
 
-  private passOn(event: StreamEvent): void {
+  private forwardEvent(event: StreamEvent): void {
     const { answer } = this.options;
     if (isAlreadySent(event, answer.lastEventId)) return;
     if (!answer.hasBegun) {
@@ -237,18 +238,18 @@
     answer.onceDrained(() => this.setPaused(false));
   }
 
-  /** There is no room to read on for the caller: that the backend is not heard meanwhile is no silence of its own. */
+  /** Pauses reading from the backend while the caller's buffer is full. The stall timeout does not run during the pause. */
   private setPaused(paused: boolean): void {
     if (this.ended) return;
     this.isPaused = paused;
     this.options.gaps?.interrupt();
     this.exchange.setPaused(paused);
-    this.watch(paused ? Infinity : this.options.stalledAfterMs);
+    this.startTimeout(paused ? Infinity : this.options.stalledAfterMs);
   }
 
-  private releaseGathered(): void {
-    this.context.answers.hold(-this.gatheredBytes);
-    this.gatheredBytes = 0;
+  private releaseBuffered(): void {
+    this.context.answers.hold(-this.bufferedBytes);
+    this.bufferedBytes = 0;
   }
 
   private receiveEnd(): void {
@@ -264,8 +265,8 @@
       this.end({ type: 'done', status }, () => this.options.answer.sendWhole(whole));
       return;
     }
-    const vouched = this.head?.signed === true && !PROMISES.has(status);
-    if (vouched && status < FIRST_SERVER_FAILURE_STATUS) {
+    const isForwardable = this.head?.signed === true && !NOT_RUN_STATUSES.has(status);
+    if (isForwardable && status < FIRST_SERVER_FAILURE_STATUS) {
       this.end({ type: 'done', status }, () => this.options.answer.sendWhole(whole));
       return;
     }
@@ -278,7 +279,7 @@
       broken: false,
       cutOff: false,
       lacksModel: false,
-      ...(vouched ? { answer: whole } : {}),
+      ...(isForwardable ? { answer: whole } : {}),
     });
   }
 
@@ -310,7 +311,7 @@
     extra: { lacksModel?: boolean; silent?: boolean; keep?: boolean },
   ): void {
     if (this.ended) return;
-    // An answer that is not this request's own leaves a connection that cannot be trusted.
+    // After an answer that does not belong to this request the connection cannot be reused.
     if (extra.keep !== true) this.exchange.abort();
     this.end({
       type: 'failed',
@@ -329,34 +330,34 @@
     this.ended = true;
     clearTimeout(this.timer);
     this.options.gaps?.end();
-    this.releaseGathered();
+    this.releaseBuffered();
     before?.();
     this.options.onEnd(end);
   }
 
-  private watch(limitMs: number): void {
+  private startTimeout(limitMs: number): void {
     clearTimeout(this.timer);
     if (!Number.isFinite(limitMs)) return;
-    this.timer = setTimeout(() => this.leaveSilent(limitMs), limitMs);
+    this.timer = setTimeout(() => this.handleTimeout(limitMs), limitMs);
   }
 
-  /** Where nobody else can take the request, leaving would only cost its place in the queue. */
-  private leaveSilent(limitMs: number): void {
+  /** Fails the attempt if another backend can take the request. Otherwise it waits: a resend would only lose its place in the backend's queue. */
+  private handleTimeout(limitMs: number): void {
     const remainingMs = this.exchange.bodyTakenUntil + limitMs - steadyNow();
     if (remainingMs > 0) {
-      this.timer = setTimeout(() => this.leaveSilent(limitMs), remainingMs);
+      this.timer = setTimeout(() => this.handleTimeout(limitMs), remainingMs);
       return;
     }
     if (this.options.hasAlternative()) {
       return this.fail('unknown', `silent for ${Math.round(limitMs)} ms`, { silent: true });
     }
-    if (!this.silenceTold) this.options.onSilent();
-    this.silenceTold = true;
-    this.timer = setTimeout(() => this.leaveSilent(limitMs), ALTERNATIVE_LOOK_MS);
+    if (!this.timeoutReported) this.options.onSilent();
+    this.timeoutReported = true;
+    this.timer = setTimeout(() => this.handleTimeout(limitMs), ALTERNATIVE_CHECK_MS);
   }
 }
 
-/** Whether a resumed stream repeats an event that the caller has. */
+/** Returns whether a resumed stream repeats an event that the caller already has. */
 function isAlreadySent(event: StreamEvent, lastEventId: string | undefined): boolean {
   if (event.id === undefined || lastEventId === undefined) return false;
   return Number(event.id) <= Number(lastEventId);
--- a/src/gateway/backend-agent.ts
+++ b/src/gateway/backend-agent.ts
@@ -1,74 +1,74 @@
 /**
- * Connections to backends. Kept connections are watched while they are idle: a byte
- * that nobody asked for belongs to no request, so its connection is dropped.
+ * HTTP agent for connections to backends. It closes an idle connection that receives
+ * bytes, because these bytes belong to no request.
  */
 import http from 'node:http';
 import type { Socket } from 'node:net';
 import { splitAddress } from '../common/http-client.js';
 
-/** A kept connection is given up so long before the backend would close it. */
+/** An idle connection is closed this long before the backend would close it. */
 const EXPIRY_MARGIN_MS = 600;
-/** Idle time after which a connection is given up when the backend names no time. */
+/** Idle time after which a connection is closed if the backend sends no keep-alive timeout. */
 const DEFAULT_IDLE_MS = 4_000;
 const KEEP_ALIVE_SECONDS = /timeout=(\d+)/;
 
-type Watcher = () => void;
+type DataListener = () => void;
 
 /** Options of {@link BackendAgent}. */
 export interface BackendAgentOptions {
-  /** Called when an idle connection brought bytes. */
+  /** Called with "ip:port" when an idle connection received bytes. */
   readonly onUnaskedBytes: (address: string) => void;
 }
 
-/** Node's agent, with stricter rules on reuse. */
+/** Node's HTTP agent with stricter rules for connection reuse. */
 export class BackendAgent extends http.Agent {
-  private readonly watchers = new WeakMap<Socket, Watcher>();
+  private readonly idleListeners = new WeakMap<Socket, DataListener>();
 
   constructor(private readonly backendOptions: BackendAgentOptions) {
     super({ keepAlive: true, maxFreeSockets: 64, scheduling: 'lifo' });
   }
 
-  /** Whether a connection to "ip:port" is idle. */
+  /** Returns whether an idle connection to "ip:port" exists. */
   hasIdleConnection(address: string): boolean {
     const [host, port] = splitAddress(address);
     const idle = this.freeSockets[this.getName({ host, port })] ?? [];
     return idle.some((socket) => !socket.destroyed);
   }
 
-  /** Closes the connections to "ip:port" that are idle: the process at their other end has ended. */
+  /** Closes the idle connections to "ip:port", for use when the process at the other end has ended. */
   dropIdle(address: string): void {
     const [host, port] = splitAddress(address);
     const idle = this.freeSockets[this.getName({ host, port })] ?? [];
     for (const socket of [...idle]) socket.destroy();
   }
 
-  /** Node asks whether a connection may be kept. */
+  /** Called by Node to decide whether a connection is kept alive. */
   override keepSocketAlive(socket: Socket): boolean {
     const limitMs = idleLimitMs(socket);
     if (limitMs <= 0 || socket.readableLength > 0) return false;
     socket.setKeepAlive(true, 1_000);
     socket.unref();
     socket.setTimeout(limitMs, closeIdle);
-    this.watch(socket);
+    this.watchIdle(socket);
     return true;
   }
 
-  /** Node takes a kept connection for a request. */
+  /** Called by Node when it reuses an idle connection for a request. */
   override reuseSocket(socket: Socket, request: http.ClientRequest): void {
-    const watcher = this.watchers.get(socket);
-    if (watcher !== undefined) socket.off('data', watcher);
-    this.watchers.delete(socket);
+    const listener = this.idleListeners.get(socket);
+    if (listener !== undefined) socket.off('data', listener);
+    this.idleListeners.delete(socket);
     socket.setTimeout(0, closeIdle);
     super.reuseSocket(socket, request);
   }
 
-  private watch(socket: Socket): void {
-    const watcher = (): void => {
+  private watchIdle(socket: Socket): void {
+    const listener = (): void => {
       this.backendOptions.onUnaskedBytes(`${socket.remoteAddress}:${socket.remotePort}`);
       socket.destroy();
     };
-    this.watchers.set(socket, watcher);
-    socket.on('data', watcher);
+    this.idleListeners.set(socket, listener);
+    socket.on('data', listener);
     socket.resume();
   }
 }
@@ -78,11 +78,11 @@
 }
 
 interface HttpSocket extends Socket {
-  /** Node keeps the message that a connection carried last here. */
+  /** The last request on the connection, as Node stores it. */
   readonly _httpMessage?: { readonly res?: http.IncomingMessage };
 }
 
-/** Milliseconds for which a connection may be idle. */
+/** Returns the milliseconds for which a connection may be idle. */
 function idleLimitMs(socket: HttpSocket): number {
   const hint = socket._httpMessage?.res?.headers['keep-alive'];
   const seconds = typeof hint === 'string' ? KEEP_ALIVE_SECONDS.exec(hint)?.[1] : undefined;
--- a/src/gateway/backend-exchange.ts
+++ b/src/gateway/backend-exchange.ts
@@ -1,43 +1,43 @@
-/** One request sent to one backend, on Node's `http`. */
+/** Sends one HTTP request to one backend with Node's `http`. */
 import http from 'node:http';
 import type { Socket } from 'node:net';
 import { splitAddress } from '../common/http-client.js';
 import type { BackendAgent } from './backend-agent.js';
 import { BodySender } from './body-sender.js';
 
-/** A connection that is not up by then is given up: nothing of the request has been sent. */
+/** Timeout for opening a connection. Nothing of the request has been sent when it passes. */
 const CONNECT_TIMEOUT_MS = 350;
-/** A connection that is doubted is probed after so long without bytes; the kernel takes whole seconds. */
+/** Idle time before TCP keep-alive probes a connection that may be dead. The kernel accepts whole seconds only. */
 const PROBE_AFTER_MS = 1_000;
 
-/** What is sent. */
+/** The request to send. */
 export interface BackendRequest {
   /** "ip:port". */
   readonly address: string;
   readonly method: string;
   readonly path: string;
-  /** Names and values by turns, as Node gives raw headers. */
+  /** Alternating names and values, in the format of Node's raw headers. */
   readonly headers: readonly string[];
   readonly body: Buffer;
 }
 
-/** Why no whole answer came. */
+/** Why no complete answer was received. */
 export interface ExchangeFailure {
-  /** Whether any byte of the request may have reached the backend. */
+  /** Whether the backend may have received any byte of the request. */
   readonly reached: boolean;
   readonly reason: string;
 }
 
-/** Hears the answer. After `onEnd` or `onFailure` nothing more is called. */
+/** Callbacks for the answer. No callback follows `onEnd` or `onFailure`. */
 export interface ExchangeHandler {
   onHead(answer: http.IncomingMessage): void;
   onData(chunk: Buffer): void;
-  /** The answer is whole. */
+  /** Called when the answer is complete. */
   onEnd(): void;
   onFailure(failure: ExchangeFailure): void;
 }
 
-/** A request under way. */
+/** A running exchange with a backend. */
 export class BackendExchange {
   private readonly outgoing: http.ClientRequest;
   private readonly sender: BodySender;
@@ -67,31 +67,31 @@
     this.sender = new BodySender(this.outgoing, request.body);
   }
 
-  /** Steady time up to which the backend takes a long body; -Infinity if the body is short. */
+  /** Steady time until which the backend is known or expected to read a long body; -Infinity if the body is short. */
   get bodyTakenUntil(): number {
     return this.sender.takenUntil;
   }
 
-  /** Drops the connection; nothing more is called. */
+  /** Closes the connection without a callback. */
   abort(): void {
     this.ended = true;
     this.outgoing.destroy();
   }
 
-  /** Ends the exchange as failed: the backend's process is known to have ended. */
+  /** Fails the exchange, for use when the backend's process is known to have ended. */
   giveUp(reason: string): void {
     this.fail(reason);
   }
 
   /**
-   * Has the connection probed when nothing passes for a second: one whose other end has started anew is reset,
-   * though nothing was heard when the earlier process ended; one to the process of now is left as it is.
+   * Enables TCP keep-alive probes after one second without traffic. The probe resets a connection to an earlier
+   * process whose end was not noticed, and does not affect a connection to the current process.
    */
   probe(): void {
     this.outgoing.socket?.setKeepAlive(true, PROBE_AFTER_MS);
   }
 
-  /** Stops and resumes reading. */
+  /** Pauses or resumes reading of the answer. */
   setPaused(paused: boolean): void {
     if (paused) this.incoming?.pause();
     else this.incoming?.resume();
@@ -103,7 +103,7 @@
       return;
     }
     const timer = setTimeout(() => {
-      if (!this.connected) this.outgoing.destroy(new Error('no connection in time'));
+      if (!this.connected) this.outgoing.destroy(new Error('connection timed out'));
     }, CONNECT_TIMEOUT_MS);
     socket.once('connect', () => {
       this.connected = true;
@@ -130,9 +130,9 @@
   }
 
   /**
-   * The end of an answer without a length is the end of its connection. A reset
-   * that comes right behind the last bytes looks like an orderly end to Node, but
-   * a connection that was reset has no peer any more.
+   * An answer without a length ends with its connection. Node reports a reset
+   * directly after the last bytes as an orderly end, but a socket that was reset
+   * has no remote address any more.
    */
   private watchReset(socket: Socket): void {
     socket.prependOnceListener('end', () => {
@@ -148,7 +148,7 @@
   }
 }
 
-/** Whether only the end of the connection tells the end of the answer. */
+/** Returns whether the answer has no length, so that it ends with its connection. */
 function isUnframed(answer: http.IncomingMessage): boolean {
   const { headers } = answer;
   return headers['content-length'] === undefined && headers['transfer-encoding'] === undefined;
--- a/src/gateway/backend-restarts.ts
+++ b/src/gateway/backend-restarts.ts
@@ -1,8 +1,8 @@
-/** What a daemon forgets of a backend that has ended and started again under its id. */
+/** Clears the state that a daemon holds about a backend's earlier process when the backend restarts under the same id. */
 import type { BackendRestart } from '../core/backend-starts.js';
 import type { GatewayContext } from './gateway-context.js';
 
-/** Drops the health, the kept connections and the requests in flight of the earlier start. */
+/** Clears the health record, closes the idle connections and notifies the requests in flight of the earlier process. */
 export function forgetEarlierStart(context: GatewayContext, restart: BackendRestart): void {
   const { backend, earlierStart, earlierAddress } = restart;
   const { id, start, revision, address } = backend;
--- a/src/gateway/body-sender.ts
+++ b/src/gateway/body-sender.ts
@@ -1,55 +1,55 @@
 /**
- * Writes a request's body in pieces, so that it can be seen whether the backend takes it: one that reads a long
- * body slowly is not silent.
+ * Writes a request's body in chunks to observe whether the backend reads it: a backend that slowly reads a long
+ * body must not count as unresponsive.
  */
 import type http from 'node:http';
 import { steadyNow } from './steady-clock.js';
 
-/** A shorter body is written at once: the kernel takes it whole. */
-const PIECE_BYTES = 64 * 1024;
-/** So much may have left this process and still lie unread at either end of the connection. */
-const KERNEL_BYTES = 4 * 1024 * 1024;
+/** Size of a chunk. A body up to this size is written at once because it fits into the kernel's buffer. */
+const CHUNK_BYTES = 64 * 1024;
+/** Bytes that this process has written but that the backend may not have read: they are in the kernel buffers of both ends. */
+const KERNEL_BUFFER_BYTES = 4 * 1024 * 1024;
 
-/** One body on its way. */
+/** Sends one request body. */
 export class BodySender {
   /**
-   * Steady time up to which the backend is known, or expected, to take the body; -Infinity for one that is
+   * Steady time until which the backend is known or expected to read the body; -Infinity if the body is
    * written at once.
    */
   takenUntil = -Infinity;
   private readonly startedAt = steadyNow();
-  private at = 0;
+  private offset = 0;
 
   constructor(
     private readonly outgoing: http.ClientRequest,
     private readonly body: Buffer,
   ) {
-    if (body.length <= PIECE_BYTES) {
+    if (body.length <= CHUNK_BYTES) {
       outgoing.end(body);
       return;
     }
-    outgoing.on('drain', () => this.writeOn());
-    this.writeOn();
+    outgoing.on('drain', () => this.writeMore());
+    this.writeMore();
   }
 
-  private writeOn(): void {
+  private writeMore(): void {
     const { outgoing, body } = this;
     this.takenUntil = steadyNow();
-    while (this.at < body.length && !outgoing.destroyed) {
-      const piece = body.subarray(this.at, this.at + PIECE_BYTES);
-      this.at += piece.length;
-      if (this.at < body.length) {
-        if (!outgoing.write(piece)) return;
+    while (this.offset < body.length && !outgoing.destroyed) {
+      const chunk = body.subarray(this.offset, this.offset + CHUNK_BYTES);
+      this.offset += chunk.length;
+      if (this.offset < body.length) {
+        if (!outgoing.write(chunk)) return;
         continue;
       }
-      this.takenUntil += this.expectedRestMs();
-      outgoing.end(piece);
+      this.takenUntil += this.expectedRemainingMs();
+      outgoing.end(chunk);
     }
   }
 
-  /** Milliseconds for what the kernel holds when the last piece is written, at the pace of all before. */
-  private expectedRestMs(): number {
-    const held = Math.min(KERNEL_BYTES, this.body.length / 2);
-    return ((steadyNow() - this.startedAt) * held) / (this.body.length - held);
+  /** Returns the expected milliseconds to read the kernel's buffered bytes after the last chunk, at the average rate so far. */
+  private expectedRemainingMs(): number {
+    const bufferedBytes = Math.min(KERNEL_BUFFER_BYTES, this.body.length / 2);
+    return ((steadyNow() - this.startedAt) * bufferedBytes) / (this.body.length - bufferedBytes);
   }
 }
