--- a/src/gateway/answer-buffer.ts
+++ b/src/gateway/answer-buffer.ts
@@ -20,7 +20,10 @@
 
 /** Account of the buffered bytes of one answer. */
 export interface AnswerAccount {
-  /** Records bytes written to the caller. Returns false if reading from the backend should pause until the caller has read. */
+  /**
+   * Records bytes written to the caller. Returns false if reading from the backend should pause until the
+   * caller has read.
+   */
   written(bytes: number): boolean;
 }
 
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -78,7 +78,10 @@
 /** Interval between checks for another backend after a timeout. */
 const ALTERNATIVE_CHECK_MS = 100;
 const FIRST_FAILURE_STATUS = 400;
-/** Statuses that promise that the request has not run. They are forwarded only if the backend marks the answer as not run. */
+/**
+ * Statuses that tell a caller that the request has not run. Without the mark of the backend that it has not,
+ * they are not forwarded.
+ */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 const FIRST_SERVER_FAILURE_STATUS = 500;
 
@@ -182,7 +185,7 @@
     }
     if (head.notRun || head.misdirected) {
       const lacksModel = head.misdirected;
-      return this.fail('no', `refused with status ${status}`, { lacksModel, keep: true });
+      return this.fail('no', `refused with status ${status}`, { lacksModel, keepConnection: true });
     }
     if (answer.headers['content-encoding'] !== undefined) {
       return this.fail('unknown', 'the answer has a Content-Encoding', {});
@@ -238,7 +241,10 @@
     answer.onceDrained(() => this.setPaused(false));
   }
 
-  /** Pauses reading from the backend while the caller's buffer is full. The stall timeout does not run during the pause. */
+  /**
+   * Pauses reading from the backend while the caller's buffer is full. The stall timeout does not run during
+   * the pause.
+   */
   private setPaused(paused: boolean): void {
     if (this.ended) return;
     this.isPaused = paused;
@@ -308,11 +314,11 @@
   private fail(
     ran: Ran,
     reason: string,
-    extra: { lacksModel?: boolean; silent?: boolean; keep?: boolean },
+    extra: { lacksModel?: boolean; silent?: boolean; keepConnection?: boolean },
   ): void {
     if (this.ended) return;
     // After an answer that does not belong to this request the connection cannot be reused.
-    if (extra.keep !== true) this.exchange.abort();
+    if (extra.keepConnection !== true) this.exchange.abort();
     this.end({
       type: 'failed',
       ran,
@@ -341,7 +347,10 @@
     this.timer = setTimeout(() => this.handleTimeout(limitMs), limitMs);
   }
 
-  /** Fails the attempt if another backend can take the request. Otherwise it waits: a resend would only lose its place in the backend's queue. */
+  /**
+   * Fails the attempt if another backend can take the request. Otherwise it waits: a resend would only lose its
+   * place in the backend's queue.
+   */
   private handleTimeout(limitMs: number): void {
     const remainingMs = this.exchange.bodyTakenUntil + limitMs - steadyNow();
     if (remainingMs > 0) {
--- a/src/gateway/backend-exchange.ts
+++ b/src/gateway/backend-exchange.ts
@@ -7,7 +7,9 @@
 
 /** Timeout for opening a connection. Nothing of the request has been sent when it passes. */
 const CONNECT_TIMEOUT_MS = 350;
-/** Idle time before TCP keep-alive probes a connection that may be dead. The kernel accepts whole seconds only. */
+/**
+ * Idle time before TCP keep-alive probes a connection that may be dead. The kernel accepts whole seconds only.
+ */
 const PROBE_AFTER_MS = 1_000;
 
 /** The request to send. */
@@ -67,7 +69,10 @@
     this.sender = new BodySender(this.outgoing, request.body);
   }
 
-  /** Steady time until which the backend is known or expected to read a long body; -Infinity if the body is short. */
+  /**
+   * Steady time until which the backend is known or expected to read a long body; -Infinity if the body is
+   * short.
+   */
   get bodyTakenUntil(): number {
     return this.sender.takenUntil;
   }
--- a/src/gateway/backend-restarts.ts
+++ b/src/gateway/backend-restarts.ts
@@ -1,8 +1,14 @@
-/** Clears the state that a daemon holds about a backend's earlier process when the backend restarts under the same id. */
+/**
+ * Clears the state that a daemon holds about a backend's earlier process when the backend restarts under the
+ * same id.
+ */
 import type { BackendRestart } from '../core/backend-starts.js';
 import type { GatewayContext } from './gateway-context.js';
 
-/** Clears the health record, closes the idle connections and notifies the requests in flight of the earlier process. */
+/**
+ * Clears the health record, closes the idle connections and notifies the requests in flight of the earlier
+ * process.
+ */
 export function forgetEarlierStart(context: GatewayContext, restart: BackendRestart): void {
   const { backend, earlierStart, earlierAddress } = restart;
   const { id, start, revision, address } = backend;
--- a/src/gateway/body-sender.ts
+++ b/src/gateway/body-sender.ts
@@ -7,7 +7,10 @@
 
 /** Size of a chunk. A body up to this size is written at once because it fits into the kernel's buffer. */
 const CHUNK_BYTES = 64 * 1024;
-/** Bytes that this process has written but that the backend may not have read: they are in the kernel buffers of both ends. */
+/**
+ * Bytes that this process has written but that the backend may not have read: they are in the kernel buffers of
+ * both ends.
+ */
 const KERNEL_BUFFER_BYTES = 4 * 1024 * 1024;
 
 /** Sends one request body. */
@@ -47,7 +50,10 @@
     }
   }
 
-  /** Returns the expected milliseconds to read the kernel's buffered bytes after the last chunk, at the average rate so far. */
+  /**
+   * Returns the expected milliseconds to read the kernel's buffered bytes after the last chunk, at the average
+   * rate so far.
+   */
   private expectedRemainingMs(): number {
     const bufferedBytes = Math.min(KERNEL_BUFFER_BYTES, this.body.length / 2);
     return ((steadyNow() - this.startedAt) * bufferedBytes) / (this.body.length - bufferedBytes);
--- a/src/gateway/caller-answer.ts
+++ b/src/gateway/caller-answer.ts
@@ -1,4 +1,4 @@
-/** The answer to one caller: whole in one piece, or a stream of whole events. */
+/** Writes the answer to one caller: either a complete answer at once, or a stream of complete events. */
 import type http from 'node:http';
 import { answerFor, errorBody, serviceError, type ErrorKind } from '../common/errors.js';
 import type { StreamEvent } from '../core/event-stream.js';
@@ -7,7 +7,7 @@
 import type { RequestHead } from './ports.js';
 import { steadyNow } from './steady-clock.js';
 
-/** Headers that concern one connection only. */
+/** Hop-by-hop headers, which are not forwarded. */
 const CONNECTION_HEADERS = new Set([
   'connection',
   'keep-alive',
@@ -21,49 +21,49 @@
   'expect',
 ]);
 
-/** An answer of a backend, read to its end. */
+/** A complete answer of a backend. */
 export interface WholeAnswer {
   readonly status: number;
-  /** Names and values by turns. */
+  /** Alternating names and values. */
   readonly rawHeaders: readonly string[];
   readonly body: Buffer;
 }
 
-/** Raw headers without those that concern one connection, and without `dropped`. */
+/** Returns raw headers without the hop-by-hop headers and without the lower-case names in `dropped`. */
 export function forwardedHeaders(
   rawHeaders: readonly string[],
   dropped: ReadonlySet<string>,
 ): string[] {
-  const named = namedByConnection(rawHeaders);
+  const connectionNames = listedInConnection(rawHeaders);
   const kept: string[] = [];
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     const name = rawHeaders[index] ?? '';
     const lower = name.toLowerCase();
-    if (CONNECTION_HEADERS.has(lower) || named.has(lower) || dropped.has(lower)) continue;
+    if (CONNECTION_HEADERS.has(lower) || connectionNames.has(lower) || dropped.has(lower)) continue;
     kept.push(name, rawHeaders[index + 1] ?? '');
   }
   return kept;
 }
 
-/** Headers that the Connection header names. */
-function namedByConnection(rawHeaders: readonly string[]): Set<string> {
-  const named = new Set<string>();
+/** Returns the lower-case names listed in the Connection header. */
+function listedInConnection(rawHeaders: readonly string[]): Set<string> {
+  const connectionNames = new Set<string>();
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     if (rawHeaders[index]?.toLowerCase() !== 'connection') continue;
     for (const name of (rawHeaders[index + 1] ?? '').split(',')) {
-      named.add(name.trim().toLowerCase());
+      connectionNames.add(name.trim().toLowerCase());
     }
   }
-  return named;
+  return connectionNames;
 }
 
-const LENGTH_ONLY = new Set(['content-length']);
+const CONTENT_LENGTH_HEADER = new Set(['content-length']);
 
-/** Writes to one caller. */
+/** Writes the answer to one caller. */
 export class CallerAnswer {
   /** Steady time at which the head of the answer was sent. */
   begunAt: number | undefined;
-  /** The newest event that the caller was sent. */
+  /** Id of the last event sent to the caller. */
   lastEventId: string | undefined;
   /** Longest time between two events of a stream, in milliseconds. */
   longestPauseMs = 0;
@@ -76,14 +76,14 @@
     private readonly response: http.ServerResponse,
   ) {}
 
-  /** Whether the caller has been sent a head. */
+  /** Whether the head of the answer was sent to the caller. */
   get hasBegun(): boolean {
     return this.response.headersSent;
   }
 
-  /** Sends an answer that is known to be whole. */
+  /** Sends a complete answer. */
   sendWhole(answer: WholeAnswer): void {
-    const headers = forwardedHeaders(answer.rawHeaders, LENGTH_ONLY);
+    const headers = forwardedHeaders(answer.rawHeaders, CONTENT_LENGTH_HEADER);
     headers.push('Content-Length', String(answer.body.length));
     this.writeHead(answer.status, headers);
     this.response.end(answer.body);
@@ -92,12 +92,12 @@
 
   /** Sends the head of a stream. */
   beginStream(status: number, rawHeaders: readonly string[]): void {
-    this.writeHead(status, forwardedHeaders(rawHeaders, LENGTH_ONLY));
+    this.writeHead(status, forwardedHeaders(rawHeaders, CONTENT_LENGTH_HEADER));
   }
 
   /**
-   * Sends one event. Returns false if the backend should not be read on until the caller has read; only
-   * where {@link onceDrained} will call back, or the stream would rest for ever.
+   * Sends one event. Returns false if reading from the backend should pause until the caller has read. It
+   * returns false only if {@link onceDrained} will call back; otherwise the stream would never resume.
    */
   sendEvent(event: StreamEvent): boolean {
     if (event.id !== undefined) this.lastEventId = event.id;
@@ -115,22 +115,22 @@
     return this.context.answers.open(this.response, this.head.attemptId, isStream);
   }
 
-  /** Calls back once the caller has read what was sent. */
+  /** Calls `action` once when the response's write buffer has drained. */
   onceDrained(action: () => void): void {
     this.response.once('drain', action);
   }
 
-  /** Ends a stream that is whole. */
+  /** Ends a complete stream. */
   endStream(): void {
     this.response.end();
   }
 
-  /** Closes the connection, so that the answer does not look whole. */
+  /** Closes the connection so that the caller can tell that the answer is incomplete. */
   breakOff(): void {
     this.response.destroy();
   }
 
-  /** Sends an error of the closed list. */
+  /** Sends an error of the given kind, unless the answer has begun. */
   sendError(kind: ErrorKind, retryAfterMs: number | undefined): void {
     if (this.response.headersSent || this.response.destroyed) return;
     const { status, ran } = answerFor(kind);
@@ -155,7 +155,7 @@
   }
 }
 
-/** Seconds with a tenth, rounded up. */
+/** Formats milliseconds as seconds with one decimal, rounded up. */
 function inSeconds(milliseconds: number): string {
   return (Math.ceil(milliseconds / 100) / 10).toFixed(1);
 }
--- a/src/gateway/caller-front.ts
+++ b/src/gateway/caller-front.ts
@@ -1,4 +1,4 @@
-/** The callers' side: reads requests within the configured limits and starts their exchanges. */
+/** HTTP server for callers: reads requests within the configured limits and starts their exchanges. */
 import http from 'node:http';
 import { splitAddress } from '../common/http-client.js';
 import { listen } from '../common/http-server.js';
@@ -10,15 +10,15 @@
 import { RequestExchange } from './request-exchange.js';
 import { steadyNow } from './steady-clock.js';
 
-/** Heads above this are refused by the parser itself. */
-const LARGEST_HEADER_BYTES = 128 * 1024;
+/** Node's HTTP parser refuses larger heads. */
+const MAX_HEADER_BYTES = 128 * 1024;
 const TIMEOUT_CHECK_MS = 500;
-/** Hexadecimal digits of a key's digest that logs show. */
+/** Number of hexadecimal digits of a key's digest in log lines. */
 const FINGERPRINT_DIGITS = 8;
-/** A request's body may take so long. */
+/** Timeout for receiving a whole request. */
 const BODY_TIMEOUT_MS = 30_000;
 
-/** Serves callers. */
+/** HTTP server for callers. */
 export class CallerFront {
   private readonly server: http.Server;
 
@@ -28,7 +28,7 @@
   ) {
     this.server = http.createServer(
       {
-        maxHeaderSize: LARGEST_HEADER_BYTES,
+        maxHeaderSize: MAX_HEADER_BYTES,
         connectionsCheckingInterval: TIMEOUT_CHECK_MS,
         requestTimeout: BODY_TIMEOUT_MS,
         noDelay: true,
@@ -45,18 +45,18 @@
     await listen(this.server, host, port);
   }
 
-  /** Puts the configured limits in force. */
+  /** Applies the configured limits. */
   setLimits(limits: CallerLimits): void {
     this.server.headersTimeout = limits.headerTimeoutMs;
     this.server.keepAliveTimeout = limits.idleTimeoutMs;
   }
 
-  /** Closes connections that rest. */
+  /** Closes idle connections. */
   closeIdle(): void {
     this.server.closeIdleConnections();
   }
 
-  /** Takes no new connections and closes all others. */
+  /** Stops accepting connections and closes the existing ones. */
   stop(): void {
     this.server.close();
     this.server.closeAllConnections();
@@ -106,7 +106,10 @@
     new RequestExchange(this.context, match, version, caller, response).start();
   }
 
-  /** The first digits of a key's SHA-256 tell an operator whose key it is; the key itself is never written. */
+  /**
+   * Logs the first digits of the key's SHA-256 so that an operator can identify the key. The key itself is
+   * never logged.
+   */
   private logDenial(
     head: RequestHead,
     route: string | undefined,
@@ -124,7 +127,10 @@
     });
   }
 
-  /** A route that this daemon does not know may stand in a newer configuration. */
+  /**
+   * Denies a request without a route here. A newer configuration may contain its route, so the denial may allow
+   * a retry.
+   */
   private denyRoute(
     answer: CallerAnswer,
     request: string | undefined,
@@ -137,7 +143,7 @@
     answer.sendError(kind, retryAfterMs);
   }
 
-  /** Reads the whole body; undefined if it is over the limit. */
+  /** Reads the whole body and passes it to `done`, or undefined if it exceeds `limit` bytes. */
   private readBody(
     request: http.IncomingMessage,
     limit: number,
@@ -158,7 +164,7 @@
   }
 }
 
-/** Bytes of a head's fields on the wire. */
+/** Returns the size of the header fields in bytes, with two bytes of separators for each name and value. */
 function sizeOf(rawHeaders: readonly string[]): number {
   let size = 0;
   for (const text of rawHeaders) size += text.length + 2;
--- a/src/gateway/caller-request.ts
+++ b/src/gateway/caller-request.ts
@@ -1,7 +1,7 @@
-/** A request as its caller sent it. */
+/** A caller's request as it was received. */
 import type { RequestHead } from './ports.js';
 
-/** What the caller sent. */
+/** A received request. */
 export interface CallerRequest {
   readonly head: RequestHead;
   readonly method: string;
--- a/src/gateway/expected-capacity.ts
+++ b/src/gateway/expected-capacity.ts
@@ -1,4 +1,7 @@
-/** What a request goes by of the backends' capacity: their speeds, and its risk of late pauses there. */
+/**
+ * Estimates of the backends' capacity for a request: their speeds, and the risk of pauses longer than the
+ * route's goal.
+ */
 import { UNIFORM_CAPACITY, type CapacityView } from '../core/capacity/capacity-view.js';
 import { backendsExemptFromEjection } from '../core/capacity/ejection-limit.js';
 import type { StreamGaps } from '../core/capacity/gap-samples.js';
@@ -10,21 +13,21 @@
 } from '../core/service-configuration.js';
 import type { GatewayContext } from './gateway-context.js';
 
-/** A request, as far as capacity concerns it. */
+/** The properties of a request that the capacity estimates depend on. */
 export interface CapacityNeed {
   readonly service: string;
   readonly route: Route;
-  /** Undefined if the service's backends load no models. */
+  /** Undefined if the service's backends do not load models. */
   readonly model: ModelReference | undefined;
 }
 
-/** Fields of a candidate for the selection. */
+/** Capacity estimates of one candidate for the backend selection. */
 export interface CandidateCapacity {
   readonly speed: number;
   readonly pauseRisk: number;
 }
 
-/** What is expected of each backend at one moment. */
+/** Returns a function that estimates each backend's capacity at `now`. */
 export function capacityFor(
   context: GatewayContext,
   need: CapacityNeed,
@@ -33,8 +36,8 @@
   const { service, route, model } = need;
   const view = viewOf(context, service, now);
   return (backend) => {
-    const isRisky = isStream(route) && model !== undefined;
-    const pauseRisk = isRisky ? view.pauseRisk(backend, model.model, route.pauseGoalMs) : 0;
+    const isModelStream = isStream(route) && model !== undefined;
+    const pauseRisk = isModelStream ? view.pauseRisk(backend, model.model, route.pauseGoalMs) : 0;
     return { speed: view.speedOf(backend), pauseRisk };
   };
 }
@@ -45,8 +48,8 @@
 }
 
 /**
- * Those of `usable` that are left alone though more of the service is than should be; none unless
- * nobody else can take a request.
+ * Returns the backends of `usable` that may be sent requests although they are ejected, because more of the
+ * service's backends are ejected than the limit allows. Call it only if no other backend can take the request.
  */
 export function sparedOf(
   context: GatewayContext,
@@ -57,16 +60,16 @@
   const { settings, directory, health } = context;
   if (!settings.policies.learnedCapacity || usable.length === 0) return [];
   const serving = directory.servingBackends(service);
-  const avoided = serving
+  const ejected = serving
     .map(({ id }) => ({ id, until: health.ejectedUntil(id) }))
     .filter(({ until }) => until > now);
-  const spared = backendsExemptFromEjection(avoided, serving.length);
-  return usable.filter((backend) => spared.has(backend.id));
+  const exempt = backendsExemptFromEjection(ejected, serving.length);
+  return usable.filter((backend) => exempt.has(backend.id));
 }
 
 /**
- * Where the gaps of a request's stream are noted; undefined if they tell nothing of the backend. A
- * stream that goes on after a break is left out: events that the caller has come at once.
+ * Returns the recorder for the gaps of a request's stream; undefined if the gaps say nothing about the backend.
+ * A resumed stream is not recorded, because the events that the caller already has arrive at once.
  */
 export function watchedGaps(
   context: GatewayContext,
--- a/src/gateway/gateway-context.ts
+++ b/src/gateway/gateway-context.ts
@@ -1,4 +1,4 @@
-/** What all requests of one gateway daemon share. */
+/** State and services that all requests of one gateway daemon share. */
 import type { Logger } from '../common/logger.js';
 import type { BackendDirectory } from '../core/backend-directory.js';
 import type { BackendHealth } from '../core/backend-health.js';
@@ -33,32 +33,35 @@
   readonly metrics: GatewayMetrics;
   readonly logger: Logger;
   readonly admission: CallerAdmission;
-  /** Limits of tenants. */
+  /** Rate limits of tenants. */
   readonly limits: SharedLimits;
-  /** Permits for backends that name rate limits. */
+  /** Permits for backends that have announced rate limits. */
   readonly permits: BackendPermits;
   readonly crashes: CrashWatch;
   readonly leavings: LeavingNews;
   readonly backoffs: BackendBackoffs;
-  /** Keeps backends' slots over all daemons; undefined if each daemon chooses alone. */
+  /** Allocates the backends' slots across all daemons; undefined if each daemon decides alone. */
   readonly slots: SlotAdmission | undefined;
-  /** What is held of answers and bodies. */
+  /** Accounts for buffered answers and request bodies. */
   readonly answers: AnswerBuffer;
   /** Requests that have not ended. */
   readonly exchanges: Set<RequestExchange>;
-  /** Age of what is known of the backends, in milliseconds; infinite if nothing has confirmed it. */
+  /** Age in milliseconds of the list of backends; infinite if it was never confirmed. */
   backendsAgeMs(): number;
   budgetOf(service: string): RetryBudget;
-  /** Parts into which common budgets are divided, one for this daemon; infinite if it has none. */
+  /**
+   * Number of equal parts into which shared budgets are divided, one of them for this daemon; infinite if this
+   * daemon has none.
+   */
   budgetParts(): number;
-  /** Notes a caller's deadline; true if it has most likely been refused before. */
+  /** Records a caller's deadline. Returns true if the caller was most likely refused before. */
   noteCaller(route: string, deadlineMs: number | undefined): boolean;
-  /** A request has begun to wait: the owner should hear at once. */
+  /** Sends the service's demand to its owner at once because a request has started to wait. */
   demandUrgent(service: string): void;
-  /** Waiting requests look again, once for all that has changed. */
+  /** Schedules one recheck of the waiting requests for all recent changes. */
   lookAgain(): void;
-  /** Whether callers are asked to close their connections. */
+  /** Whether answers ask callers to close their connections. */
   isDraining(): boolean;
-  /** Whether new requests are refused because the daemon is about to end. */
+  /** Whether new requests are refused because the daemon is about to stop. */
   refusesRequests(): boolean;
 }
--- a/src/gateway/load-watch.ts
+++ b/src/gateway/load-watch.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the loads of models from the order to the end: for the log, for the
- * metrics, and for the limit of loads from the weight store.
+ * Tracks model loads from the order until they finish, for the log, the metrics
+ * and the limit on concurrent loads from the weight store.
  */
 import type { Logger } from '../common/logger.js';
 import type { BackendLedger } from '../core/backend-ledger.js';
@@ -9,16 +9,16 @@
 import { UnloadTimeEstimator } from '../core/unload-time-estimator.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
 
-/** A load that was ordered and is not known to have ended. */
-interface WatchedLoad {
+/** A load that was ordered and is not known to have finished. */
+interface TrackedLoad {
   readonly model: string;
   readonly copy: WeightsLocation;
   readonly startedAt: number;
   readonly expectedMs: number;
 }
 
-/** An unload of a model in use that was ordered and is not known to have ended. */
-interface WatchedUnload {
+/** An unload of a model in use that was ordered and is not known to have finished. */
+interface TrackedUnload {
   readonly model: string;
   readonly startedAt: number;
 }
@@ -32,16 +32,16 @@
   readonly metrics: GatewayMetrics;
 }
 
-/** The loads under way at the backends of one service; a backend carries out one at a time. */
+/** Tracks the running loads at the backends of one service. A backend runs one load at a time. */
 export class LoadWatch {
   readonly unloadTimes = new UnloadTimeEstimator();
-  private readonly loads = new Map<string, WatchedLoad>();
-  /** Unloads that wait for running requests, by backend. */
-  private readonly unloads = new Map<string, WatchedUnload>();
+  private readonly loads = new Map<string, TrackedLoad>();
+  /** Unloads that wait for running requests to finish, by backend id. */
+  private readonly unloads = new Map<string, TrackedUnload>();
 
   constructor(private readonly options: LoadWatchOptions) {}
 
-  /** Milliseconds until each load from the weight store is expected to end. */
+  /** Returns the expected remaining milliseconds of each load from the weight store. */
   storeLoadEnds(now: number): number[] {
     const ends: number[] = [];
     for (const { copy, startedAt, expectedMs } of this.loads.values()) {
@@ -50,7 +50,7 @@
     return ends;
   }
 
-  /** A load has been ordered. */
+  /** Records that a load or unload was ordered. */
   begin(planned: PlannedOrder, now: number): void {
     const { backend, order, copy, durationMs, reason } = planned;
     if (copy === undefined) return this.beginUnload(planned, now);
@@ -93,14 +93,14 @@
     }
   }
 
-  /** A backend has ended and started again: its loads and unloads ended with its earlier start. */
+  /** Ends the loads and unloads of a restarted backend: they ended with its earlier process. */
   backendRestarted(backend: string, now: number): void {
     const load = this.loads.get(backend);
     if (load !== undefined) this.end(backend, load, 'backend_gone', now);
     this.unloads.delete(backend);
   }
 
-  /** Finds the loads that have ended since the last look. */
+  /** Ends the loads and unloads that have finished since the last call. */
   settle(ledgers: ReadonlyMap<string, BackendLedger>, now: number): void {
     this.settleUnloads(ledgers, now);
     for (const [backend, load] of this.loads) {
@@ -111,7 +111,7 @@
     this.options.limit.observe(now);
   }
 
-  private end(backend: string, load: WatchedLoad, outcome: LoadOutcome, now: number): void {
+  private end(backend: string, load: TrackedLoad, outcome: LoadOutcome, now: number): void {
     this.loads.delete(backend);
     const { service, epoch, limit, logger, metrics } = this.options;
     const milliseconds = now - load.startedAt;
@@ -133,13 +133,13 @@
   }
 }
 
-/** How a load has ended. */
+/** Result of a load. */
 type LoadOutcome = 'loaded' | 'failed' | 'backend_gone';
 
-/** Undefined while it may still be under way. */
+/** Returns the result of a load; undefined while it may still be running. */
 function outcomeOf(ledger: BackendLedger, model: string): LoadOutcome | undefined {
   const current = ledger.currentOrder;
-  const isUnderWay = current?.operation === 'load' && current.model === model;
-  if (isUnderWay || ledger.phase !== 'ready') return undefined;
+  const isRunning = current?.operation === 'load' && current.model === model;
+  if (isRunning || ledger.phase !== 'ready') return undefined;
   return ledger.models.has(model) ? 'loaded' : 'failed';
 }
--- a/src/gateway/model-forecast.ts
+++ b/src/gateway/model-forecast.ts
@@ -1,10 +1,13 @@
-/** When a model is ready for a request, as the service's owner forecasts it and this daemon's own findings allow. */
+/**
+ * Forecast of when a model is ready for a request, from the service owner's forecast and this daemon's view of
+ * the backends.
+ */
 import type { ModelReference } from '../core/service-configuration.js';
 import type { GatewayContext } from './gateway-context.js';
 
 /**
- * Milliseconds until a backend that takes requests has the model; undefined if that is not known. A backend that fails, has asked
- * for a backoff or names a rate limit does not count.
+ * Returns the milliseconds until a backend that accepts requests has the model; undefined if unknown. Backends
+ * that are ejected, have requested a backoff or have announced a rate limit are ignored.
  */
 export function modelReadyInMs(
   context: GatewayContext,
@@ -12,10 +15,10 @@
   model: ModelReference,
   now: number,
 ): number | undefined {
-  return context.directory.readyInMs(service, model, now, (id) => isPassedOver(context, id, now));
+  return context.directory.readyInMs(service, model, now, (id) => isIgnored(context, id, now));
 }
 
-function isPassedOver(context: GatewayContext, id: string, now: number): boolean {
+function isIgnored(context: GatewayContext, id: string, now: number): boolean {
   const { directory, health, backoffs, permits } = context;
   const backend = directory.get(id);
   if (backend === undefined) return health.isEjected(id, now);
--- a/src/gateway/request-beliefs.ts
+++ b/src/gateway/request-beliefs.ts
@@ -1,12 +1,12 @@
-/** What a daemon decides on for one request, and how old it is, for log lines. */
+/** State that a daemon's decision on a request is based on, and its age, as log fields. */
 import type { Service } from '../core/service-configuration.js';
 import type { GatewayContext } from './gateway-context.js';
 
 /**
- * The beliefs behind a decision, as fields of a log line.
+ * Returns the state behind a decision as fields of a log line.
  *
  * @param configuration - Version of the configuration that chose the route.
- * @param now - Steady time.
+ * @param now - Steady time in milliseconds.
  */
 export function beliefsOf(
   context: GatewayContext,
@@ -18,13 +18,13 @@
   return {
     configuration,
     backends: directory.servingBackends(service.name).length,
-    backendsAgeMs: wholeMs(context.backendsAgeMs()),
+    backendsAgeMs: roundedMs(context.backendsAgeMs()),
     epoch: service.modelHost === undefined ? undefined : directory.epochOf(service.name),
-    placementAgeMs: wholeMs(directory.placementAgeMs(service.name, now)),
+    placementAgeMs: roundedMs(directory.placementAgeMs(service.name, now)),
   };
 }
 
-/** Nothing stands for a time that is not known. */
-function wholeMs(milliseconds: number): number | undefined {
+/** Rounds to whole milliseconds. Returns undefined for an unknown time, which is infinite. */
+function roundedMs(milliseconds: number): number | undefined {
   return Number.isFinite(milliseconds) ? Math.round(milliseconds) : undefined;
 }
--- a/src/gateway/request-dispatch.ts
+++ b/src/gateway/request-dispatch.ts
@@ -1,6 +1,7 @@
 /**
- * Finds the backend that one request is sent to next, and a slot there: chooses among those that
- * can take it, asks the keeper of the slots, and asks elsewhere when that is sooner.
+ * Finds the next backend for one request, and a slot there: chooses among the backends that can
+ * take it, requests a slot from the backend's slot allocator, and moves to another backend when
+ * that is faster.
  */
 import type { SlotResponse } from '../core/admission/slot-allocator.js';
 import type { BackendCandidate } from '../core/backend-selection.js';
@@ -11,69 +12,89 @@
 import type { SlotClaim, SlotWish } from './slot-admission.js';
 import { steadyNow } from './steady-clock.js';
 
-/** A backend that has refused the request, or was not reached, is not asked again for so long. */
-const REFUSED_PAUSE_MS = 250;
-/** A place in a queue is given up only for a wait that is shorter by this: the messages take as long. */
-const MOVE_GAIN_MS = 50;
-/** Places in queues that one request gives up: what is known of others is late, and all may move at once. */
-const MOST_MOVES = 3;
-/** No place in a queue is given up for a backend that fails so large a share: it is free because it fails. */
-const MOST_FAILURES_TO_MOVE = 0.5;
+/** Time for which a backend that refused the request, or could not be reached, is not tried again. */
+const REFUSED_RETRY_MS = 250;
+/**
+ * A request leaves a queue only for a wait that is shorter by this time, which the messages for the move take.
+ */
+const MIN_MOVE_GAIN_MS = 50;
+/**
+ * Maximum number of queues that one request leaves. The figures of other backends are delayed, and all requests
+ * may move at once.
+ */
+const MAX_MOVES = 3;
+/**
+ * A request does not leave a queue for a backend with this share of failures or more: it has free slots because
+ * it fails.
+ */
+const MAX_FAILURE_SHARE_TO_MOVE = 0.5;
 
-/** The owner's word on loads counts for so long: it is told 0.3 to 0.5 s late, and only when it changes. */
-const OWNER_LOAD_BELIEVED_MS = 1_500;
+/**
+ * Maximum age of the service owner's load figures. The owner announces them 0.3 to 0.5 s late, and only when
+ * they change.
+ */
+const MAX_OWNER_LOAD_AGE_MS = 1_500;
 
-/** What a request says of itself to the keepers of slots. */
+/** Properties of a request that are sent to slot allocators. */
 export type SlotStanding = Omit<SlotWish, 'backend' | 'ownerLoad' | 'onAnswer'>;
 
-/** What the dispatch needs to know of its request. */
+/** Options of {@link RequestDispatch}. */
 export interface DispatchOptions {
   readonly service: Service;
   /** The model that a backend must hold; undefined if there is none. */
   readonly model: ModelReference | undefined;
   readonly sharedPrompt: string | undefined;
-  /** What it goes by of the backends' capacity. */
+  /** Properties of the request that the capacity estimates depend on. */
   readonly need: CapacityNeed;
   readonly standing: () => SlotStanding;
-  /** Whether the request may run at a backend beside what runs there. */
+  /** Returns whether the request may run at a backend together with the requests that run there. */
   readonly mayRunAt: (backend: string) => boolean;
-  /** The request may be sent to the backend now. */
+  /** Called when the request may be sent to the backend. */
   readonly onSlot: (backend: BackendRecord) => void;
-  /** It waits for its turn at a backend; called again when the expected wait has changed. */
+  /** Called when the request is queued at a backend, and again when the expected wait changes. */
   readonly onQueued: () => void;
-  /** No backend can take it. */
+  /** Called when no backend can take the request. */
   readonly onNone: () => void;
-  /** All that could take it want no request for so long. */
+  /** Called when all suitable backends have requested a backoff, with the shortest remaining one. */
   readonly onBackoff: (backoffMs: number) => void;
-  /** All that could take it have named rate limits, and have no permit left for so long. */
+  /**
+   * Called when the suitable backends have rate limits and no permit left, with the time until the first
+   * permit.
+   */
   readonly onLimited: (retryAfterMs: number) => void;
-  /** All that could take it are full for longer than it can wait. */
+  /** Called when all suitable backends are full for longer than the request can wait. */
   readonly onFull: (retryAfterMs: number) => void;
 }
 
-interface PendingAsk {
+interface PendingSlot {
   readonly backend: BackendRecord;
-  /** When the wait should be over; undefined until the keeper has said. */
+  /** Steady time at which the wait should end; undefined until the slot allocator has replied. */
   expectedAt: number | undefined;
 }
 
-/** The search of one request. */
+/** Finds backends and slots for one request. */
 export class RequestDispatch {
-  /** Backends that the request was sent to. */
+  /** Ids of the backends that the request was sent to. */
   private readonly tried = new Set<string>();
-  /** Backends that have refused the request, and until when they are not asked again. */
+  /** Steady times until which backends that refused the request are not tried again, by backend id. */
   private readonly refusals = new Map<string, number>();
-  /** Steady times at which backends that were full for longer than the request can wait should have room. */
+  /**
+   * Steady times at which backends that were full for longer than the request can wait should have a free slot,
+   * by backend id.
+   */
   private readonly fullUntil = new Map<string, number>();
-  /** Steady times until which backends that have named a limit have no permit for the request. */
+  /** Steady times until which backends with rate limits have no permit for the request, by backend id. */
   private readonly limitedUntil = new Map<string, number>();
   private permit: BackendPermit | undefined;
   private claim: SlotClaim | undefined;
-  /** What a keeper has refused at once: if no other serves the request, its return is told there. */
-  private refused: SlotClaim | undefined;
-  private pending: PendingAsk | undefined;
-  /** Where the request counts as work though it was not sent: it waits there. */
-  private queuedAt: string | undefined;
+  /**
+   * Claim that was refused at once. If no other backend serves the request, the caller's retry is announced to
+   * the claim's slot allocator.
+   */
+  private refusedClaim: SlotClaim | undefined;
+  private pending: PendingSlot | undefined;
+  /** Backend at which the queued request counts as in flight although it was not sent. */
+  private countedAt: string | undefined;
   private moves = 0;
 
   constructor(
@@ -81,7 +102,7 @@
     private readonly options: DispatchOptions,
   ) {}
 
-  /** Looks for a backend, or looks again because something has changed. */
+  /** Searches for a backend. Call it again when the state of the backends has changed. */
   next(): void {
     const { pending } = this;
     if (pending !== undefined) {
@@ -89,10 +110,10 @@
       this.release();
     }
     const backend = this.choose();
-    if (backend !== undefined) return this.claimAt(backend);
+    if (backend !== undefined) return this.requestSlot(backend);
     const fullForMs = this.fullForMs(steadyNow());
     if (fullForMs !== undefined) return this.options.onFull(fullForMs);
-    this.queueAt(undefined);
+    this.countQueuedAt(undefined);
     const limitedMs = this.limitedForMs(steadyNow());
     if (limitedMs !== undefined) return this.options.onLimited(limitedMs);
     const backoffMs = this.shortestBackoffMs(steadyNow());
@@ -100,28 +121,28 @@
     this.options.onNone();
   }
 
-  /** Whether a backend may be sent the request now. */
+  /** Returns whether the request may be sent to a backend now. */
   isUsable(backend: string): boolean {
     return this.usableBackends(steadyNow()).some(({ id }) => id === backend);
   }
 
-  /** Whether a keeper has been asked and has not granted yet. */
+  /** Whether a slot or permit was requested and not granted yet. */
   get isPending(): boolean {
     return this.pending !== undefined;
   }
 
-  /** The request has been sent to a backend. */
+  /** Records that the request was sent to a backend. */
   noteSent(backend: string): void {
     this.tried.add(backend);
     this.permit?.use();
   }
 
-  /** A backend has refused the request, or was not reached. */
+  /** Records that a backend refused the request or could not be reached. */
   noteRefusal(backend: string): void {
-    this.refusals.set(backend, steadyNow() + REFUSED_PAUSE_MS);
+    this.refusals.set(backend, steadyNow() + REFUSED_RETRY_MS);
   }
 
-  /** A backend has started again under its id: what it has refused or was sent before is void. */
+  /** Discards the refusals and sends recorded for a backend, because it has restarted under the same id. */
   forget(backend: string): void {
     this.tried.delete(backend);
     this.refusals.delete(backend);
@@ -131,9 +152,9 @@
   }
 
   /**
-   * The request needs its slot, or its place in a queue, no more.
+   * Releases the request's slot, permit and place in a queue.
    *
-   * @param hasFailed - The backend has failed the request.
+   * @param hasFailed - Whether the backend has failed the request.
    */
   release(hasFailed = false): void {
     this.permit?.release();
@@ -141,17 +162,17 @@
     this.claim?.release(0, hasFailed);
     this.claim = undefined;
     this.pending = undefined;
-    this.queueAt(undefined);
+    this.countQueuedAt(undefined);
   }
 
   /**
-   * The owner of the service is told of what waits at a full backend as of work there: that is what
-   * it adds copies by. A request that waits for a model which nobody holds is told otherwise.
+   * Counts the queued request as in flight at its full backend. The service owner adds copies of the model
+   * based on this count. A request for a model that no backend has loaded is reported separately.
    */
-  private queueAt(backend: string | undefined): void {
-    if (this.queuedAt === backend) return;
-    if (this.queuedAt !== undefined) this.count(this.queuedAt, -1);
-    this.queuedAt = backend;
+  private countQueuedAt(backend: string | undefined): void {
+    if (this.countedAt === backend) return;
+    if (this.countedAt !== undefined) this.count(this.countedAt, -1);
+    this.countedAt = backend;
     if (backend !== undefined) this.count(backend, 1);
   }
 
@@ -159,36 +180,42 @@
     this.context.tracker.sent(this.options.service.name, backend, this.options.model, change);
   }
 
-  /** The request leaves its queue, and its caller is told to come back: until then it counts there. */
+  /**
+   * Withdraws the request from its queue because its caller is told to retry. It counts at the backend until
+   * then.
+   */
   leaveUntil(retryAfterMs: number): void {
-    const backend = this.queuedAt;
-    (this.claim ?? this.refused)?.release(retryAfterMs);
-    this.refused = undefined;
+    const backend = this.countedAt;
+    (this.claim ?? this.refusedClaim)?.release(retryAfterMs);
+    this.refusedClaim = undefined;
     this.release();
     if (backend === undefined) return;
     this.count(backend, 1);
     setTimeout(() => this.count(backend, -1), retryAfterMs).unref();
   }
 
-  /** Whether a backend that was not tried yet has a free slot for the request. */
+  /** Returns whether a healthy backend that was not tried yet has a free slot for the request. */
   hasAlternative(): boolean {
-    return this.fresh(steadyNow()).some((backend) => this.inFlightAt(backend) < backend.slots);
+    return this.untriedHealthy(steadyNow()).some(
+      (backend) => this.inFlightAt(backend) < backend.slots,
+    );
   }
 
   /**
-   * Requests in flight at a backend, and those that wait for it: by its keeper's word, or else all
-   * have them told late, and this daemon may have sent more since.
+   * Returns the number of requests in flight at a backend and queued for it, as its slot allocator announced.
+   * Without that it uses the reports of all daemons, which are delayed. Both may be lower than this daemon's
+   * own count, because it may have sent more requests since.
    */
   inFlightAt(backend: BackendRecord): number {
     const { tracker, directory, slots } = this.context;
     const now = steadyNow();
     const own = tracker.inFlightAt(backend.id);
-    const heard = slots?.figuresOf(backend.id, now);
-    if (heard !== undefined) return Math.max(own, heard.inFlight + heard.waiting);
+    const status = slots?.figuresOf(backend.id, now);
+    if (status !== undefined) return Math.max(own, status.inFlight + status.waiting);
     return Math.max(own, directory.inFlightAt(backend, now));
   }
 
-  /** Backends that may be sent the request now. */
+  /** Returns the backends that may be sent the request now. */
   private usableBackends(now: number): BackendRecord[] {
     const { backoffs } = this.context;
     return this.suitableBackends(now)
@@ -198,13 +225,13 @@
       .filter((backend) => this.options.mayRunAt(backend.id));
   }
 
-  /** Whether a backend has refused the request a permit, and still names a limit. */
+  /** Returns whether a backend has no permit for the request and still has a rate limit. */
   private isLimited(backend: BackendRecord, now: number): boolean {
     if ((this.limitedUntil.get(backend.id) ?? 0) <= now) return false;
     return this.context.permits.perSecond(backend) !== undefined;
   }
 
-  /** Backends that could serve the request, now or later. */
+  /** Returns the backends that could serve the request now or later. */
   private suitableBackends(now: number): BackendRecord[] {
     const { directory } = this.context;
     const { service, model } = this.options;
@@ -213,7 +240,10 @@
       .filter((backend) => model === undefined || directory.holds(backend, model, now));
   }
 
-  /** Milliseconds until the first of the backends is back, if all of them have asked for a backoff; undefined if some has not. */
+  /**
+   * Returns the shortest remaining backoff in milliseconds if all suitable backends have requested one;
+   * otherwise undefined.
+   */
   private shortestBackoffMs(now: number): number | undefined {
     const suitable = this.suitableBackends(now);
     const backoffs = suitable.map((backend) => this.context.backoffs.remainingMs(backend, now));
@@ -221,8 +251,8 @@
     return shortest > 0 && Number.isFinite(shortest) ? shortest : undefined;
   }
 
-  /** Those that are sound, and that the request was not sent to yet. */
-  private fresh(now: number): BackendRecord[] {
+  /** Returns the usable backends that are not ejected and that the request was not sent to yet. */
+  private untriedHealthy(now: number): BackendRecord[] {
     return this.untried(this.healthy(this.usableBackends(now), now));
   }
 
@@ -240,18 +270,20 @@
     const now = steadyNow();
     const usable = this.usableBackends(now);
     const healthy = this.healthy(usable, now);
-    const fresh = this.untried(healthy);
-    const withPermits = fresh.filter((backend) => !context.permits.isExhausted(backend, now));
-    // Another backend can be given the model; one of a service without models is all there is.
+    const untriedHealthy = this.untried(healthy);
+    const withPermits = untriedHealthy.filter(
+      (backend) => !context.permits.isExhausted(backend, now),
+    );
+    // The owner can load a model at another backend. A service without models has only these backends.
     const lastResort = model === undefined ? usable : [];
-    const groups = [withPermits, fresh, healthy, lastResort];
-    const best = groups.find((group) => group.length > 0) ?? this.spared(usable, now);
+    const groups = [withPermits, untriedHealthy, healthy, lastResort];
+    const best = groups.find((group) => group.length > 0) ?? this.exemptBackends(usable, now);
     const candidates = this.candidates(best, now);
     const chosen = context.selection.choose(candidates, sharedPrompt);
     return chosen === undefined ? undefined : context.directory.get(chosen.id);
   }
 
-  private spared(usable: readonly BackendRecord[], now: number): BackendRecord[] {
+  private exemptBackends(usable: readonly BackendRecord[], now: number): BackendRecord[] {
     return this.untried(sparedOf(this.context, this.options.service.name, usable, now));
   }
 
@@ -272,7 +304,10 @@
     };
   }
 
-  /** As this daemon has seen it, or its keeper has heard from all: who sends seldom learns late. */
+  /**
+   * Returns the share of failed requests, 0 to 1: the higher of this daemon's own figure and the slot
+   * allocator's figure for all daemons. A daemon that sends few requests notices failures late.
+   */
   private failureShare(backend: string, now: number): number {
     const { health, slots } = this.context;
     return Math.max(health.failureShare(backend), slots?.failureShareOf(backend, now) ?? 0);
@@ -283,25 +318,28 @@
     return backends.map((backend) => this.candidate(backend, capacity, now));
   }
 
-  private claimAt(backend: BackendRecord): void {
+  private requestSlot(backend: BackendRecord): void {
     const { slots } = this.context;
-    if (slots === undefined) return this.slotHeld(backend);
+    if (slots === undefined) return this.slotGranted(backend);
     const claim = slots.claim({
       ...this.options.standing(),
       backend,
       ownerLoad: this.ownerLoad(backend),
-      onAnswer: (answer) => this.answered(backend, answer),
+      onAnswer: (answer) => this.handleResponse(backend, answer),
     });
     this.claim = claim;
     if (claim.isHeld) {
-      this.queueAt(undefined);
-      return this.slotHeld(backend);
+      this.countQueuedAt(undefined);
+      return this.slotGranted(backend);
     }
     this.pending = { backend, expectedAt: undefined };
   }
 
-  /** A permit is taken last: what waits in a queue with one would reach the backend in bunches. */
-  private slotHeld(backend: BackendRecord): void {
+  /**
+   * Requests a permit only once the slot is granted: requests that wait in a queue with permits would reach the
+   * backend in bursts.
+   */
+  private slotGranted(backend: BackendRecord): void {
     const { permits } = this.context;
     if (permits.perSecond(backend) === undefined) return this.options.onSlot(backend);
     this.pending = { backend, expectedAt: undefined };
@@ -322,19 +360,19 @@
   private ownerLoad(backend: BackendRecord): number | undefined {
     const { directory } = this.context;
     const now = steadyNow();
-    const isHeard = directory.placementAgeMs(backend.service, now) <= OWNER_LOAD_BELIEVED_MS;
-    return isHeard ? directory.inFlightAt(backend, now) : undefined;
+    const isRecent = directory.placementAgeMs(backend.service, now) <= MAX_OWNER_LOAD_AGE_MS;
+    return isRecent ? directory.inFlightAt(backend, now) : undefined;
   }
 
-  private answered(backend: BackendRecord, answer: SlotResponse): void {
+  private handleResponse(backend: BackendRecord, answer: SlotResponse): void {
     const now = steadyNow();
     if (answer.type === 'granted') {
       this.pending = undefined;
-      this.queueAt(undefined);
-      return this.slotHeld(backend);
+      this.countQueuedAt(undefined);
+      return this.slotGranted(backend);
     }
     if (answer.type === 'queued') {
-      this.queueAt(backend.id);
+      this.countQueuedAt(backend.id);
       const { expectedWaitMs } = answer;
       const pending = { backend, expectedAt: now + expectedWaitMs };
       this.pending = pending;
@@ -347,25 +385,25 @@
     this.claim = undefined;
     this.pending = undefined;
     if (answer.type === 'refused') {
-      this.refused = hasWaited ? undefined : claim;
+      this.refusedClaim = hasWaited ? undefined : claim;
       this.fullUntil.set(backend.id, now + answer.retryAfterMs);
-      this.queueAt(backend.id);
+      this.countQueuedAt(backend.id);
     }
     this.noteRefusal(backend.id);
     this.next();
   }
 
-  /** Leaves a queue for another backend that is expected to have a slot sooner. */
-  private moveIfSooner({ backend, expectedAt }: PendingAsk): void {
-    if (expectedAt === undefined || this.moves >= MOST_MOVES) return;
+  /** Moves from a queue to another backend that is expected to have a free slot sooner. */
+  private moveIfSooner({ backend, expectedAt }: PendingSlot): void {
+    if (expectedAt === undefined || this.moves >= MAX_MOVES) return;
     const now = steadyNow();
-    const isAvoided = this.context.health.isEjected(backend.id, now);
-    const waitMs = isAvoided ? Infinity : expectedAt - now - MOVE_GAIN_MS;
-    const sooner = this.fresh(now).filter(
+    const isEjected = this.context.health.isEjected(backend.id, now);
+    const waitMs = isEjected ? Infinity : expectedAt - now - MIN_MOVE_GAIN_MS;
+    const sooner = this.untriedHealthy(now).filter(
       (other) =>
         other.id !== backend.id &&
         this.expectedWaitMs(other, now) < waitMs &&
-        this.failureShare(other.id, now) < MOST_FAILURES_TO_MOVE,
+        this.failureShare(other.id, now) < MAX_FAILURE_SHARE_TO_MOVE,
     );
     const candidates = this.candidates(sooner, now);
     const chosen = this.context.selection.choose(candidates, undefined);
@@ -373,23 +411,28 @@
     if (better === undefined) return;
     this.moves += 1;
     this.release();
-    this.claimAt(better);
+    this.requestSlot(better);
   }
 
-  /** As its keeper last said; without that a backend with a free slot is expected to have it. */
+  /**
+   * Returns the wait in milliseconds that the slot allocator last announced. Without that it is 0 for a backend
+   * with a free slot and infinite for others.
+   */
   private expectedWaitMs(backend: BackendRecord, now: number): number {
-    const heard = this.context.slots?.figuresOf(backend.id, now);
-    if (heard !== undefined) return heard.expectedWaitMs;
+    const status = this.context.slots?.figuresOf(backend.id, now);
+    if (status !== undefined) return status.expectedWaitMs;
     return this.inFlightAt(backend) < backend.slots ? 0 : Infinity;
   }
 
-  /** Milliseconds until the first of the backends that were full should have room; undefined if none was. */
+  /**
+   * Returns the milliseconds until the first full backend should have a free slot; undefined if none was full.
+   */
   private fullForMs(now: number): number | undefined {
     const paused = [...this.fullUntil].filter(([id]) => (this.refusals.get(id) ?? 0) > now);
     return soonestMs(paused, now);
   }
 
-  /** Milliseconds until the first of the backends may have a permit; undefined if none has refused one. */
+  /** Returns the milliseconds until the first backend may have a permit; undefined if none has refused one. */
   private limitedForMs(now: number): number | undefined {
     const limited = [...this.limitedUntil].filter(([, until]) => until > now);
     return soonestMs(limited, now);
--- a/src/gateway/request-exchange.ts
+++ b/src/gateway/request-exchange.ts
@@ -1,7 +1,7 @@
 /**
- * One caller's request from its arrival to its end: chooses a backend, sends it,
- * checks the answer, repeats where that is allowed, and passes on only what is
- * whole and belongs to this request.
+ * Handles one caller's request from arrival to end: chooses a backend, sends the
+ * request, checks the answer, retries where that is allowed, and forwards only
+ * complete answers and events that belong to this request.
  */
 import type http from 'node:http';
 import type { Ran } from '../common/errors.js';
@@ -27,17 +27,20 @@
 import { steadyNow } from './steady-clock.js';
 import { TenantPass, type PassDenial } from './tenant-pass.js';
 
-/** Reserved between the last moment for an answer and the caller's own deadline. */
+/** Time between the last moment for an answer and the caller's own deadline. */
 const DEADLINE_MARGIN_MS = 30;
-/** Between two looks at a waiting request when nothing changes. */
-const RETRY_LOOK_MS = 50;
-/** Priority told to backends whose slots are kept: the same for all, for what came later must not end work half done. */
-const ADMITTED_URGENCY = 1;
+/** Interval between rechecks of a waiting request when nothing changes. */
+const RECHECK_INTERVAL_MS = 50;
 /**
- * A caller that was refused goes before those who have not waited yet: it counts as having waited so much longer,
- * which is one rank (four steps) in `slot-queue.ts`.
+ * Priority sent to backends whose slots are allocated across daemons. It is the same for all requests, because
+ * a later request must not preempt a running one.
  */
-const RETURN_HEADSTART_MS = 1_200;
+const GRANTED_PRIORITY = 1;
+/**
+ * Waiting time credited to a caller that was refused before, so that it goes ahead of callers that have not
+ * waited yet. It equals one rank (four steps) in `slot-queue.ts`.
+ */
+const RETRY_HEADSTART_MS = 1_200;
 /** Why a request that has not run is refused. */
 type RefusalKind =
   | 'no_capacity'
@@ -49,29 +52,29 @@
   | 'rate_limited'
   | 'crashes_backends';
 
-/** One request under way. */
+/** A running request. */
 export class RequestExchange {
   private readonly deadlineAt: number;
   private readonly answer: CallerAnswer;
   private attempt: Attempt | undefined;
-  /** Whether the attempt counts as in flight at its backend. */
+  /** Whether the attempt is counted as in flight at its backend. */
   private isCounted = false;
-  private lookTimer: NodeJS.Timeout | undefined;
+  private recheckTimer: NodeJS.Timeout | undefined;
   private deadlineTimer: NodeJS.Timeout | undefined;
   private runs = 0;
   private sends = 0;
   private isWaiting = false;
-  /** The first forecast that the request was held for. */
+  /** The first forecast because of which the request was held, and the steady time of that forecast. */
   private firstForecast: { readonly readyInMs: number; readonly at: number } | undefined;
   private ended = false;
   private lastRan: Ran = 'no';
-  private readonly pass: TenantPass;
+  private readonly admission: TenantPass;
   private readonly search: RequestDispatch;
-  /** The caller was refused before, by this daemon or another. */
-  private readonly hasComeBack: boolean;
-  /** What the owner is told of it while it waits. */
+  /** Whether the caller was most likely refused before, by this daemon or another. */
+  private readonly wasRefused: boolean;
+  /** Entry for this request in the demand reports to the service owner while it waits. */
   private readonly waitingCaller: WaitingCaller;
-  /** The model that a backend must hold; none if the service's backends load no models. */
+  /** The model that a backend must have loaded; undefined if the service's backends do not load models. */
   private readonly model: ModelReference | undefined;
   private readonly need: CapacityNeed;
   private readonly suspicion: RequestSuspicion;
@@ -88,8 +91,8 @@
     this.model = match.service.modelHost === undefined ? undefined : request.head.model;
     const { route } = match;
     this.need = { service: match.service.name, route, model: this.model };
-    this.pass = new TenantPass(context, route, request.head);
-    this.hasComeBack = context.noteCaller(route.name, request.head.deadlineMs);
+    this.admission = new TenantPass(context, route, request.head);
+    this.wasRefused = context.noteCaller(route.name, request.head.deadlineMs);
     const allowed = Math.min(request.head.deadlineMs ?? Infinity, route.timeoutMs);
     this.deadlineAt = request.arrivedAt + allowed - DEADLINE_MARGIN_MS;
     const dueAt = request.arrivedAt + route.goalMs - FIRST_PART_MS;
@@ -99,7 +102,7 @@
     response.on('close', () => this.callerClosed());
   }
 
-  /** Takes the request up. */
+  /** Starts handling the request. */
   start(): void {
     const { arrivedAt } = this.request;
     this.context.budgetOf(this.match.service.name).countRequest(steadyNow());
@@ -108,16 +111,19 @@
     const remaining = this.deadlineAt - steadyNow();
     this.deadlineTimer = setTimeout(() => this.deadlinePassed(), Math.max(0, remaining));
     if (arrivedAt > this.deadlineAt) return this.deadlinePassed();
-    const denial = this.pass.deniedKey();
+    const denial = this.admission.deniedKey();
     if (denial !== undefined) return this.refuseDenied(denial);
-    this.pass.takeUnits((denied) => {
+    this.admission.takeUnits((denied) => {
       if (this.ended) return;
       if (denied === undefined) this.admitted();
       else this.refuseDenied(denied);
     });
   }
 
-  /** Only what its tenant may ask for is demand that an owner should load models for. */
+  /**
+   * Counts the request as demand only once it is admitted, so that owners do not load models for requests that
+   * a tenant may not make.
+   */
   private admitted(): void {
     const { route, service } = this.match;
     if (this.model !== undefined) {
@@ -131,26 +137,30 @@
     this.refuse(kind, retryAfterMs, inputs);
   }
 
-  /** Something has changed that a waiting request may hope for. */
+  /** Rechecks a waiting request after a change that may allow it to be sent. */
   look(): void {
-    // Work that waits at a backend, or has just begun there, is taken back before it crashes another one.
+    // A condemned request that is queued or has just started at a backend is withdrawn before it crashes that
+    // backend too.
     if (!this.ended && !this.answer.hasBegun && this.isCondemned()) return this.refuseCrashing();
     const isIdle = this.attempt === undefined;
     if (isIdle && (this.isWaiting || this.search.isPending)) this.dispatch();
   }
 
-  /** A backend has ended and started again under its id: what it has refused or was sent before is void. */
+  /** Handles a restart of a backend under the same id: earlier refusals and sends no longer count. */
   backendRestarted(backend: BackendRecord): void {
     const wasPending = this.search.isPending;
     this.search.forget(backend.id);
-    // Its place in the queue is gone, and nobody would look at it again.
+    // The request lost its place in the queue, and nothing else would recheck it.
     if (wasPending && !this.search.isPending) return this.wait();
     if (this.attempt?.backendId !== backend.id) return;
-    this.uncount(backend.id);
+    this.removeInFlight(backend.id);
     this.attempt.backendRestarted(backend.address);
   }
 
-  /** The daemon stops: breaks a stream off where its caller can take it up. */
+  /**
+   * Ends the request because the daemon stops. A stream ends after a complete event, so that its caller can
+   * resume it.
+   */
   interrupt(): void {
     if (this.ended) return;
     if (this.sends === 0) return this.refuse('draining', undefined);
@@ -167,7 +177,10 @@
     return this.suspicion.verdict() === 'condemned';
   }
 
-  /** Its caller is not told to come back: the next backend would crash as well. */
+  /**
+   * Refuses a request that crashes backends. Its caller gets no retry time, because the next backend would
+   * crash as well.
+   */
   private refuseCrashing(): void {
     const { digest, crashes } = this.suspicion;
     this.suspicion.refused();
@@ -193,30 +206,34 @@
     });
   }
 
-  /** What orders it among those that wait for a slot; a stream that has begun goes before all others. */
+  /**
+   * Returns the properties that determine the request's place in a slot queue. A stream that has begun goes
+   * first.
+   */
   private standing(): SlotStanding {
-    const { request, pass } = this;
+    const { request, admission } = this;
     const { route } = this.match;
     const { head } = request;
-    const arrivedAt = request.arrivedAt - (this.hasComeBack ? RETURN_HEADSTART_MS : 0);
+    const arrivedAt = request.arrivedAt - (this.wasRefused ? RETRY_HEADSTART_MS : 0);
     const { dueAt } = this.waitingCaller;
-    // Services without models answer whole and fast: their callers are served until the end.
+    // Services without models answer quickly and in one piece, so a caller can be served until it disconnects.
     const reserveMs = this.model === undefined ? 0 : FIRST_PART_MS;
     const leavesAt = this.answer.hasBegun ? Infinity : request.arrivedAt + route.callerTimeoutMs;
     return {
       request: head.attemptId,
-      rank: this.answer.hasBegun ? 0 : (pass.tenant?.priority ?? route.priority),
+      rank: this.answer.hasBegun ? 0 : (admission.tenant?.priority ?? route.priority),
       arrivedAt,
       dueAt: this.sends > 0 ? steadyNow() : dueAt,
       giveUpAt: Math.min(this.deadlineAt, leavesAt) - reserveMs,
-      tenant: pass.tenant?.name ?? '',
+      tenant: admission.tenant?.name ?? '',
       work: Math.round(head.expectedWork ?? 0),
     };
   }
 
   /**
-   * It waits in the queue of a full backend, whatever its goal: one that was told to come back would stand
-   * behind those who waited. Who would wait in vain has been refused by the keeper at once.
+   * Keeps the request in the queue of a full backend regardless of its latency goal: a refused caller that
+   * retries would be queued behind those that waited. The slot allocator refuses at once any request that
+   * cannot be served in time.
    */
   private queued(): void {
     this.setWaiting(false);
@@ -229,13 +246,13 @@
   }
 
   private holdOrRefuse(): void {
-    // Its turn comes as soon as the suspects before it have begun to answer, or have crashed what they run at.
+    // A suspect is sent once the suspects before it have begun to answer or have crashed their backends.
     if (this.suspicion.verdict() === 'suspect') return this.wait();
     const now = steadyNow();
     const readyInMs = this.readyInMs(now);
     const decision = this.decideHold(readyInMs);
     if (decision.type === 'refuse' && !this.answer.hasBegun) {
-      this.expectReturn(decision.retryAfterMs);
+      this.expectRetry(decision.retryAfterMs);
       return this.refuseFull(decision.retryAfterMs, { readyInMs });
     }
     if (readyInMs !== undefined) this.firstForecast ??= { readyInMs, at: now };
@@ -251,7 +268,7 @@
     const { route } = this.match;
     const now = steadyNow();
     const waitedMs = now - this.request.arrivedAt;
-    const { hasComeBack: isRetry } = this;
+    const { wasRefused: isRetry } = this;
     const remainingMs = Math.min(this.deadlineAt - now, route.callerTimeoutMs - waitedMs);
     const { goalMs } = route;
     return this.context.hold.decide({ goalMs, waitedMs, remainingMs, readyInMs, isRetry });
@@ -263,17 +280,17 @@
   ): void {
     const now = steadyNow();
     const waitedMs = Math.round(now - this.request.arrivedAt);
-    const hasComeBack = Number(this.hasComeBack);
-    const inputs = { ...reasons, waitedMs, hasComeBack, ...this.beliefs(now) };
+    const hasComeBack = Number(this.wasRefused);
+    const inputs = { ...reasons, waitedMs, hasComeBack, ...this.stateFields(now) };
     this.refuse('no_capacity', retryAfterMs, inputs);
   }
 
-  private beliefs(now: number): Record<string, number | undefined> {
+  private stateFields(now: number): Record<string, number | undefined> {
     return beliefsOf(this.context, this.match.service, this.configurationVersion, now);
   }
 
-  /** A caller that was told to come back still waits: its model must be there by then. */
-  private expectReturn(retryAfterMs: number): void {
+  /** Counts a refused caller as waiting until its retry, so that its model is loaded by then. */
+  private expectRetry(retryAfterMs: number): void {
     const { model } = this;
     const { route, service } = this.match;
     if (model === undefined) return;
@@ -286,8 +303,8 @@
 
   private wait(): void {
     this.setWaiting(true);
-    clearTimeout(this.lookTimer);
-    this.lookTimer = setTimeout(() => this.look(), RETRY_LOOK_MS);
+    clearTimeout(this.recheckTimer);
+    this.recheckTimer = setTimeout(() => this.look(), RECHECK_INTERVAL_MS);
   }
 
   private setWaiting(waiting: boolean): void {
@@ -306,16 +323,16 @@
     const { context, match, request } = this;
     const { route, service } = match;
     const now = steadyNow();
-    const denial = this.pass.deniedKey();
+    const denial = this.admission.deniedKey();
     if (denial !== undefined) return this.refuseDenied(denial);
     if (this.isCondemned()) return this.refuseCrashing();
-    // A slot may have been granted for a backend that has said since that it leaves, or asked for a backoff.
-    if (!this.search.isUsable(backend.id)) return this.searchAnew();
-    if (!this.suspicion.takePlace(backend.id)) return this.waitForPlace();
+    // Since the slot was granted, the backend may have announced that it is leaving or requested a backoff.
+    if (!this.search.isUsable(backend.id)) return this.restartSearch();
+    if (!this.suspicion.takePlace(backend.id)) return this.waitForTurn();
     if (this.sends > 0 && !this.takeRetry(service.name, now)) return this.stopRetrying();
     this.setWaiting(false);
-    clearTimeout(this.lookTimer);
-    this.noteWait(true);
+    clearTimeout(this.recheckTimer);
+    this.recordHeldWait(true);
     this.sends += 1;
     this.search.noteSent(backend.id);
     context.tracker.sent(service.name, backend.id, this.model, 1);
@@ -331,7 +348,7 @@
       sends: this.sends,
       waitedMs: Math.round(now - request.arrivedAt),
       remainingMs: Math.round(this.deadlineAt - now),
-      ...this.beliefs(now),
+      ...this.stateFields(now),
     });
     const rateLimit = context.permits.believed(backend);
     const isResumed = this.answer.hasBegun || request.head.lastEventId !== undefined;
@@ -339,8 +356,8 @@
       backend,
       route,
       request,
-      tenant: this.pass.tenant,
-      urgency: context.slots && ADMITTED_URGENCY,
+      tenant: this.admission.tenant,
+      urgency: context.slots && GRANTED_PRIORITY,
       remainingMs: this.deadlineAt - now,
       lastEventId: this.answer.lastEventId ?? request.head.lastEventId,
       silentAfterMs: firstByteTimeoutMs(route, this.runs),
@@ -349,7 +366,7 @@
       onLeaving: () => context.leavings.answered(backend, request.head.attemptId),
       onRateLimit: (notice) =>
         context.permits.answered(backend, notice, rateLimit, request.head.attemptId),
-      onBackoff: (backoffMs) => this.noteBackoff(backend, backoffMs),
+      onBackoff: (backoffMs) => this.handleBackoff(backend, backoffMs),
       onSilent: () => this.backendSilent(backend),
       gaps: watchedGaps(context, this.need, backend.id, isResumed),
       answer: this.answer,
@@ -357,19 +374,22 @@
     });
   }
 
-  private searchAnew(): void {
+  private restartSearch(): void {
     this.search.release();
     this.search.next();
   }
 
-  /** Another suspect has just been sent there. */
-  private waitForPlace(): void {
+  /** Releases the slot and waits, because another suspect request was just sent to the backend. */
+  private waitForTurn(): void {
     this.search.release();
     this.wait();
   }
 
-  /** The backend is sent nothing until then, whatever waits for it here: other requests look for another one. */
-  private noteBackoff(backend: BackendRecord, askedMs: number): void {
+  /**
+   * Records a backoff. Nothing is sent to the backend until it ends, and requests that wait for the backend
+   * here search for another one.
+   */
+  private handleBackoff(backend: BackendRecord, askedMs: number): void {
     const { backoffs, metrics } = this.context;
     const backoffMs = Math.round(backoffs.recordBackoff(backend, askedMs, steadyNow()));
     metrics.backoffs.inc();
@@ -381,30 +401,39 @@
     this.context.lookAgain();
   }
 
-  /** All that could take it have asked for a backoff: its caller is answered at once, with the end of the first. */
+  /**
+   * Handles a backoff of all suitable backends: refuses the request at once, with the end of the first backoff
+   * as retry time, unless another backend has the model sooner.
+   */
   private backendsBackOff(backoffMs: number): void {
     if (this.answer.hasBegun) return this.wait();
     const readyInMs = this.readyInMs(steadyNow());
     if (readyInMs !== undefined && readyInMs < backoffMs) return this.holdOrRefuse();
-    this.expectReturn(backoffMs);
+    this.expectRetry(backoffMs);
     this.refuseFull(backoffMs, { restForMs: Math.round(backoffMs) });
   }
 
-  /** All that could take it have no permit left: it waits for one that comes in time, or its caller is told when. */
+  /**
+   * Handles a lack of permits at all suitable backends: waits if a permit or another backend is expected in
+   * time, otherwise refuses with a retry time.
+   */
   private backendsLimited(retryAfterMs: number): void {
     const forecastMs = this.readyInMs(steadyNow()) ?? Infinity;
     const readyInMs = Math.min(retryAfterMs, forecastMs);
     const decision = this.decideHold(readyInMs);
     if (decision.type === 'hold' || this.answer.hasBegun) return this.wait();
-    this.expectReturn(decision.retryAfterMs);
+    this.expectRetry(decision.retryAfterMs);
     this.refuseFull(decision.retryAfterMs, { limitedForMs: Math.round(retryAfterMs) });
   }
 
-  /** The request stays with a silent backend, but the owner should find another for its model. */
+  /**
+   * Leaves the request at an unresponsive backend, but reports it as waiting so that the owner loads its model
+   * at another one.
+   */
   private backendSilent(backend: BackendRecord): void {
     this.context.health.recordNoResponse(backend.id, steadyNow());
     this.setWaiting(true);
-    this.log('backend_awaited', { backend: backend.id, ...this.beliefs(steadyNow()) });
+    this.log('backend_awaited', { backend: backend.id, ...this.stateFields(steadyNow()) });
   }
 
   private takeRetry(service: string, now: number): boolean {
@@ -415,14 +444,14 @@
 
   private stopRetrying(): void {
     this.log('retry_denied', { sends: this.sends, runs: this.runs });
-    if (this.runs > 0) return this.giveUp(this.lastRan, 'no retry left');
+    if (this.runs > 0) return this.giveUp(this.lastRan, 'the retry budget is exhausted');
     this.refuse('engine_refused', 500);
   }
 
   private attemptEnded(backend: BackendRecord, end: AttemptEnd): void {
     if (this.ended) return;
     this.releaseAttempt(backend.id, this.hasFailed(backend, end));
-    this.judgeBackend(backend, end);
+    this.recordHealth(backend, end);
     if (end.type === 'done') {
       this.suspicion.answered();
       return this.finish(end.status < 400 ? 'served' : 'failed');
@@ -434,7 +463,7 @@
       reason: end.reason,
       sends: this.sends,
     });
-    // What never reached a backend is no arrival there.
+    // An attempt that never reached its backend does not count as a send.
     if (!end.reached) this.sends -= 1;
     if (end.ran !== 'no') {
       this.runs += 1;
@@ -452,36 +481,36 @@
     this.giveUp(this.lastRan, end.reason);
   }
 
-  /** Sends the request again once it is known whether it has crashed its backend. */
+  /** Dispatches the request again once it is known whether it has crashed its backend. */
   private dispatchAfter(examined: Promise<void> | undefined): void {
     if (examined === undefined) return this.dispatch();
     void examined.then(() => this.dispatch());
   }
 
-  /** The attempt is over: the backend no longer works on the request. */
+  /** Releases what an ended attempt holds: the backend no longer works on the request. */
   private releaseAttempt(backend: string, hasFailed = false): void {
-    this.uncount(backend);
+    this.removeInFlight(backend);
     this.attempt = undefined;
     this.suspicion.leavePlace();
     this.search.release(hasFailed);
     this.setWaiting(false);
   }
 
-  /** Whether the backend itself has failed; silence may be the fault of the way there. */
+  /** Returns whether the backend itself has failed the request. A timeout may be caused by the network. */
   private hasFailed(backend: BackendRecord, end: AttemptEnd): boolean {
     if (end.type === 'done' || !end.reached || end.silent || end.lacksModel) return false;
     return !isDifferentStart(backend, this.context.directory.get(backend.id));
   }
 
-  private uncount(backend: string): void {
+  private removeInFlight(backend: string): void {
     if (!this.isCounted) return;
     this.isCounted = false;
     this.context.tracker.sent(this.match.service.name, backend, this.model, -1);
   }
 
-  private judgeBackend(backend: BackendRecord, end: AttemptEnd): void {
+  private recordHealth(backend: BackendRecord, end: AttemptEnd): void {
     const { health, directory } = this.context;
-    // The end of an earlier start's request tells nothing of the later one.
+    // The result of a request at an earlier process says nothing about the current process.
     if (isDifferentStart(backend, directory.get(backend.id))) return;
     if (end.type === 'done') return health.recordSuccess(backend.id);
     if (end.ran === 'no') this.search.noteRefusal(backend.id);
@@ -512,9 +541,9 @@
     retryAfterMs: number | undefined,
     inputs: Readonly<Record<string, string | number | undefined>> = {},
   ): void {
-    // A refusal says that the request has not run.
+    // A refusal states that the request has not run.
     if (this.answer.hasBegun || this.runs > 0) return this.giveUp(this.lastRan, kind);
-    this.context.metrics.refusals.inc({ kind, tenant: this.pass.tenant?.name ?? '' });
+    this.context.metrics.refusals.inc({ kind, tenant: this.admission.tenant?.name ?? '' });
     this.log('refused', {
       kind,
       retryAfterMs: retryAfterMs && Math.round(retryAfterMs),
@@ -524,7 +553,7 @@
     this.finish('refused');
   }
 
-  /** Ends a request that has run, or may have. */
+  /** Ends a request that has run or may have run. */
   private giveUp(
     ran: Ran,
     reason: string,
@@ -540,9 +569,9 @@
   private finish(end: 'served' | 'failed' | 'refused' | 'caller_left'): void {
     if (this.ended) return;
     this.setWaiting(false);
-    this.noteWait(false);
+    this.recordHeldWait(false);
     this.ended = true;
-    clearTimeout(this.lookTimer);
+    clearTimeout(this.recheckTimer);
     clearTimeout(this.deadlineTimer);
     const mayHaveRun = end === 'served' || this.runs > 0 || this.attempt !== undefined;
     if (this.attempt !== undefined) {
@@ -551,7 +580,7 @@
     }
     this.suspicion.leavePlace();
     this.search.release();
-    this.pass.end(mayHaveRun);
+    this.admission.end(mayHaveRun);
     this.context.exchanges.delete(this);
     this.context.answers.hold(-this.request.body.length);
     const { route } = this.match;
@@ -561,11 +590,11 @@
     const milliseconds = Math.round(seconds * 1000);
     const { begunAt } = this.answer;
     const firstPartMs = begunAt && Math.round(begunAt - this.request.arrivedAt);
-    const timing = { milliseconds, firstPartMs, goalMs: route.goalMs, ...this.pauses() };
+    const timing = { milliseconds, firstPartMs, goalMs: route.goalMs, ...this.pauseFields() };
     this.log('request_ended', { end, ...timing, sends: this.sends });
   }
 
-  private noteWait(wasSent: boolean): void {
+  private recordHeldWait(wasSent: boolean): void {
     const { firstForecast } = this;
     if (firstForecast === undefined) return;
     this.firstForecast = undefined;
@@ -573,8 +602,11 @@
     this.context.hold.recordWait({ forecastMs: firstForecast.readyInMs, spentMs, wasSent });
   }
 
-  /** How a stream has paused, and the pause that its caller still takes for in time. */
-  private pauses(): Record<string, number> {
+  /**
+   * Returns the longest pause of a stream and the longest pause that still meets the route's goal, as log
+   * fields.
+   */
+  private pauseFields(): Record<string, number> {
     const { route } = this.match;
     if (!isStream(route) || !this.answer.hasBegun) return {};
     const longestPauseMs = Math.round(this.answer.longestPauseMs);
@@ -585,7 +617,7 @@
     const { head } = this.request;
     this.context.logger.info(event, {
       request: head.attemptId,
-      tenant: this.pass.tenant?.name,
+      tenant: this.admission.tenant?.name,
       route: this.match.route.name,
       model: head.model?.model,
       adapter: head.model?.adapter,
--- a/src/gateway/request-suspicion.ts
+++ b/src/gateway/request-suspicion.ts
@@ -1,16 +1,19 @@
-/** One request, and whether it crashes the backends that run it. */
+/** Tracks whether one request crashes the backends that run it. */
 import { createHash } from 'node:crypto';
 import type { CrashVerdict } from '../core/crash-records.js';
 import type { BackendRecord } from '../core/service-configuration.js';
 import type { CrashWatch } from './crash-watch.js';
 import type { CallerRequest } from './caller-request.js';
 
-/** Hexadecimal digits of a digest: 16 bytes, too many for two requests to share one by chance or by design. */
+/**
+ * Hexadecimal digits of a digest: 16 bytes, so that two requests cannot have the same digest by chance or by
+ * intent.
+ */
 const DIGEST_DIGITS = 32;
 
-/** What one exchange tells and asks. */
+/** Connects one request's exchange to the crash records. */
 export class RequestSuspicion {
-  private known: string | undefined;
+  private cachedDigest: string | undefined;
 
   constructor(
     private readonly watch: CrashWatch,
@@ -18,18 +21,18 @@
     private readonly answerHasBegun: () => boolean,
   ) {}
 
-  /** What has begun to answer has outlived the moment at which such a request crashes its backend. */
+  /** Whether the answer has begun. A request that crashes its backend does so before this moment. */
   get hasBegun(): boolean {
     return this.answerHasBegun();
   }
 
-  /** Digest of what makes it the same request when it comes again; worked out when it is first needed. */
+  /** Digest that identifies a repeated request; computed on first use. */
   get digest(): string {
-    this.known ??= digestOf(this.request);
-    return this.known;
+    this.cachedDigest ??= digestOf(this.request);
+    return this.cachedDigest;
   }
 
-  /** Crashes that are held against it. */
+  /** Number of crashes attributed to the request. */
   get crashes(): number {
     return this.watch.isIdle ? 0 : this.watch.crashesOf(this.digest);
   }
@@ -38,37 +41,45 @@
     return this.watch.isIdle ? 'sound' : this.watch.verdict(this.digest);
   }
 
-  /** Whether it may be sent to a backend now: a suspect takes turns with others. */
+  /**
+   * Returns whether the request may be sent to the backend now. A backend runs one suspect request at a time.
+   */
   takePlace(backend: string): boolean {
     return this.verdict() !== 'suspect' || this.watch.takePlace(backend, this);
   }
 
-  /** Whether no other suspect has its turn at a backend. */
+  /** Returns whether the backend runs no other suspect request, if this request is a suspect. */
   mayTakePlace(backend: string): boolean {
     return this.verdict() !== 'suspect' || this.watch.isPlaceFree(backend, this);
   }
 
-  /** It runs no more. */
+  /** Records that the request no longer runs at a backend. */
   leavePlace(): void {
     this.watch.leavePlace(this);
   }
 
-  /** It is refused. */
+  /** Records that the request was refused. */
   refused(): void {
     this.watch.repeated(this.digest);
   }
 
+  /** Records that the request was answered. */
   answered(): void {
     if (!this.watch.isIdle) this.watch.answered(this.digest);
   }
 
-  /** A backend has broken it off; ends when it is known what that means. */
+  /**
+   * Records that a backend closed the connection. Resolves when it is known whether the backend has crashed.
+   */
   brokeOff(backend: BackendRecord): Promise<void> {
     return this.watch.brokeOff(backend, this.digest, this.request.head.attemptId);
   }
 }
 
-/** Of its path, its caller's key and its body: not of the attempt's name, its deadline, or how it is resumed. */
+/**
+ * Hashes the method, host, path, key digest and body, but not the attempt id, the deadline or the resume
+ * position.
+ */
 function digestOf({ head, method, path, rawHeaders, body }: CallerRequest): string {
   const hash = createHash('sha256');
   const parts = [method, hostOf(rawHeaders), path, head.keyDigest ?? ''];
@@ -77,8 +88,8 @@
 }
 
 function hostOf(rawHeaders: readonly string[]): string {
-  const at = rawHeaders.findIndex((text, index) => {
+  const nameIndex = rawHeaders.findIndex((text, index) => {
     return index % 2 === 0 && text.toLowerCase() === 'host';
   });
-  return at < 0 ? '' : (rawHeaders[at + 1] ?? '').toLowerCase();
+  return nameIndex < 0 ? '' : (rawHeaders[nameIndex + 1] ?? '').toLowerCase();
 }
--- a/src/gateway/request-tracker.ts
+++ b/src/gateway/request-tracker.ts
@@ -1,6 +1,6 @@
 /**
- * Counts what this daemon's callers ask of models, and what it has in flight at
- * backends: for the choice of a backend, and for the reports to the owners.
+ * Counts this daemon's demand for models and its requests in flight at backends,
+ * for the choice of a backend and for the demand reports to the service owners.
  */
 import { adapterKey } from '../core/backend-ledger.js';
 import { ArrivalHistory } from '../core/arrival-history.js';
@@ -8,21 +8,24 @@
 import type { BackendUse, DemandReport, DemandSample } from '../core/demand-report.js';
 import type { ModelReference } from '../core/service-configuration.js';
 
-interface Counted extends ModelReference {
+interface DemandCount extends ModelReference {
   arrivals: number;
   readonly waiting: Set<WaitingCaller>;
   goalMs: number;
 }
 
-/** A caller that waits for a model, here or until it comes back. */
+/** A caller that waits for a model: its request is held here, or it was refused and will retry. */
 export interface WaitingCaller {
-  /** Steady time by which it should find its model. */
+  /** Steady time by which the model should be loaded. */
   readonly dueAt: number;
   readonly goalMs: number;
 }
 
-/** A caller whose time has passed gives way to those who can still be served in time, for so many goals. */
-const LATE_GOALS = 4;
+/**
+ * The due time of a late caller is postponed by this many goals, so that callers that can still be served in
+ * time go first.
+ */
+const LATE_DELAY_GOALS = 4;
 
 interface InFlight extends ModelReference {
   readonly service: string;
@@ -30,41 +33,43 @@
   count: number;
 }
 
-/** What one daemon has counted. */
+/** Counters of one daemon. */
 export class RequestTracker {
   /** By service, then by model and adapter. */
-  private readonly demand = new Map<string, Map<string, Counted>>();
+  private readonly demand = new Map<string, Map<string, DemandCount>>();
   private readonly models = new Map<string, InFlight>();
   private readonly backends = new Map<string, number>();
-  /** Services of which the last report is no longer true. */
+  /** Services that have changed since their last report. */
   private readonly changed = new Set<string>();
   /** By service. */
   private readonly histories = new Map<string, ArrivalHistory>();
   /** Gaps of streams, by service. */
   private readonly streamGaps = new Map<string, GapSamples>();
 
+  /** Records that a request for a model has arrived. */
   arrived(service: string, reference: ModelReference, goalMs: number, now: number): void {
-    const counted = this.counted(service, reference, goalMs);
+    const counted = this.demandFor(service, reference, goalMs);
     this.changed.add(service);
     counted.arrivals += 1;
     this.historyOf(service).record(reference, goalMs, now);
     counted.goalMs = Math.min(counted.goalMs, goalMs);
   }
 
-  /** A caller begins to wait. */
+  /** Records that a caller starts to wait. */
   waits(service: string, reference: ModelReference, caller: WaitingCaller): void {
-    const counted = this.counted(service, reference, caller.goalMs);
+    const counted = this.demandFor(service, reference, caller.goalMs);
     this.changed.add(service);
     counted.waiting.add(caller);
     counted.goalMs = Math.min(counted.goalMs, caller.goalMs);
   }
 
-  /** A caller waits no longer. */
+  /** Records that a caller no longer waits. */
   endsWaiting(service: string, reference: ModelReference, caller: WaitingCaller): void {
     this.changed.add(service);
     this.demand.get(service)?.get(adapterKey(reference))?.waiting.delete(caller);
   }
 
+  /** Changes the number of requests in flight at a backend by `change`. */
   sent(
     service: string,
     backend: string,
@@ -82,35 +87,35 @@
     if (entry.count === 0) this.models.delete(key);
   }
 
-  /** Where the gaps of a service's streams are gathered. */
+  /** Returns the gap samples of a service's streams. */
   gapsOf(service: string): GapSamples {
     const known = this.streamGaps.get(service) ?? new GapSamples();
     this.streamGaps.set(service, known);
     return known;
   }
 
-  /** Requests of this daemon at a backend. */
+  /** Returns the number of this daemon's requests in flight at a backend. */
   inFlightAt(backend: string): number {
     return this.backends.get(backend) ?? 0;
   }
 
-  /** Services whose models were asked for or used since the last report, or are in use. */
+  /** Returns the services with demand or changes since the last report, or with requests in flight. */
   activeServices(): string[] {
     const services = new Set([...this.demand.keys(), ...this.changed]);
     for (const entry of this.models.values()) services.add(entry.service);
     return [...services];
   }
 
-  /** Whether the last report on a service is no longer true. */
+  /** Returns whether a service has changed since its last report. */
   hasChanged(service: string): boolean {
     return this.changed.has(service);
   }
 
-  /** What has happened since the last report on the service. */
+  /** Returns a report on the demand since the last one, and resets the counters. */
   report(service: string, daemon: string, failing: readonly string[], now: number): DemandReport {
     this.changed.delete(service);
     const samples: DemandSample[] = [];
-    const counted = this.demand.get(service) ?? new Map<string, Counted>();
+    const counted = this.demand.get(service) ?? new Map<string, DemandCount>();
     for (const [key, entry] of counted) {
       const { model, adapter, arrivals, goalMs } = entry;
       const waiting = entry.waiting.size;
@@ -126,15 +131,15 @@
       use.push({ backend, model, adapter, inFlight: count });
     }
     const gaps = this.streamGaps.get(service);
-    const told = gaps?.isDue(now) === true ? gaps.takeReport(now) : undefined;
-    return { daemon, samples, use, failing, gaps: told };
+    const gapReport = gaps?.isDue(now) === true ? gaps.takeReport(now) : undefined;
+    return { daemon, samples, use, failing, gaps: gapReport };
   }
 
-  /** A new owner is told of the requests of some time, each counted for what it still tells. */
+  /** Adds recent requests, weighted by age, to the next report, for a new owner. */
   recall(service: string, now: number): void {
     this.changed.add(service);
     for (const { reference, goalMs, arrivals } of this.historyOf(service).recent(now)) {
-      const counted = this.counted(service, reference, goalMs);
+      const counted = this.demandFor(service, reference, goalMs);
       counted.arrivals = Math.max(counted.arrivals, arrivals);
       counted.goalMs = Math.min(counted.goalMs, goalMs);
     }
@@ -146,24 +151,24 @@
     return known;
   }
 
-  private counted(service: string, reference: ModelReference, goalMs: number): Counted {
-    const models = this.demand.get(service) ?? new Map<string, Counted>();
+  private demandFor(service: string, reference: ModelReference, goalMs: number): DemandCount {
+    const models = this.demand.get(service) ?? new Map<string, DemandCount>();
     this.demand.set(service, models);
     const key = adapterKey(reference);
     const known = models.get(key);
     if (known !== undefined) return known;
     const { model, adapter } = reference;
-    const fresh: Counted = { model, adapter, arrivals: 0, waiting: new Set(), goalMs };
+    const fresh: DemandCount = { model, adapter, arrivals: 0, waiting: new Set(), goalMs };
     models.set(key, fresh);
     return fresh;
   }
 }
 
-function dueInMs(counted: Counted, now: number): number {
+function dueInMs(counted: DemandCount, now: number): number {
   let earliest = Infinity;
   for (const { dueAt, goalMs } of counted.waiting) {
     const isLate = dueAt <= now;
-    earliest = Math.min(earliest, dueAt + (isLate ? LATE_GOALS * goalMs : 0));
+    earliest = Math.min(earliest, dueAt + (isLate ? LATE_DELAY_GOALS * goalMs : 0));
   }
   return earliest === Infinity ? 0 : Math.round(earliest - now);
 }
--- a/src/gateway/tenant-pass.ts
+++ b/src/gateway/tenant-pass.ts
@@ -1,26 +1,26 @@
-/** One request's standing with its tenant: whose key it has, and the units taken from the tenant's limit. */
+/** Admission of one request for its tenant: the key check, and the units charged to the tenant's rate limit. */
 import type { CallerTenant, Route } from '../core/service-configuration.js';
 import type { GatewayContext } from './gateway-context.js';
 import type { RequestHead } from './ports.js';
 
-/** A caller comes back after so long when nobody who counts its tenant's limit has answered. */
+/** Retry time for callers when no daemon that holds the tenant's rate limit has replied. */
 const LIMIT_UNKNOWN_MS = 500;
 
-/** Why a request may not go on. */
+/** Why a request is denied. */
 export interface PassDenial {
   readonly kind: 'unauthorized' | 'not_ready' | 'rate_limited';
   readonly retryAfterMs: number | undefined;
-  /** What it was decided on, for the log. */
+  /** Inputs of the decision, for the log. */
   readonly inputs: Readonly<Record<string, string | number | undefined>>;
 }
 
-/** Keeps the standing of one request. */
+/** Admission state of one request. */
 export class TenantPass {
-  /** Undefined if the caller needs no key, or has not been asked for it yet. */
+  /** Undefined if the caller needs no key, or if its key was not checked yet. */
   tenant: CallerTenant | undefined;
-  /** What was taken from a tenant's limit. */
+  /** Units charged to a tenant's rate limit. */
   private charge: { readonly tenant: string; readonly units: number } | undefined;
-  private isOver = false;
+  private hasEnded = false;
 
   constructor(
     private readonly context: GatewayContext,
@@ -28,7 +28,7 @@
     private readonly head: RequestHead,
   ) {}
 
-  /** Asks before each send: undefined if the request may be sent now. */
+  /** Checks the key; call it before each send. Returns undefined if the request may be sent now. */
   deniedKey(): PassDenial | undefined {
     const { admission } = this.context;
     const answer = admission.check(this.route, this.head.keyDigest);
@@ -40,7 +40,10 @@
     return { kind, retryAfterMs, inputs: { proofAgeMs: admission.proofAgeMs() } };
   }
 
-  /** Takes the request's units from its tenant's limit; calls back at once or after a holder's word. */
+  /**
+   * Charges the request's units to its tenant's limit. Calls `answer` at once, or after a limit holder has
+   * replied.
+   */
   takeUnits(answer: (denial: PassDenial | undefined) => void): void {
     const { limits } = this.context;
     const limit = this.tenant?.limit;
@@ -50,7 +53,7 @@
     limits.admit(name, units, (decision) => {
       if (decision.type === 'granted') {
         this.charge = { tenant: name, units };
-        if (this.isOver) this.giveBack();
+        if (this.hasEnded) this.giveBack();
         return answer(undefined);
       }
       const inputs = { units, holder: limits.holderOf(name) };
@@ -62,11 +65,11 @@
   }
 
   /**
-   * The request has ended. The limit counts requests that run: what was taken for one that
-   * has not is given back, also when the holder's word comes later.
+   * Records that the request has ended. The limit counts only requests that run, so the units of a
+   * request that did not run are refunded, also if the holder's reply arrives later.
    */
   end(mayHaveRun: boolean): void {
-    this.isOver = true;
+    this.hasEnded = true;
     if (!mayHaveRun) this.giveBack();
   }
 
