--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -262,18 +262,18 @@
     if (this.ended) return;
     const status = this.incoming?.statusCode ?? 0;
     if (this.isEventStream()) return this.endStream(status);
-    const whole: WholeAnswer = {
+    const complete: WholeAnswer = {
       status,
       rawHeaders: this.incoming?.rawHeaders ?? [],
       body: Buffer.concat(this.chunks),
     };
     if (status < FIRST_FAILURE_STATUS) {
-      this.end({ type: 'done', status }, () => this.options.answer.sendWhole(whole));
+      this.end({ type: 'done', status }, () => this.options.answer.sendWhole(complete));
       return;
     }
     const isForwardable = this.head?.signed === true && !NOT_RUN_STATUSES.has(status);
     if (isForwardable && status < FIRST_SERVER_FAILURE_STATUS) {
-      this.end({ type: 'done', status }, () => this.options.answer.sendWhole(whole));
+      this.end({ type: 'done', status }, () => this.options.answer.sendWhole(complete));
       return;
     }
     this.end({
@@ -285,7 +285,7 @@
       broken: false,
       cutOff: false,
       lacksModel: false,
-      ...(isForwardable ? { answer: whole } : {}),
+      ...(isForwardable ? { answer: complete } : {}),
     });
   }
 
--- a/src/gateway/expected-capacity.ts
+++ b/src/gateway/expected-capacity.ts
@@ -30,10 +30,10 @@
 /** Returns a function that estimates each backend's capacity at `now`. */
 export function capacityFor(
   context: GatewayContext,
-  need: CapacityNeed,
+  query: CapacityNeed,
   now: number,
 ): (backend: string) => CandidateCapacity {
-  const { service, route, model } = need;
+  const { service, route, model } = query;
   const view = viewOf(context, service, now);
   return (backend) => {
     const isModelStream = isStream(route) && model !== undefined;
@@ -73,11 +73,11 @@
  */
 export function watchedGaps(
   context: GatewayContext,
-  need: CapacityNeed,
+  query: CapacityNeed,
   backend: string,
   isResumed: boolean,
 ): StreamGaps | undefined {
-  const { service, route, model } = need;
+  const { service, route, model } = query;
   const isLearned = context.settings.policies.learnedCapacity && isStream(route);
   if (!isLearned || isResumed || model === undefined) return undefined;
   return context.tracker.gapsOf(service).measureStream(backend, model.model, route.pauseGoalMs);
--- a/src/gateway/request-exchange.ts
+++ b/src/gateway/request-exchange.ts
@@ -76,7 +76,7 @@
   private readonly waitingCaller: WaitingCaller;
   /** The model that a backend must have loaded; undefined if the service's backends do not load models. */
   private readonly model: ModelReference | undefined;
-  private readonly need: CapacityNeed;
+  private readonly capacityQuery: CapacityNeed;
   private readonly suspicion: RequestSuspicion;
 
   constructor(
@@ -90,7 +90,7 @@
     this.answer = new CallerAnswer(context, request.head, response);
     this.model = match.service.modelHost === undefined ? undefined : request.head.model;
     const { route } = match;
-    this.need = { service: match.service.name, route, model: this.model };
+    this.capacityQuery = { service: match.service.name, route, model: this.model };
     this.admission = new TenantPass(context, route, request.head);
     this.wasRefused = context.noteCaller(route.name, request.head.deadlineMs);
     const allowed = Math.min(request.head.deadlineMs ?? Infinity, route.timeoutMs);
@@ -194,8 +194,8 @@
       service: this.match.service,
       model: this.model,
       sharedPrompt: this.request.head.sharedPrompt,
-      need: this.need,
-      standing: () => this.standing(),
+      need: this.capacityQuery,
+      standing: () => this.slotDetails(),
       mayRunAt: (backend) => this.suspicion.mayTakePlace(backend),
       onSlot: (backend) => this.send(backend),
       onQueued: () => this.queued(),
@@ -210,7 +210,7 @@
    * Returns the properties that determine the request's place in a slot queue. A stream that has begun goes
    * first.
    */
-  private standing(): SlotStanding {
+  private slotDetails(): SlotStanding {
     const { request, admission } = this;
     const { route } = this.match;
     const { head } = request;
@@ -368,7 +368,7 @@
         context.permits.answered(backend, notice, rateLimit, request.head.attemptId),
       onBackoff: (backoffMs) => this.handleBackoff(backend, backoffMs),
       onSilent: () => this.backendSilent(backend),
-      gaps: watchedGaps(context, this.need, backend.id, isResumed),
+      gaps: watchedGaps(context, this.capacityQuery, backend.id, isResumed),
       answer: this.answer,
       onEnd: (end) => this.attemptEnded(backend, end),
     });
--- a/src/gateway/tenant-pass.ts
+++ b/src/gateway/tenant-pass.ts
@@ -31,36 +31,36 @@
   /** Checks the key; call it before each send. Returns undefined if the request may be sent now. */
   deniedKey(): PassDenial | undefined {
     const { admission } = this.context;
-    const answer = admission.check(this.route, this.head.keyDigest);
-    if (answer.type === 'admitted') {
-      this.tenant = answer.tenant;
+    const result = admission.check(this.route, this.head.keyDigest);
+    if (result.type === 'admitted') {
+      this.tenant = result.tenant;
       return undefined;
     }
-    const { kind, retryAfterMs } = answer;
+    const { kind, retryAfterMs } = result;
     return { kind, retryAfterMs, inputs: { proofAgeMs: admission.proofAgeMs() } };
   }
 
   /**
-   * Charges the request's units to its tenant's limit. Calls `answer` at once, or after a limit holder has
+   * Charges the request's units to its tenant's limit. Calls `done` at once, or after a limit holder has
    * replied.
    */
-  takeUnits(answer: (denial: PassDenial | undefined) => void): void {
+  takeUnits(done: (denial: PassDenial | undefined) => void): void {
     const { limits } = this.context;
     const limit = this.tenant?.limit;
     const name = this.tenant?.name;
-    if (limit === undefined || name === undefined) return answer(undefined);
+    if (limit === undefined || name === undefined) return done(undefined);
     const units = (limit.unit === 'requests' ? 1 : this.head.tokens) ?? limit.defaultCharge;
     limits.admit(name, units, (decision) => {
       if (decision.type === 'granted') {
         this.charge = { tenant: name, units };
-        if (this.hasEnded) this.giveBack();
-        return answer(undefined);
+        if (this.hasEnded) this.refund();
+        return done(undefined);
       }
       const inputs = { units, holder: limits.holderOf(name) };
       if (decision.type === 'over_limit') {
-        return answer({ kind: 'rate_limited', retryAfterMs: decision.retryAfterMs, inputs });
+        return done({ kind: 'rate_limited', retryAfterMs: decision.retryAfterMs, inputs });
       }
-      answer({ kind: 'not_ready', retryAfterMs: LIMIT_UNKNOWN_MS, inputs });
+      done({ kind: 'not_ready', retryAfterMs: LIMIT_UNKNOWN_MS, inputs });
     });
   }
 
@@ -70,10 +70,10 @@
    */
   end(mayHaveRun: boolean): void {
     this.hasEnded = true;
-    if (!mayHaveRun) this.giveBack();
+    if (!mayHaveRun) this.refund();
   }
 
-  private giveBack(): void {
+  private refund(): void {
     const { charge } = this;
     if (charge === undefined) return;
     this.charge = undefined;
