--- a/src/gateway/configuration-exchange.ts
+++ b/src/gateway/configuration-exchange.ts
@@ -1,7 +1,7 @@
 /**
- * How a daemon comes by a configuration that a peer has and it has not: from that
- * peer, and from the platform's store only if that fails. So a change costs the
- * store no call a daemon, and reaches daemons that the store turns away.
+ * Fetches a newer configuration from the peer that announced it, and from the platform's
+ * store only if that fails. A configuration change therefore does not cost one store call
+ * per daemon, and it also reaches daemons whose requests the store rejects.
  */
 import { create } from '@bufbuild/protobuf';
 import type { Logger } from '../common/logger.js';
@@ -13,8 +13,8 @@
 import type { PlatformDirectory } from './ports.js';
 import { steadyNow } from './steady-clock.js';
 
-/** Between two questions for a newer configuration; peers name its version as often, or more. */
-const QUESTION_PERIOD_MS = 500;
+/** Minimum time between two requests for a newer configuration. Peers announce its version at least as often. */
+const REQUEST_PERIOD_MS = 500;
 
 /** Options of {@link ConfigurationExchange}. */
 export interface ConfigurationExchangeOptions {
@@ -25,39 +25,41 @@
   readonly send: (to: string, body: PeerBody) => void;
 }
 
-/** One daemon's questions and answers. */
+/** Requests newer configurations for one daemon, and replies to the requests of its peers. */
 export class ConfigurationExchange {
-  private askedAt = -Infinity;
-  /** The version that the store was asked for with the last question; undefined if a peer was asked. */
-  private storeAskedFor: number | undefined;
-  /** The newest version that a peer was asked for. */
-  private askedVersion = 0;
+  private requestedAt = -Infinity;
+  /** The version that the last request asked the store for; undefined if the request went to a peer. */
+  private versionRequestedFromStore: number | undefined;
+  /** The newest version requested from a peer. */
+  private versionRequestedFromPeer = 0;
 
   constructor(private readonly options: ConfigurationExchangeOptions) {}
 
-  /** A peer has a configuration in force. */
+  /** Handles a peer's announcement of the version that it has in force. Requests that configuration if it is newer. */
   hearVersion(from: string, version: number): void {
     const { directory, logger, send } = this.options;
     const knownVersion = this.options.version();
     const now = steadyNow();
-    if (version <= knownVersion || now - this.askedAt < QUESTION_PERIOD_MS) return;
-    this.askedAt = now;
-    const isPeerAsked = version > this.askedVersion || this.storeAskedFor === version;
-    const asked = isPeerAsked ? from : 'store';
+    if (version <= knownVersion || now - this.requestedAt < REQUEST_PERIOD_MS) return;
+    this.requestedAt = now;
+    const usesPeer =
+      version > this.versionRequestedFromPeer || this.versionRequestedFromStore === version;
+    const asked = usesPeer ? from : 'store';
     logger.info('configuration_asked', { version, known: knownVersion, asked });
-    // The peer has not answered in a period, or lost it again: the store has it for certain. It may turn
-    // this daemon away, so the question after that goes to a peer again.
-    this.storeAskedFor = isPeerAsked ? undefined : version;
-    if (!isPeerAsked) return directory.refreshConfiguration();
-    this.askedVersion = version;
+    // A second request for a version goes to the store, which certainly has it: the peer did not reply
+    // within a period, or has lost it. The store may reject this daemon, so the request after that goes
+    // to a peer again.
+    this.versionRequestedFromStore = usesPeer ? undefined : version;
+    if (!usesPeer) return directory.refreshConfiguration();
+    this.versionRequestedFromPeer = version;
     const value = create(ConfigurationRequestSchema, { knownVersion });
     send(from, { case: 'configurationRequest', value });
   }
 
-  /** Handles a message of the exchange; false if it is another kind. */
+  /** Handles a message of the exchange. Returns false if the message is of another kind. */
   receive(from: string, body: PeerBody): boolean {
     if (body.case === 'configurationRequest') {
-      this.answer(from, body.value.knownVersion);
+      this.reply(from, body.value.knownVersion);
       return true;
     }
     if (body.case !== 'configurationDocument') return false;
@@ -65,7 +67,7 @@
     return true;
   }
 
-  private answer(to: string, knownVersion: number): void {
+  private reply(to: string, knownVersion: number): void {
     const document = this.options.directory.configurationDocument();
     if (document === undefined || this.options.version() <= knownVersion) return;
     const value = create(ConfigurationDocumentSchema, { document });
--- a/src/gateway/currency-proofs.ts
+++ b/src/gateway/currency-proofs.ts
@@ -1,8 +1,9 @@
 /**
- * Keeps this daemon's lease on its configuration. Two daemons read the platform's store;
- * each other asks one that stands before it in a common order, so that no daemon answers
- * more than FAN_OUT others and the store's calls do not grow with their number. Who gets
- * no useful answer passes over the silent one, and at last reads the store itself.
+ * Renews this daemon's lease on its configuration. Two daemons, the readers, read the
+ * platform's store. Every other daemon requests a proof from its parent, a daemon before it
+ * in an order that all daemons compute alike. No daemon has more than FAN_OUT children, and
+ * the number of store calls does not grow with the number of daemons. A daemon that gets no
+ * useful reply skips that parent for a while, and finally reads the store itself.
  */
 import { create } from '@bufbuild/protobuf';
 import { leaseNow } from '../common/lease-clock.js';
@@ -14,107 +15,110 @@
 import type { PeerBody } from '../daemon/peer-transport.js';
 import { CurrencyAnswerSchema, CurrencyQuestionSchema } from '../proto/gen/internal_pb.js';
 
-/** Daemons that read the store while all is well; a second one for the time that the first one's loss takes to show. */
+/** Number of daemons that normally read the store. The second covers the time until the loss of the first is detected. */
 const READERS = 2;
-/** Daemons that one daemon answers. */
+/** Maximum number of children of one daemon. */
 const FAN_OUT = 16;
-/** Age of a reader's proof at which it reads again. */
+/** Age of a reader's proof at which the reader reads the store again. */
 const READ_AGE_MS = 800;
-/** Age of the others' proofs at which they ask. */
-const ASK_AGE_MS = 700;
-/** Between two questions: a parent's proof may be little younger than the child's. */
-const ASK_PERIOD_MS = 500;
-/** Without an answer by then another daemon is asked: many times what a datagram takes. */
-const ANSWER_WITHIN_MS = 250;
-/** A daemon that gave no useful answer is passed over for so long. */
-const PASSED_OVER_MS = 3_000;
-/** An answer older than this does not help: its daemon has lost its own way to the store. */
+/** Age of the proof of any other daemon at which it requests a new one. */
+const REQUEST_AGE_MS = 700;
+/** Minimum time between two requests. A parent's proof may be only slightly younger than the child's. */
+const REQUEST_PERIOD_MS = 500;
+/** Timeout of a request, after which another daemon is tried. It is many times the latency of a datagram. */
+const REPLY_TIMEOUT_MS = 250;
+/** Time for which a daemon is skipped after it gave no useful reply. */
+const SKIP_DURATION_MS = 3_000;
+/** A proof older than this is of no use: the replying daemon has itself lost its connection to the store. */
 const USEFUL_AGE_MS = 2_200;
-/** Age at which a daemon reads the store although it is no reader, and the span over which they begin to. */
-const LAST_RESORT_AGE_MS = 2_400;
-const LAST_RESORT_SPREAD_MS = 800;
+/** Age at which a daemon that is no reader reads the store, and the span over which such reads are spread by position. */
+const FALLBACK_READ_AGE_MS = 2_400;
+const FALLBACK_READ_SPREAD_MS = 800;
 /**
- * Between readings of a store that does not answer; twice as long after each. Readers try often, for
- * their success reaches all within a second; the others' calls would come from all daemons at once.
+ * Exponential backoff between reads of a store that does not respond. Readers retry often, because a
+ * successful read reaches all daemons within a second. Retries of the others would come from all daemons
+ * at once.
  */
 const READER_RETRIES = { firstMs: 500, longestMs: 1_000 };
 const OTHER_RETRIES = { firstMs: 2_000, longestMs: 8_000 };
-/** Between two looks at the common order. */
+/** Period at which the common order is recomputed. */
 const ORDER_PERIOD_MS = 500;
 
 /** Options of {@link CurrencyProofs}. */
 export interface CurrencyProofsOptions {
   readonly self: string;
   readonly logger: Logger;
-  /** Off: each daemon reads the store itself. */
+  /** If false, each daemon reads the store itself. */
   readonly asksPeers: boolean;
   readonly live: () => readonly MemberView[];
-  /** The newest configuration in force here; 0 for none. */
+  /** Version of the newest configuration in force on this daemon; 0 for none. */
   readonly version: () => number;
   readonly sendDatagram: (to: string, body: PeerBody) => void;
-  /** Reads the configuration from the store; true if it answered. */
+  /** Reads the configuration from the store. Resolves to true if the store responded. */
   readonly readStore: () => Promise<boolean>;
-  /** A peer has this configuration in force. */
+  /** Called when a peer reports the version that it has in force. */
   readonly hearVersion: (from: string, version: number) => void;
 }
 
-interface Question {
+interface ProofRequest {
   readonly to: string;
   readonly sequence: number;
-  readonly askedAt: number;
+  /** Lease time. */
+  readonly sentAt: number;
 }
 
-/** One daemon's proofs. */
+/** Renews the configuration lease of one daemon. */
 export class CurrencyProofs {
   readonly lease = new ConfigurationLease();
   private order: string[] = [];
   private orderedAt = -Infinity;
-  /** The order without those that are passed over. */
+  /** The common order without the skipped daemons. */
   private usable: string[] = [];
-  private askedAt = -Infinity;
-  private question: Question | undefined;
+  private requestedAt = -Infinity;
+  /** The request whose reply is outstanding. */
+  private pendingRequest: ProofRequest | undefined;
   private sequence = 0;
-  /** Until when daemons are passed over. */
-  private readonly passedOver = new Map<string, number>();
+  /** Lease time until which each daemon is skipped, by address. */
+  private readonly skippedUntil = new Map<string, number>();
   private isReading = false;
   private nextReadAt = -Infinity;
-  /** Readings in a row that the store has not answered. */
+  /** Number of consecutive reads without a response of the store. */
   private failures = 0;
 
   constructor(private readonly options: CurrencyProofsOptions) {}
 
-  /** Looks at the clock; call it ten times a second. */
+  /** Starts reads and requests that are due. Call it ten times per second. */
   tick(): void {
     const now = leaseNow();
-    this.dropUnanswered(now);
+    this.expireRequest(now);
     const order = this.usableOrder(now);
     const position = order.indexOf(this.options.self);
     const ageMs = this.lease.ageMs(now);
     if (this.mustRead(ageMs, position, order.length)) this.read(position, now);
-    const mayAsk = now - this.askedAt >= ASK_PERIOD_MS;
-    if (ageMs >= ASK_AGE_MS && mayAsk) this.askParent(order, position, now);
+    const mayRequest = now - this.requestedAt >= REQUEST_PERIOD_MS;
+    if (ageMs >= REQUEST_AGE_MS && mayRequest) this.requestProof(order, position, now);
   }
 
-  /** The platform had no newer configuration at `askedAt`. */
+  /** Records that the platform had no configuration newer than `version` at `askedAt`, a time of the lease clock. */
   confirmed(version: number, askedAt: number): void {
     this.lease.addProof({ version, provenAt: askedAt });
   }
 
-  /** Handles a message about proofs; false if it is another kind. */
+  /** Handles a message about proofs. Returns false if the message is of another kind. */
   receive(from: string, body: PeerBody): boolean {
     if (body.case === 'currencyQuestion') {
-      this.answer(from, body.value.question);
+      this.reply(from, body.value.question);
       return true;
     }
     if (body.case !== 'currencyAnswer') return false;
     const { question, configurationVersion, ageMs } = body.value;
-    this.hearAnswer(from, question, configurationVersion, ageMs);
+    this.handleReply(from, question, configurationVersion, ageMs);
     return true;
   }
 
   private mustRead(ageMs: number, position: number, count: number): boolean {
     if (!this.options.asksPeers || position < READERS) return ageMs >= READ_AGE_MS;
-    return ageMs >= LAST_RESORT_AGE_MS + (LAST_RESORT_SPREAD_MS * position) / count;
+    return ageMs >= FALLBACK_READ_AGE_MS + (FALLBACK_READ_SPREAD_MS * position) / count;
   }
 
   private read(position: number, now: number): void {
@@ -129,21 +133,21 @@
     });
   }
 
-  /** A reader whose reading has failed asks too: somebody else may have reached the store. */
-  private askParent(order: readonly string[], position: number, now: number): void {
-    if (!this.options.asksPeers || this.question !== undefined) return;
+  /** A reader whose read failed also requests a proof, because another daemon may have reached the store. */
+  private requestProof(order: readonly string[], position: number, now: number): void {
+    if (!this.options.asksPeers || this.pendingRequest !== undefined) return;
     const isReader = position < READERS;
     if (isReader && this.failures === 0) return;
     const parent = isReader ? order[position + 1] : order[parentOf(position)];
     if (parent === undefined) return;
     this.sequence += 1;
-    this.askedAt = now;
-    this.question = { to: parent, sequence: this.sequence, askedAt: now };
+    this.requestedAt = now;
+    this.pendingRequest = { to: parent, sequence: this.sequence, sentAt: now };
     const value = create(CurrencyQuestionSchema, { question: this.sequence });
     this.options.sendDatagram(parent, { case: 'currencyQuestion', value });
   }
 
-  private answer(to: string, question: number): void {
+  private reply(to: string, question: number): void {
     const ageMs = Math.ceil(this.lease.ageMs(leaseNow()));
     if (!Number.isFinite(ageMs)) return;
     const value = create(CurrencyAnswerSchema, {
@@ -154,29 +158,34 @@
     this.options.sendDatagram(to, { case: 'currencyAnswer', value });
   }
 
-  /** Only the answer to the question that is open counts: the age is counted from that question. */
-  private hearAnswer(from: string, sequence: number, version: number, ageMs: number): void {
-    const { question } = this;
-    if (question === undefined || question.to !== from || question.sequence !== sequence) return;
-    this.question = undefined;
-    this.lease.addProof({ version, provenAt: question.askedAt - ageMs });
+  /** Accepts only the reply to the pending request, because the proof's age is counted from the time of that request. */
+  private handleReply(from: string, sequence: number, version: number, ageMs: number): void {
+    const { pendingRequest } = this;
+    if (
+      pendingRequest === undefined ||
+      pendingRequest.to !== from ||
+      pendingRequest.sequence !== sequence
+    )
+      return;
+    this.pendingRequest = undefined;
+    this.lease.addProof({ version, provenAt: pendingRequest.sentAt - ageMs });
     this.options.hearVersion(from, version);
-    if (ageMs > USEFUL_AGE_MS) this.passOver(from, `its proof was ${ageMs} ms old`, leaseNow());
+    if (ageMs > USEFUL_AGE_MS) this.skip(from, `its proof was ${ageMs} ms old`, leaseNow());
   }
 
-  private dropUnanswered(now: number): void {
-    const { question } = this;
-    if (question === undefined || now - question.askedAt < ANSWER_WITHIN_MS) return;
-    this.question = undefined;
-    this.askedAt = -Infinity;
-    this.passOver(question.to, 'no answer', now);
+  private expireRequest(now: number): void {
+    const { pendingRequest } = this;
+    if (pendingRequest === undefined || now - pendingRequest.sentAt < REPLY_TIMEOUT_MS) return;
+    this.pendingRequest = undefined;
+    this.requestedAt = -Infinity;
+    this.skip(pendingRequest.to, 'no answer', now);
   }
 
-  private passOver(address: string, reason: string, now: number): void {
+  private skip(address: string, reason: string, now: number): void {
     const ageMs = this.lease.ageMs(now);
     const proofAgeMs = Number.isFinite(ageMs) ? Math.round(ageMs) : undefined;
     this.options.logger.info('proof_source_passed_over', { peer: address, reason, proofAgeMs });
-    this.passedOver.set(address, now + PASSED_OVER_MS);
+    this.skippedUntil.set(address, now + SKIP_DURATION_MS);
     this.usable = this.usable.filter((other) => other !== address);
   }
 
@@ -184,16 +193,16 @@
     if (now - this.orderedAt >= ORDER_PERIOD_MS) {
       this.orderedAt = now;
       this.order = commonOrder(this.options.live());
-      for (const [address, until] of this.passedOver) {
-        if (until <= now) this.passedOver.delete(address);
+      for (const [address, until] of this.skippedUntil) {
+        if (until <= now) this.skippedUntil.delete(address);
       }
-      this.usable = this.order.filter((address) => !this.passedOver.has(address));
+      this.usable = this.order.filter((address) => !this.skippedUntil.has(address));
     }
     return this.usable;
   }
 }
 
-/** The same at all daemons that know the same members: the ablest machines first. */
+/** The order is the same on all daemons that know the same members. Machines of high capacity come first. */
 function commonOrder(members: readonly MemberView[]): string[] {
   const able = highCapacityMembers(members).map((member) => member.address);
   const first = new Set(able);
@@ -201,7 +210,7 @@
   return [...rankCandidates('currency', able), ...rankCandidates('currency', rest)];
 }
 
-/** Position of the daemon that the one at `position` asks. */
+/** Returns the position of the parent of the daemon at `position`. */
 function parentOf(position: number): number {
   return position < FAN_OUT ? position % READERS : Math.floor(position / FAN_OUT);
 }
--- a/src/gateway/digest-gossip.ts
+++ b/src/gateway/digest-gossip.ts
@@ -1,27 +1,31 @@
 /**
- * Keeps what daemons know of one matter alike: tells news to all at once, and asks one daemon after another, with a digest
- * of what is known here, for what is lacking. News may be lost with a connection, and a daemon that starts has heard none.
+ * Anti-entropy gossip that replicates a set of entries to all daemons. A new entry is broadcast at once. In addition, each daemon
+ * sends a digest of its entries to one other daemon after another, which replies with its entries if its digest differs. This
+ * covers updates that were lost with a connection, and daemons that have just started.
  */
 import type { PeerBody } from '../daemon/peer-transport.js';
 import { steadyNow } from './steady-clock.js';
 
-/** Between two questions. Within 3 s a daemon has asked several others, of which one that is in touch knows what it lacks. */
-const QUESTION_PERIOD_MS = 400;
 /**
- * The same answer to the same question is not given again for so long: daemons that had to leave out different entries
- * would send each other all the rest again and again.
+ * Period of the digest requests. Within 3 s a daemon queries several others, of which one that is connected to the
+ * rest has the missing entries.
  */
-const ANSWER_REPEAT_MS = 2_000;
+const REQUEST_PERIOD_MS = 400;
+/**
+ * Time for which the same reply to the same request is not repeated. Otherwise daemons that had to omit different entries
+ * would keep sending each other all the others.
+ */
+const MIN_REPEAT_MS = 2_000;
 
-interface GivenAnswer {
-  readonly question: number;
-  readonly answer: number;
+interface SentReply {
+  readonly requestDigest: number;
+  readonly replyDigest: number;
   readonly at: number;
 }
 
-/** How daemons talk to each other. */
+/** The transport between the daemons. */
 export interface GossipLinks {
-  /** Addresses of the other daemons that answer, in an order that stays. */
+  /** Addresses of the other reachable daemons, in a stable order. */
   readonly others: () => readonly string[];
   readonly send: (to: string, body: PeerBody) => void;
   readonly sendDatagram: (to: string, body: PeerBody) => void;
@@ -30,25 +34,25 @@
 
 /** Options of {@link DigestGossip}. */
 export interface DigestGossipOptions<Entry> extends GossipLinks {
-  /** A digest of all that is known: the same at daemons that know the same, 0 if nothing is known. */
+  /** Digest of all entries of this daemon: equal on daemons with equal entries, 0 without entries. */
   readonly digest: () => number;
-  /** All that is known. */
+  /** All entries of this daemon; `now` is a steady time. */
   readonly all: (now: number) => readonly Entry[];
   readonly encode: (entries: readonly Entry[]) => PeerBody;
   readonly encodeQuestion: (digest: number) => PeerBody;
 }
 
-/** One daemon's part. */
+/** Gossips the entries of one daemon. */
 export class DigestGossip<Entry> {
   private unsent: Entry[] = [];
   private turn = 0;
-  private askAt = -Infinity;
-  /** The last answers, by who asked. */
-  private readonly given = new Map<string, GivenAnswer>();
+  private nextRequestAt = -Infinity;
+  /** The last reply to each daemon, by its address. */
+  private readonly lastReplies = new Map<string, SentReply>();
 
   constructor(private readonly options: DigestGossipOptions<Entry>) {}
 
-  /** Tells all others; what is noted in one turn goes as one message. */
+  /** Broadcasts the entry to all others. Entries of one turn of the event loop are sent as one message. */
   tell(entry: Entry): void {
     this.unsent.push(entry);
     if (this.unsent.length > 1) return;
@@ -59,38 +63,38 @@
     });
   }
 
-  /** Looks at the clock; call it a few times a second. */
+  /** Sends a digest if one is due. Call it a few times per second. */
   tick(): void {
     const now = steadyNow();
-    if (now < this.askAt) return;
-    this.askAt = now + QUESTION_PERIOD_MS;
+    if (now < this.nextRequestAt) return;
+    this.nextRequestAt = now + REQUEST_PERIOD_MS;
     const { others, sendDatagram, encodeQuestion, digest } = this.options;
     const candidates = others();
-    this.keepOnly(new Set(candidates));
+    this.deleteOthers(new Set(candidates));
     this.turn += 1;
-    const asked = candidates[this.turn % Math.max(1, candidates.length)];
-    if (asked !== undefined) sendDatagram(asked, encodeQuestion(digest()));
+    const target = candidates[this.turn % Math.max(1, candidates.length)];
+    if (target !== undefined) sendDatagram(target, encodeQuestion(digest()));
   }
 
-  /** Sends all that is known to who knows something else. */
-  answer(asker: string, question: number): void {
+  /** Replies to a digest request with all entries if `requestDigest` differs from this daemon's. */
+  answer(requester: string, requestDigest: number): void {
     const { digest, all, encode, send } = this.options;
     const now = steadyNow();
-    const answer = digest();
-    if (question === answer) return;
-    const last = this.given.get(asker);
-    const isSame = last?.question === question && last.answer === answer;
-    if (isSame && now - last.at < ANSWER_REPEAT_MS) return;
+    const replyDigest = digest();
+    if (requestDigest === replyDigest) return;
+    const last = this.lastReplies.get(requester);
+    const isSame = last?.requestDigest === requestDigest && last.replyDigest === replyDigest;
+    if (isSame && now - last.at < MIN_REPEAT_MS) return;
     const entries = all(now);
     if (entries.length === 0) return;
-    this.given.set(asker, { question, answer, at: now });
-    send(asker, encode(entries));
+    this.lastReplies.set(requester, { requestDigest, replyDigest, at: now });
+    send(requester, encode(entries));
   }
 
-  /** Drops what was answered to daemons that are gone. */
-  private keepOnly(others: ReadonlySet<string>): void {
-    for (const asker of this.given.keys()) {
-      if (!others.has(asker)) this.given.delete(asker);
+  /** Deletes the last replies to daemons that are no longer reachable. */
+  private deleteOthers(others: ReadonlySet<string>): void {
+    for (const requester of this.lastReplies.keys()) {
+      if (!others.has(requester)) this.lastReplies.delete(requester);
     }
   }
 }
--- a/src/gateway/directory-duty.ts
+++ b/src/gateway/directory-duty.ts
@@ -1,11 +1,13 @@
 /**
- * How closely this daemon follows the platform's directory. Owners and a few others
- * read it without delay and tell the rest at once of backends that start or end, that
- * they live, and whether the platform answers them; the rest reads late, and closely
- * when it hears of nobody. A reader that lives proves nothing of what it reads: while
- * the platform answers none of them, the next in rank read and tell in their place.
- * Nor does it prove that this daemon was told everything: readers tell changes more than
- * once, and a digest of what they list, and who holds other backends reads for itself.
+ * Decides how closely this daemon follows the platform's directory. Service owners and a few
+ * other daemons, the designated readers, read it without delay. They broadcast at once which
+ * backends have started or ended, and periodically that they run and whether the platform
+ * responds to them. All other daemons read with a delay, or closely if they receive no
+ * reader's updates. That a reader runs does not prove that it can read the directory: while
+ * the platform responds to none of the readers, the next daemons in rank read and publish in
+ * their place. Nor does it prove that this daemon received every update: readers repeat
+ * changes and send a digest of the backends that they list. A daemon whose own backends
+ * differ from that digest reads the directory itself.
  */
 import type { Logger } from '../common/logger.js';
 import { leaseNow } from '../common/lease-clock.js';
@@ -23,17 +25,17 @@
 import type { DirectoryAttention, PlatformDirectory } from './ports.js';
 import { steadyNow } from './steady-clock.js';
 
-/** Daemons besides the owners that follow the platform closely. */
+/** Number of daemons, besides the owners, that follow the directory closely. */
 const CLOSE_READERS = 2;
-/** Daemons, by rank, of which the rest stand in for readers that the platform does not answer. */
-const STANDBY_READERS = 6;
+/** Number of readers and standbys together. Standbys, next in rank, replace readers to which the platform does not respond. */
+const READERS_AND_STANDBYS = 6;
 /**
- * A reading older than this is not taken for what the platform holds now: a watch is asked again
- * after 0.8 s, and its answer may be slow.
+ * Maximum age of a read that still counts as the current state of the platform. A watch is renewed
+ * after 0.8 s, and its response may be slow.
  */
-const CURRENT_READING_MS = 1_800;
-/** Daemons that follow the platform closely say so this often, also without news: twice within the silence. */
-const NEWS_PERIOD_MS = 700;
+const MAX_CURRENT_AGE_MS = 1_800;
+/** Period of updates without changes: twice within the silence after which a reader no longer counts. */
+const PUBLISH_PERIOD_MS = 700;
 
 /** Options of {@link DirectoryDuty}. */
 export interface DirectoryDutyOptions {
@@ -41,60 +43,60 @@
   readonly backends: BackendDirectory;
   readonly peers: PeerGroup;
   readonly logger: Logger;
-  /** The newest configuration that this daemon has in force; 0 for none. */
+  /** Version of the newest configuration in force on this daemon; 0 for none. */
   readonly version: () => number;
   readonly ownsService: () => boolean;
-  /** Requests that this daemon has in flight at a backend. */
+  /** Number of requests that this daemon has in flight at a backend. */
   readonly inFlightAt: (backend: string) => number;
-  /** The list says that a backend leaves: the others are to know, whatever becomes of the list. */
+  /** Called when the list shows that a backend is shutting down. The others must learn it even if the list loses it later. */
   readonly onLeaving: (backend: BackendRecord) => void;
-  /** Backends have started or ended, by the list or by news. */
+  /** Called when backends have started or ended, by the list or by a reader's update. */
   readonly onChange: () => void;
 }
 
-/** How this daemon has learned of changes. */
+/** How this daemon learned of a change. */
 type ChangeSource =
   | 'list'
-  /** A reading that may be late: no reader's news had told of it. */
+  /** A read that may be late, of a change that no reader's update had contained. */
   | 'late_list'
-  /** An entry that was missing after an outage has not come back. */
+  /** An entry that was missing after an outage did not return in time. */
   | 'hold_over'
   | 'reader';
 
-/** This daemon's part in following the directory. */
+/** Follows the directory for one daemon. */
 export class DirectoryDuty {
   private attention: DirectoryAttention = 'alone';
-  /** It owns a service or is among the first in rank: it reads closely and publishes what it reads. */
+  /** Whether this daemon owns a service or ranks high enough to read closely and publish what it reads. */
   private isDesignatedReader = false;
   private readonly readers = new KnownReaders();
   private readonly recent = new RecentChanges();
-  /** Since when this daemon holds other backends than a reader lists; undefined while none is known to. */
+  /** Lease time at which a difference from a reader's backends was found; undefined while none is known. */
   private mustReadSince: number | undefined;
   private lastPublished = -Infinity;
-  /** Of the last list. */
+  /** Store position of the last list. */
   private listedAt: StorePosition = 0;
-  /** What the others were told last. */
-  private toldPlatformAway = false;
+  /** Whether the last published update said that the platform does not respond. */
+  private publishedPlatformAway = false;
 
   constructor(private readonly options: DirectoryDutyOptions) {}
 
-  /** Looks at the clock; call it a few times a second. */
+  /** Updates the state of the readers and publishes if due. Call it a few times per second. */
   tick(): void {
     const knownAt = leaseNow();
     this.readers.forgetSilent(knownAt);
-    this.noticeOwnReading(knownAt);
-    this.noticeDifference(knownAt);
+    this.checkOwnRead(knownAt);
+    this.checkDifference(knownAt);
     this.chooseAttention(knownAt);
     const now = steadyNow();
     const ended = this.options.backends.expireMissing(now);
     if (ended.length > 0) this.changed({ ended, started: [] }, 'hold_over');
-    const isDue = now - this.lastPublished >= NEWS_PERIOD_MS;
-    if (isDue || this.isPlatformAway() !== this.toldPlatformAway) this.publish();
+    const isDue = now - this.lastPublished >= PUBLISH_PERIOD_MS;
+    if (isDue || this.isPlatformAway() !== this.publishedPlatformAway) this.publish();
   }
 
   /**
-   * Whether what this daemon holds of the directory may be taken for what the platform holds now: by its
-   * own reading or a reader's, and no reader has a newer configuration.
+   * Whether this daemon's view of the directory counts as current: it was read recently, by this daemon
+   * or by a reader, and no reader has a newer configuration.
    */
   isInformed(): boolean {
     const isAnswered =
@@ -103,54 +105,54 @@
   }
 
   /**
-   * Milliseconds since the platform answered this daemon, without delay, or a reader that told of it; infinite
-   * if neither is known.
+   * Milliseconds since the platform responded to this daemon, without delay, or since the last update of a
+   * reader to which it responds; infinite if neither is known.
    */
   knowledgeAgeMs(): number {
-    const heardAgeMs = leaseNow() - this.readers.answeredHeardAt();
-    return Math.min(this.options.directory.readingAgeMs(), heardAgeMs);
+    const updateAgeMs = leaseNow() - this.readers.answeredHeardAt();
+    return Math.min(this.options.directory.readingAgeMs(), updateAgeMs);
   }
 
-  /** Whether another daemon is heard that the platform answers. */
+  /** Whether this daemon receives updates of a reader to which the platform responds. */
   hearsAnsweredReader(): boolean {
     return this.readers.hearsAnswered(leaseNow());
   }
 
-  /** The platform's list has changed. */
+  /** Applies a changed list of the platform. */
   takeList(list: BackendList): void {
     this.listedAt = list.revision;
     const changes = this.options.backends.setBackends(list, steadyNow());
-    if (this.isDesignatedReader) this.tellLeaving(changes);
+    if (this.isDesignatedReader) this.announceLeaving(changes);
     this.changed(changes, this.attention === 'relaxed' ? 'late_list' : 'list');
   }
 
-  private tellLeaving({ ended }: PresenceChanges): void {
+  private announceLeaving({ ended }: PresenceChanges): void {
     for (const { id } of ended) {
       const backend = this.options.backends.get(id);
       if (backend?.leaving === true) this.options.onLeaving(backend);
     }
   }
 
-  /** A newer configuration is in force here. */
+  /** Publishes that a newer configuration is in force on this daemon. */
   configurationChanged(): void {
     this.publish();
   }
 
-  /** Another daemon reads the directory closely. */
+  /** Applies the update of another daemon that reads the directory closely. */
   hear(from: string, message: DirectoryNews): void {
     const { backends, ownsService, onChange } = this.options;
     const now = steadyNow();
-    const news = decodeNews(message, eraOf(this.listedAt));
-    const { platformAway, configurationVersion: version, servingDigest } = news;
-    const ended = news.ended.filter((end) => backends.markEnded(end));
-    // An owner plans with whole records, which its own readings bring as early.
+    const update = decodeNews(message, eraOf(this.listedAt));
+    const { platformAway, configurationVersion: version, servingDigest } = update;
+    const ended = update.ended.filter((end) => backends.markEnded(end));
+    // An owner plans with complete records, which its own reads return just as early.
     const started = ownsService()
       ? []
-      : news.started.filter((record) => backends.addAnnounced(record, now));
-    const said = { platformAway, version, servingDigest };
-    this.readers.hear(from, said, backends.servingDigest(), leaseNow());
+      : update.started.filter((record) => backends.addAnnounced(record, now));
+    const status = { platformAway, version, servingDigest };
+    this.readers.hear(from, status, backends.servingDigest(), leaseNow());
     if (ended.length + started.length === 0) return;
-    // Told on by those that read closely: the one who was first may not reach everybody.
+    // Designated readers publish the change too, because the reader that published it first may not reach all daemons.
     this.recent.add({ ended, started }, now);
     this.log({ ended, started }, 'reader', from);
     onChange();
@@ -171,22 +173,22 @@
     const now = steadyNow();
     this.lastPublished = now;
     const platformAway = this.isPlatformAway();
-    this.toldPlatformAway = platformAway;
-    const news = {
+    this.publishedPlatformAway = platformAway;
+    const update = {
       ...this.recent.all(now),
       configurationVersion: this.options.version(),
       platformAway,
       servingDigest: this.options.backends.servingDigest(),
     };
-    this.options.peers.broadcast(encodeNews(news));
+    this.options.peers.broadcast(encodeNews(update));
   }
 
   private isPlatformAway(): boolean {
-    return this.options.directory.readingAgeMs() > CURRENT_READING_MS;
+    return this.options.directory.readingAgeMs() > MAX_CURRENT_AGE_MS;
   }
 
-  /** Whoever holds other backends than a reader lists reads for itself, once, before it relies on readers again. */
-  private noticeDifference(now: number): void {
+  /** If its backends differ from a reader's list, this daemon reads the directory once before it relies on readers again. */
+  private checkDifference(now: number): void {
     const { backends, logger } = this.options;
     if (this.attention !== 'relaxed' || this.mustReadSince !== undefined) return;
     const reader = this.readers.differingReader(backends.servingDigest(), now);
@@ -195,7 +197,7 @@
     logger.info('directory_difference', { reader, backends: backends.all().length });
   }
 
-  private noticeOwnReading(now: number): void {
+  private checkOwnRead(now: number): void {
     if (this.mustReadSince === undefined) return;
     const readAt = now - this.options.directory.readingAgeMs();
     if (readAt <= this.mustReadSince) return;
@@ -213,42 +215,43 @@
 
   private wantedAttention(now: number): DirectoryAttention {
     const ownsService = this.options.ownsService();
-    const first = this.firstInRank();
-    const position = first.indexOf(this.options.peers.address);
+    const ranked = this.readersAndStandbys();
+    const position = ranked.indexOf(this.options.peers.address);
     const isReader = position >= 0 && position < CLOSE_READERS;
-    const standsIn = position >= CLOSE_READERS && !this.hearsAnsweredDesignated(first, now);
-    // Who is only cut off from the designated readers reads closely too, but publishes nothing.
-    this.isDesignatedReader = ownsService || isReader || standsIn;
+    const replacesReader =
+      position >= CLOSE_READERS && !this.hasWorkingDesignatedReader(ranked, now);
+    // A daemon that is merely cut off from the designated readers also reads closely, but does not publish.
+    this.isDesignatedReader = ownsService || isReader || replacesReader;
     if (ownsService) return 'immediate';
     if (this.isDesignatedReader) return 'close';
     const isAlone = this.readers.counts(now).readers === 0 || this.mustReadSince !== undefined;
     return isAlone ? 'alone' : 'relaxed';
   }
 
-  /** The readers and those that stand in for them, best first. */
-  private firstInRank(): string[] {
+  /** Addresses of the readers and their standbys, highest rank ranked. */
+  private readersAndStandbys(): string[] {
     const candidates = highCapacityMembers(this.options.peers.live()).map(
       (member) => member.address,
     );
-    return rankCandidates('directory', candidates).slice(0, STANDBY_READERS);
+    return rankCandidates('directory', candidates).slice(0, READERS_AND_STANDBYS);
   }
 
-  /** Whether the platform answers a reader; those that stand in count not, or they would relieve one another. */
-  private hearsAnsweredDesignated(first: readonly string[], now: number): boolean {
-    return this.readers.hearsAnswered(now, new Set(first.slice(CLOSE_READERS)));
+  /** Whether the platform responds to a designated reader. Standbys do not count, or they would replace one another. */
+  private hasWorkingDesignatedReader(ranked: readonly string[], now: number): boolean {
+    return this.readers.hearsAnswered(now, new Set(ranked.slice(CLOSE_READERS)));
   }
 
   /**
-   * Lines at designated readers, where requests are touched, and where news were missed: hundreds hear
-   * the same.
+   * Logs changes only on designated readers, where requests are affected, and where updates were missed:
+   * hundreds of daemons receive the same update.
    */
   private log({ ended, started }: PresenceChanges, source: ChangeSource, from?: string): void {
     const { inFlightAt, logger } = this.options;
     const { isDesignatedReader } = this;
-    const isTold = isDesignatedReader || source === 'late_list';
+    const isAlwaysLogged = isDesignatedReader || source === 'late_list';
     const told = isDesignatedReader ? this.options.peers.reachableOthers().length : undefined;
-    const touched = ended.filter(({ id }) => isTold || inFlightAt(id) > 0);
-    for (const { id, revision: position } of touched) {
+    const logged = ended.filter(({ id }) => isAlwaysLogged || inFlightAt(id) > 0);
+    for (const { id, revision: position } of logged) {
       const [revision, era] = [revisionOf(position), eraOf(position)];
       const inFlight = inFlightAt(id);
       logger.info('backend_ended', { backend: id, revision, era, inFlight, source, from, told });
--- a/src/gateway/known-readers.ts
+++ b/src/gateway/known-readers.ts
@@ -1,120 +1,122 @@
 /**
- * The other daemons that read the platform's directory closely, as this daemon hears them: whether they live,
- * whether the platform answers them, and whether they list the same backends as this daemon holds.
- * Times are milliseconds of the lease clock: what a reader said before a machine was suspended is old.
+ * Tracks the other daemons that read the platform's directory closely, by the updates received from them:
+ * whether they run, whether the platform responds to them, and whether they list the same backends as this
+ * daemon. Times are milliseconds of the lease clock, which counts the time that a machine is suspended:
+ * updates from before a suspension are expired.
  */
 
-/** Without news for so long a reader counts no more: it may have ended, or be cut off from this daemon. */
-const NEWS_SILENCE_MS = 1_500;
+/** A reader without updates for this time no longer counts: it may have ended, or be cut off from this daemon. */
+const READER_TIMEOUT_MS = 1_500;
 /**
- * A reader may list other backends than this daemon for so long: those that hear of a change from each other,
- * or read it themselves, agree again with the next news, which come every 0.75 s.
+ * Time for which a reader's list may differ from this daemon's backends. Daemons that receive a change from
+ * each other, or read it themselves, agree again with the next update, which is sent every 0.75 s.
  */
-const DIFFERENCE_MS = 800;
-/** A difference that was there after this daemon had read for itself is the reader's, for so long. */
-const SETTLED_MS = 10_000;
+const MAX_DIFFERENCE_MS = 800;
+/** A difference that remains after this daemon read the directory itself is attributed to the reader for this time. */
+const CHECKED_DIFFERENCE_VALID_MS = 10_000;
 
-/** What a reader has said of itself. */
+/** The status that a reader reports of itself. */
 export interface ReaderNews {
-  /** The newest configuration that it has in force. */
+  /** Version of the newest configuration that it has in force. */
   readonly version: number;
   readonly platformAway: boolean;
-  /** Digest of the backends that it lists as serving; undefined if it does not tell. */
+  /** Digest of the backends that it lists as serving; undefined if it sends none. */
   readonly servingDigest: number | undefined;
 }
 
 interface KnownReader extends ReaderNews {
-  readonly heardAt: number;
-  /** Since when it has listed other backends than this daemon holds. */
+  readonly updatedAt: number;
+  /** Time since which its list has differed from this daemon's backends; undefined if it does not. */
   readonly differsSince: number | undefined;
-  /** A difference that this daemon has looked into. */
-  readonly settled: SettledDifference | undefined;
+  /** A difference that this daemon has checked by a read of its own. */
+  readonly checked: CheckedDifference | undefined;
 }
 
-interface SettledDifference {
+interface CheckedDifference {
   readonly digest: number | undefined;
   readonly at: number;
 }
 
-/** How many readers are heard. */
+/** Numbers of readers that send updates. */
 export interface ReaderCounts {
   readonly readers: number;
-  /** Those of them that the platform answers. */
+  /** Number of those to which the platform responds. */
   readonly answered: number;
 }
 
-/** All readers that are heard. */
+/** All readers that send updates to this daemon. */
 export class KnownReaders {
   /** By peer address. */
   private readonly readers = new Map<string, KnownReader>();
 
-  /** Takes a reader's news; `ownDigest` is of the backends that this daemon holds with them. */
-  hear(address: string, news: ReaderNews, ownDigest: number, now: number): void {
+  /** Records a reader's status; `ownDigest` is the digest of this daemon's backends after the same update. */
+  hear(address: string, status: ReaderNews, ownDigest: number, now: number): void {
     const known = this.readers.get(address);
-    const differs = !news.platformAway && differsFrom(news, ownDigest);
-    const isSettled = known?.settled?.digest === news.servingDigest && !isOld(known?.settled, now);
-    const differsSince = differs && !isSettled ? (known?.differsSince ?? now) : undefined;
-    const settled = isSettled ? known?.settled : undefined;
-    this.readers.set(address, { ...news, heardAt: now, differsSince, settled });
+    const differs = !status.platformAway && differsFrom(status, ownDigest);
+    const isChecked =
+      known?.checked?.digest === status.servingDigest && !isExpired(known?.checked, now);
+    const differsSince = differs && !isChecked ? (known?.differsSince ?? now) : undefined;
+    const checked = isChecked ? known?.checked : undefined;
+    this.readers.set(address, { ...status, updatedAt: now, differsSince, checked });
   }
 
-  /** Drops those that were not heard lately. */
+  /** Deletes readers without a recent update. */
   forgetSilent(now: number): void {
     for (const [address, reader] of this.readers) {
-      if (!isHeard(reader, now)) this.readers.delete(address);
+      if (!isActive(reader, now)) this.readers.delete(address);
     }
   }
 
   counts(now: number): ReaderCounts {
-    const heard = [...this.readers.values()].filter((reader) => isHeard(reader, now));
-    const answered = heard.filter(({ platformAway }) => !platformAway);
-    return { readers: heard.length, answered: answered.length };
+    const active = [...this.readers.values()].filter((reader) => isActive(reader, now));
+    const answered = active.filter(({ platformAway }) => !platformAway);
+    return { readers: active.length, answered: answered.length };
   }
 
-  /** Whether a reader is heard that the platform answers, those that are left out aside. */
-  hearsAnswered(now: number, leftOut: ReadonlySet<string> = new Set()): boolean {
+  /** Whether any reader, except those in `excluded`, sends updates and gets responses from the platform. */
+  hearsAnswered(now: number, excluded: ReadonlySet<string> = new Set()): boolean {
     return [...this.readers].some(([address, reader]) => {
-      return !leftOut.has(address) && isHeard(reader, now) && !reader.platformAway;
+      return !excluded.has(address) && isActive(reader, now) && !reader.platformAway;
     });
   }
 
-  /** When a reader that the platform answers was last heard; never is -Infinity. */
+  /** Time of the last update of a reader to which the platform responds; -Infinity if there is none. */
   answeredHeardAt(): number {
     const answered = [...this.readers.values()].filter(({ platformAway }) => !platformAway);
-    return Math.max(-Infinity, ...answered.map(({ heardAt }) => heardAt));
+    return Math.max(-Infinity, ...answered.map(({ updatedAt }) => updatedAt));
   }
 
-  /** The newest configuration that a reader has in force; 0 if none is known. */
+  /** Version of the newest configuration that a reader has in force; 0 if none is known. */
   newestVersion(): number {
     return Math.max(0, ...[...this.readers.values()].map(({ version }) => version));
   }
 
-  /** A reader that has listed other backends than this daemon holds for longer than news take. */
+  /** Address of a reader whose list has differed from this daemon's backends for longer than updates take. */
   differingReader(ownDigest: number, now: number): string | undefined {
     for (const [address, reader] of this.readers) {
       const { differsSince = Infinity } = reader;
-      if (differsFrom(reader, ownDigest) && now - differsSince >= DIFFERENCE_MS) return address;
+      if (differsFrom(reader, ownDigest) && now - differsSince >= MAX_DIFFERENCE_MS) return address;
     }
     return undefined;
   }
 
-  /** This daemon has read for itself: where readers still differ, it is not this daemon that lacks something. */
+  /** Called after this daemon read the directory itself. Differences that remain are not due to changes that it missed. */
   settleDifferences(now: number): void {
     for (const [address, reader] of this.readers) {
-      const settled = { digest: reader.servingDigest, at: now };
-      this.readers.set(address, { ...reader, differsSince: undefined, settled });
+      const checked = { digest: reader.servingDigest, at: now };
+      this.readers.set(address, { ...reader, differsSince: undefined, checked });
     }
   }
 }
 
-function isHeard(reader: KnownReader, now: number): boolean {
-  return now - reader.heardAt <= NEWS_SILENCE_MS;
+function isActive(reader: KnownReader, now: number): boolean {
+  return now - reader.updatedAt <= READER_TIMEOUT_MS;
 }
 
 function differsFrom({ servingDigest }: ReaderNews, ownDigest: number): boolean {
   return servingDigest !== undefined && servingDigest !== ownDigest;
 }
 
-function isOld(settled: SettledDifference | undefined, now: number): boolean {
-  return settled === undefined || now - settled.at > SETTLED_MS;
+function isExpired(checked: CheckedDifference | undefined, now: number): boolean {
+  return checked === undefined || now - checked.at > CHECKED_DIFFERENCE_VALID_MS;
 }
--- a/src/gateway/leaving-news.ts
+++ b/src/gateway/leaving-news.ts
@@ -1,6 +1,7 @@
 /**
- * Processes of backends that leave, as their own answers or the platform's list tell it: known at once at the daemon that has the
- * answer or the list, and told to the others. It is never taken back, also when the platform's store has lost it.
+ * Announces backend processes that are shutting down to the other daemons. A daemon learns of a shutdown from a response of the
+ * backend or from the platform's list, applies it at once, and broadcasts it. A shutdown is final, even if the platform's store
+ * has lost it.
  */
 import { create } from '@bufbuild/protobuf';
 import type { Logger } from '../common/logger.js';
@@ -11,35 +12,35 @@
 import { BackendsLeavingSchema, LeavingBackendSchema } from '../proto/gen/internal_pb.js';
 import { steadyNow } from './steady-clock.js';
 
-/** Between two sendings of the same: one may be lost with a connection that is replaced. */
-const SEND_PERIOD_MS = 1_000;
-/** So many sendings in all, over longer than a silent connection is kept. */
-const MOST_SENDINGS = 3;
-/** Entries of a message that are read; a daemon of our own tells fewer. */
-const MOST_ENTRIES = 500;
+/** Period at which an announcement is repeated. A message may be lost with a connection that is replaced. */
+const REPEAT_PERIOD_MS = 1_000;
+/** Number of times that an announcement is sent in all. Together they span more time than a silent connection is kept. */
+const MAX_SENDS = 3;
+/** Maximum number of entries accepted from one message. Our own daemons send fewer. */
+const MAX_ENTRIES = 500;
 
 /** Options of {@link LeavingNews}. */
 export interface LeavingNewsOptions {
   readonly directory: BackendDirectory;
   readonly logger: Logger;
   readonly broadcast: (body: PeerBody) => void;
-  /** Something was not known before: what waits for the backend goes elsewhere. */
+  /** Called when a shutdown was not known before, so that requests waiting for the backend go to another one. */
   readonly onChange: () => void;
 }
 
 interface Announcement {
   readonly process: BackendProcess;
-  sendings: number;
+  sendCount: number;
 }
 
-/** One daemon's part. */
+/** Sends and receives the shutdown announcements of one daemon. */
 export class LeavingNews {
   private announcements: Announcement[] = [];
-  private sendAt = Infinity;
+  private nextSendAt = Infinity;
 
   constructor(private readonly options: LeavingNewsOptions) {}
 
-  /** A backend has said so in an answer to a request of this daemon. */
+  /** Handles a shutdown that a backend announced in its response to a request of this daemon. `request` is the request's id. */
   answered(backend: BackendRecord, request: string | undefined): void {
     const { directory, logger, onChange } = this.options;
     const process = backendProcessOf(backend);
@@ -50,38 +51,38 @@
     onChange();
   }
 
-  /** Tells the others that a backend leaves. */
+  /** Announces to the other daemons that a backend is shutting down. */
   announce(backend: BackendRecord): void {
-    this.announcements.push({ process: backendProcessOf(backend), sendings: 0 });
+    this.announcements.push({ process: backendProcessOf(backend), sendCount: 0 });
     this.send();
   }
 
-  /** Looks at the clock; call it a few times a second. */
+  /** Repeats announcements that are due. Call it a few times per second. */
   tick(): void {
-    if (steadyNow() >= this.sendAt) this.send();
+    if (steadyNow() >= this.nextSendAt) this.send();
   }
 
-  /** Takes a message of another daemon; false if it is of another kind. */
+  /** Handles a message of another daemon. Returns false if the message is of another kind. */
   receive(from: string, body: PeerBody): boolean {
     if (body.case !== 'backendsLeaving') return false;
     const { directory, logger, onChange } = this.options;
-    const heard = body.value.backends.slice(0, MOST_ENTRIES).map(({ id, start }) => {
+    const received = body.value.backends.slice(0, MAX_ENTRIES).map(({ id, start }) => {
       return { id, ...(start === '' ? {} : { start }) };
     });
-    const news = heard.filter((process) => directory.markLeaving(process));
-    for (const { id, start } of news) {
+    const added = received.filter((process) => directory.markLeaving(process));
+    for (const { id, start } of added) {
       logger.info('backend_leaving', { backend: id, start, source: 'peer', from });
     }
-    if (news.length > 0) onChange();
+    if (added.length > 0) onChange();
     return true;
   }
 
   private send(): void {
-    for (const entry of this.announcements) entry.sendings += 1;
+    for (const entry of this.announcements) entry.sendCount += 1;
     const backends = this.announcements.map(({ process }) => create(LeavingBackendSchema, process));
     const value = create(BackendsLeavingSchema, { backends });
     this.options.broadcast({ case: 'backendsLeaving', value });
-    this.announcements = this.announcements.filter(({ sendings }) => sendings < MOST_SENDINGS);
-    this.sendAt = this.announcements.length === 0 ? Infinity : steadyNow() + SEND_PERIOD_MS;
+    this.announcements = this.announcements.filter(({ sendCount }) => sendCount < MAX_SENDS);
+    this.nextSendAt = this.announcements.length === 0 ? Infinity : steadyNow() + REPEAT_PERIOD_MS;
   }
 }
--- a/src/gateway/member-codec.ts
+++ b/src/gateway/member-codec.ts
@@ -1,7 +1,7 @@
-/** Addresses and zones of daemons, as records of the platform's store have them. */
+/** Decodes the address and zone of a daemon from a record of the platform's store. */
 import type { ShareMember } from '../core/admission/limit-shares.js';
 
-/** Reads a daemon; undefined if it is none. */
+/** Decodes a daemon's record; undefined if the value is not one. */
 export function readMember(value: unknown): ShareMember | undefined {
   const { address, zone } = (value ?? {}) as Partial<ShareMember>;
   if (typeof address !== 'string' || typeof zone !== 'string') return undefined;
--- a/src/gateway/member-list.ts
+++ b/src/gateway/member-list.ts
@@ -1,4 +1,4 @@
-/** The daemons that the platform's store lists: seeds for membership, and its full size. */
+/** The list of daemons in the platform's store. It supplies the seeds for membership and the full number of daemons. */
 import { leaseNow } from '../common/lease-clock.js';
 import { faultText, type Logger } from '../common/logger.js';
 import { startTicker, type Ticker } from '../common/process.js';
@@ -12,50 +12,50 @@
 import type { RecordFailure, RecordStore, StoredRecord } from './ports.js';
 import { steadyNow } from './steady-clock.js';
 
-/** Between two looks at whether a reading is due. */
-const LOOK_PERIOD_MS = 500;
-/** From a reading that failed to the next; twice as long after each, for a store that is down serves nobody sooner. */
+/** Period at which the list checks whether a read is due. */
+const CHECK_PERIOD_MS = 500;
+/** Exponential backoff after failed reads: frequent retries do not bring back a store that is down. */
 const FIRST_RETRY_MS = 500;
-const LONGEST_RETRY_MS = 4_000;
-/** From the first reading to the second: daemons that start together have all entered by then. */
+const MAX_RETRY_MS = 4_000;
+/** Time from the first read to the second. Daemons that start together have all written their entries by then. */
 const FIRST_PERIOD_MS = 1_500;
-/** Each period is twice the former one, up to this: probes find who comes later. */
-const LONGEST_PERIOD_MS = 30_000;
-/** Between two writings of this daemon's entry, by which others know that it has not ended; many times within its lapse. */
+/** Maximum period between reads; it doubles up to this value. Daemons that start later are found by membership probes. */
+const MAX_PERIOD_MS = 30_000;
+/** Period at which this daemon renews its entry, to show that it has not ended: many times within the entry's expiry. */
 const RENEWAL_PERIOD_MS = 300_000;
 
-/** Keeps this daemon in the list and reads the others. */
+/** Maintains this daemon's entry in the list and reads the entries of the others. */
 export class MemberList {
-  /** Daemons in the list. */
+  /** Daemons in the list as last read. */
   listed: readonly DutyMember[] = [];
   private ticker: Ticker | undefined;
   private isListed = false;
-  /** Of the store; 0 before this daemon has entered itself. */
-  private enteredInEra = 0;
-  /** Whether an entry of this daemon may be in the list, read or not. */
+  /** Era of the store in which this daemon wrote its entry; 0 before that. */
+  private entryEra = 0;
+  /** Whether the list may hold an entry of this daemon, even if no read has shown it yet. */
   private mayBeListed = false;
   private reading: Promise<void> | undefined;
   private periodMs = FIRST_PERIOD_MS;
   private retryMs = FIRST_RETRY_MS;
-  private readAt = -Infinity;
+  private nextReadAt = -Infinity;
   private readonly entries = new MemberEntries();
-  /** Of this daemon's entry, as it was written last. */
+  /** Revision of this daemon's entry when it was last written. */
   private revision: StorePosition | undefined;
   private renewals = 0;
   private renewAt = -Infinity;
-  /** Whether this process has taken over the entry of a former one. */
+  /** Whether this process has taken over the entry of an earlier process. */
   private hasKeptEntry = false;
 
-  /** @param onRenewed - The store has acknowledged this daemon's entry; the time of the question by the lease clock. */
+  /** @param onRenewed - Called with the lease time of the request when the store has acknowledged this daemon's entry. */
   constructor(
     private readonly settings: GatewaySettings,
     private readonly store: RecordStore,
     private readonly peers: PeerGroup,
     private readonly logger: Logger,
-    private readonly onRenewed: (askedAt: number) => void = () => {},
+    private readonly onRenewed: (requestedAt: number) => void = () => {},
   ) {}
 
-  /** Whether a daemon has ended, as far as the entries tell. */
+  /** Whether the entries show that a daemon has ended. */
   hasEnded(address: string): boolean {
     return this.entries.hasEnded(address, steadyNow());
   }
@@ -67,19 +67,19 @@
       this.logger.error('member_list_fault', { reason: faultText(fault) });
     };
     const step = (): void => {
-      if (this.reading !== undefined || steadyNow() < this.readAt) return;
+      if (this.reading !== undefined || steadyNow() < this.nextReadAt) return;
       this.reading = this.refresh()
         .catch(onFault)
         .finally(() => (this.reading = undefined));
     };
     step();
-    this.ticker = startTicker(LOOK_PERIOD_MS, step, onFault);
+    this.ticker = startTicker(CHECK_PERIOD_MS, step, onFault);
   }
 
-  /** Takes this daemon out of the list. */
+  /** Removes this daemon from the list. */
   async leave(): Promise<void> {
     this.ticker?.stop();
-    // An entry that is on its way would stay in the list after this daemon has left it.
+    // A write that is still in flight would leave an entry in the list after the removal.
     await this.reading;
     if (this.mayBeListed) await this.store.remove('members', this.settings.name);
   }
@@ -88,87 +88,88 @@
     const now = steadyNow();
     if (this.isListed && now >= this.renewAt) await this.renew();
     const isDone = this.isListed ? await this.readLate() : await this.enterAndRead();
-    this.readAt = now + this.nextPause(isDone);
+    this.nextReadAt = now + this.nextDelayMs(isDone);
   }
 
-  private nextPause(isDone: boolean): number {
+  private nextDelayMs(isDone: boolean): number {
     if (!isDone) {
-      const pause = this.retryMs;
-      this.retryMs = Math.min(LONGEST_RETRY_MS, pause * 2);
-      return pause;
+      const delayMs = this.retryMs;
+      this.retryMs = Math.min(MAX_RETRY_MS, delayMs * 2);
+      return delayMs;
     }
     this.retryMs = FIRST_RETRY_MS;
-    const pause = this.periodMs;
-    this.periodMs = Math.min(LONGEST_PERIOD_MS, pause * 2);
-    return pause;
+    const delayMs = this.periodMs;
+    this.periodMs = Math.min(MAX_PERIOD_MS, delayMs * 2);
+    return delayMs;
   }
 
-  /** Enters this daemon before it reads: of two that start at once, one sees the other. */
+  /** Writes this daemon's entry before it reads the list, so that of two daemons that start at once one sees the other. */
   private async enterAndRead(): Promise<boolean> {
     const { name } = this.settings;
     this.mayBeListed = true;
-    this.enteredInEra = this.store.era() ?? 0;
-    const askedAt = leaseNow();
+    this.entryEra = this.store.era() ?? 0;
+    const requestedAt = leaseNow();
     const created = await this.store.write('members', name, this.entry(), undefined);
-    if (created.isOk) this.renewed(created.value.revision, askedAt);
-    if (created.isErr && created.error.type !== 'conflict') return this.unread(created.error);
-    const listedAt = leaseNow();
+    if (created.isOk) this.renewed(created.value.revision, requestedAt);
+    if (created.isErr && created.error.type !== 'conflict') return this.logFailure(created.error);
+    const listRequestedAt = leaseNow();
     const list = await this.store.list('members', 'current');
-    if (list.isErr) return this.unread(list.error);
-    this.take(list.value);
-    this.isListed = created.isOk || (await this.keepEntry(list.value, listedAt));
+    if (list.isErr) return this.logFailure(list.error);
+    this.applyList(list.value);
+    this.isListed = created.isOk || (await this.keepEntry(list.value, listRequestedAt));
     return this.isListed;
   }
 
-  /** The list held this daemon's name before: its entry may be of a former address, or of long ago. */
-  private async keepEntry(list: readonly StoredRecord[], askedAt: number): Promise<boolean> {
+  /** Handles an existing entry under this daemon's name, which may hold an earlier address or be old. */
+  private async keepEntry(list: readonly StoredRecord[], requestedAt: number): Promise<boolean> {
     const known = list.find((record) => record.name === this.settings.name);
     if (readMember(known?.value)?.address !== this.peers.address)
       return this.writeEntry(known?.revision);
     this.renewals = renewalsOf(known?.value);
     this.revision = known?.revision;
-    // How long ago it was renewed is not known: it counts until the next reading, which renews it, and only once.
-    if (!this.hasKeptEntry) this.onRenewed(askedAt - RENEWAL_EXPIRY_MS + PREVIOUS_ENTRY_VALID_MS);
+    // The time of the last renewal is unknown. The entry counts until the next read, which renews it, and only once.
+    if (!this.hasKeptEntry)
+      this.onRenewed(requestedAt - RENEWAL_EXPIRY_MS + PREVIOUS_ENTRY_VALID_MS);
     this.hasKeptEntry = true;
     return true;
   }
 
-  /** Shows the others that this daemon runs. */
+  /** Renews the entry, which shows the others that this daemon runs. */
   private async renew(): Promise<void> {
     this.renewals += 1;
     this.isListed = await this.writeEntry(this.revision);
   }
 
   private async writeEntry(revision: StorePosition | undefined): Promise<boolean> {
-    const askedAt = leaseNow();
+    const requestedAt = leaseNow();
     const written = await this.store.write('members', this.settings.name, this.entry(), revision);
-    if (written.isErr) return this.unread(written.error);
-    this.renewed(written.value.revision, askedAt);
+    if (written.isErr) return this.logFailure(written.error);
+    this.renewed(written.value.revision, requestedAt);
     return true;
   }
 
-  private renewed(revision: StorePosition, askedAt: number): void {
+  private renewed(revision: StorePosition, requestedAt: number): void {
     this.revision = revision;
     this.renewAt = steadyNow() + RENEWAL_PERIOD_MS;
-    this.onRenewed(askedAt);
+    this.onRenewed(requestedAt);
   }
 
   private async readLate(): Promise<boolean> {
     const list = await this.store.list('members', 'late');
-    if (list.isErr) return this.unread(list.error);
+    if (list.isErr) return this.logFailure(list.error);
     // A late list may be older than this daemon's own entry.
-    this.take(list.value);
+    this.applyList(list.value);
     if (this.hasLostEntry(list.value)) this.isListed = false;
     return this.isListed;
   }
 
-  /** Whether the store has come back from a copy without this daemon's entry: it is written again with the next reading. */
+  /** Whether the store was restored from a copy without this daemon's entry. The next read then writes it again. */
   private hasLostEntry(list: readonly StoredRecord[]): boolean {
-    const isRestored = (this.store.era() ?? 0) > this.enteredInEra;
+    const isRestored = (this.store.era() ?? 0) > this.entryEra;
     return isRestored && !list.some(({ name }) => name === this.settings.name);
   }
 
-  private take(list: readonly StoredRecord[]): void {
+  private applyList(list: readonly StoredRecord[]): void {
     const entries = list.flatMap(({ value, revision }) => {
       const member = readMember(value);
       return member === undefined ? [] : [{ ...member, site: '', revision }];
@@ -179,13 +180,13 @@
     this.peers.addSeeds(others.map((member) => member.address));
   }
 
-  private unread(failure: RecordFailure): false {
+  private logFailure(failure: RecordFailure): false {
     const reason = failure.type === 'conflict' ? failure.type : failure.reason;
     this.logger.warn('member_list_unread', { listed: this.listed.length, reason });
     return false;
   }
 
-  /** An entry that was never renewed is spelled as by the builds before. */
+  /** An entry that was never renewed has the format of earlier versions, without a renewal count. */
   private entry(): MemberRecord {
     const { renewals } = this;
     const renewed = renewals === 0 ? {} : { renewals };
@@ -193,11 +194,11 @@
   }
 }
 
-/** This daemon's entry as it stands in the store. */
+/** This daemon's entry in the format of the store. */
 interface MemberRecord {
   readonly address: string;
   readonly zone: string;
-  /** Rises with each renewal. */
+  /** Incremented with each renewal. */
   readonly renewals?: number;
 }
 
--- a/src/gateway/peer-group.ts
+++ b/src/gateway/peer-group.ts
@@ -1,4 +1,4 @@
-/** The other daemons: membership by probing, and messages between them. */
+/** The group of daemons: membership by probing, and messages between its members. */
 import type { Logger } from '../common/logger.js';
 import { LinkFaults } from '../common/link-faults.js';
 import { Membership } from '../core/membership.js';
@@ -13,15 +13,15 @@
   readonly host: string;
   readonly port: number;
   readonly zone: string;
-  /** Processor power of the machine, in cores of common speed. */
+  /** Processor capacity of the machine, in cores of typical speed. */
   readonly capacity: number;
   readonly logger: Logger;
-  /** Messages that are not about membership. */
+  /** Called with each message that is not about membership. */
   readonly onMessage: (from: string, body: PeerBody) => void;
   readonly onChange: () => void;
 }
 
-/** This daemon's view of the others. */
+/** One daemon's view of the group. */
 export class PeerGroup {
   readonly membership: Membership;
   private readonly transport: PeerTransport;
@@ -52,7 +52,7 @@
     return this.membership.ownView.address;
   }
 
-  /** What has passed between this daemon and the others. */
+  /** Counts of the traffic between this daemon and the others. */
   get counts(): Readonly<TransportCounts> {
     return this.transport.counts;
   }
@@ -61,7 +61,7 @@
     await this.transport.start();
   }
 
-  /** Looks at the membership's timers; call it ten times a second. */
+  /** Runs the membership timers that are due. Call it ten times per second. */
   look(): void {
     this.apply({ type: 'tick' });
   }
@@ -70,7 +70,7 @@
     this.transport.stop();
   }
 
-  /** Tells the others that this daemon leaves; it still answers. */
+  /** Announces to the others that this daemon is leaving. It still replies to messages. */
   leave(): void {
     this.apply({ type: 'leave' });
   }
@@ -81,7 +81,7 @@
     this.apply({ type: 'seeds', addresses: [...this.seeds] });
   }
 
-  /** Daemons that may be given duties, this one among them unless it leaves. */
+  /** Daemons that can be assigned work, including this one unless it is leaving. */
   live(): MemberView[] {
     return this.membership.live();
   }
@@ -90,18 +90,18 @@
     this.transport.send(to, body);
   }
 
-  /** Sends one datagram; it may be lost. */
+  /** Sends one datagram, which may be lost. */
   sendDatagram(to: string, body: PeerBody): void {
     this.transport.sendDatagram(to, body);
   }
 
-  /** Addresses of the other daemons that still answer: one that drains has requests to finish. */
+  /** Addresses of the other reachable daemons. Draining daemons are included, because they still have requests to finish. */
   reachableOthers(): string[] {
     const addresses = this.membership.reachable().map((member) => member.address);
     return addresses.filter((address) => address !== this.address);
   }
 
-  /** Sends to every other daemon that still answers. */
+  /** Sends a message to every other reachable daemon. */
   broadcast(body: PeerBody): void {
     this.transport.sendToAll(this.reachableOthers(), body);
   }
--- a/src/gateway/slot-admission.ts
+++ b/src/gateway/slot-admission.ts
@@ -1,8 +1,9 @@
 /**
- * A daemon's side of backends' slots. Each backend has a keeper, by rank among the ablest live
- * daemons, which counts what all daemons have in flight there and says who waits. Far below full
- * a request is sent at once and the keeper told; else the keeper is asked first. A keeper that
- * does not answer leaves the daemon to decide alone.
+ * The requesting daemon's side of slot admission. Each backend has a slot allocator, chosen by rank
+ * among the live daemons of high capacity. It counts the requests that all daemons have in flight at
+ * the backend and decides which requests wait. While the backend is far below its limit, a daemon
+ * sends a request at once and reports it to the allocator; otherwise it requests a grant first. If the
+ * allocator does not reply, the daemon sends the request without a grant.
  */
 import { create, type MessageInitShape } from '@bufbuild/protobuf';
 import type { Logger } from '../common/logger.js';
@@ -30,26 +31,26 @@
 import { SlotOutbox } from './slot-outbox.js';
 import { steadyNow } from './steady-clock.js';
 
-/** An ask is sent again after so long: a datagram may be lost. */
-const ASK_AGAIN_MS = 60;
-/** Without an answer by then the daemon decides alone: no caller waits longer for a silent keeper. */
-const ANSWER_WITHIN_MS = 150;
-/** After a silent keeper this daemon decides alone at once: membership needs longer to replace it. */
-const ALONE_MS = 500;
-/** One that waits asks again so often: the word that it has a slot may be lost, or the keeper. */
-const REFRESH_MS = 250;
-/** A keeper's word that a backend has room counts for so long. */
-const ROOM_BELIEVED_MS = 2_000;
-/** Load and waits of a backend count for so long in the choice between backends. */
-const FIGURES_BELIEVED_MS = 500;
-/** A keeper's word on failures counts for so long: it has its own fading, and is told again while they go on. */
-const FAILURES_BELIEVED_MS = 2_000;
-/** All tickets are named to their keepers so often; several times within their lifetime there. */
+/** Time after which a slot request is sent again, because a datagram may be lost. */
+const RESEND_DELAY_MS = 60;
+/** Timeout of a slot request. The request is then sent without a grant, so that no caller waits longer for the allocator. */
+const REPLY_TIMEOUT_MS = 150;
+/** Time without grant requests after the allocator timed out, because membership takes longer to replace it. */
+const NO_GRANT_PERIOD_MS = 500;
+/** Period at which a waiting request is sent again, because the grant may be lost, or the allocator may have failed. */
+const WAITING_RESEND_PERIOD_MS = 250;
+/** Time for which an announced status counts as evidence that the backend has free slots. */
+const FREE_SLOTS_VALID_MS = 2_000;
+/** Time for which the announced load and waits of a backend are used in the choice between backends. */
+const STATUS_VALID_MS = 500;
+/** Validity of an announced failure share. The allocator lets the share decay, and announces it again while failures continue. */
+const FAILURES_VALID_MS = 2_000;
+/** Period at which all tickets are listed to their allocators: several times within the expiry of a ticket. */
 const LIST_PERIOD_MS = 1_000;
-/** Backends that this daemon has used within this time are named even without tickets: an end may be lost. */
-const LISTED_AFTER_USE_MS = 3_000;
-/** Tickets of a restarted daemon must not be taken for those of its earlier life. */
-const TICKET_NUMBERS = 2 ** 31;
+/** Time after its last use for which a backend is listed even without tickets, because the message of an end may be lost. */
+const LIST_AFTER_USE_MS = 3_000;
+/** Range of ticket numbers. The first is random, so that tickets are not confused with those of the daemon's earlier process. */
+const TICKET_RANGE = 2 ** 31;
 
 /** Options of {@link SlotAdmission}. */
 export interface SlotAdmissionOptions {
@@ -57,55 +58,56 @@
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
   readonly live: () => readonly MemberView[];
-  /** Addresses of all daemons that still answer, leaving ones among them. */
+  /** Addresses of all reachable daemons, including those that are leaving. */
   readonly reachable: () => readonly string[];
-  /** Slots of a backend that takes requests; undefined if it takes none, or is not known. */
+  /** Number of slots of a backend that accepts requests; undefined if it accepts none, or is not known. */
   readonly slotsOf: (backend: string) => number | undefined;
   readonly sendDatagram: (to: string, body: PeerBody) => void;
 }
 
-/** What a request says of itself. */
+/** The properties of a request that needs a slot. */
 export interface SlotWish {
   readonly backend: BackendRecord;
   /** The request's id, for logs. */
   readonly request: string | undefined;
   /** 0 is the most urgent. */
   readonly rank: number;
-  /** Steady times: since when its caller waits, when it should be sent, and when it can no longer be served. */
+  /** Steady times: since when the caller waits, when the request should be sent, and when it can no longer be served. */
   readonly arrivedAt: number;
   readonly dueAt: number;
   readonly giveUpAt: number;
   readonly tenant: string;
-  /** Expected work in tokens; 0 if nothing is known. */
+  /** Expected work in tokens; 0 if unknown. */
   readonly work: number;
-  /** Requests in flight there by the word of the service's owner; undefined if it has not spoken lately. */
+  /** Requests in flight at the backend, as announced by the service's owner; undefined without a recent announcement. */
   readonly ownerLoad: number | undefined;
-  /** Called later, if at all, and several times: first queued, then something else. Never after `release`. */
+  /** Called with each later decision, if any, for example first `queued` and then another. Never called after `release`. */
   readonly onAnswer: (answer: SlotResponse) => void;
 }
 
-/** A request's claim on a slot, from the ask to its end. */
+/** A request's claim on a slot, from the slot request to the end of the use. */
 export interface SlotClaim {
   /** Whether the request may be sent. */
   readonly isHeld: boolean;
   /**
-   * The request has ended, or wants the slot no more. After a refusal only a return is told.
+   * Ends the claim, because the request has ended or no longer needs the slot. After a refusal only an expected
+   * retry is reported.
    *
-   * @param returnsInMs - Its caller was told to come back after so many milliseconds; 0 if it was not.
+   * @param returnsInMs - Retry delay in milliseconds that the caller was given; 0 if it was given none.
    * @param hasFailed - The backend has failed the request.
    */
   release(returnsInMs?: number, hasFailed?: boolean): void;
 }
 
-/** A claim as this daemon follows it. */
+/** A claim and its state on this daemon. */
 class OpenClaim implements SlotClaim {
-  readonly askedAt = steadyNow();
+  readonly requestedAt = steadyNow();
   state: 'asked' | 'queued' | 'held' = 'asked';
   timer: NodeJS.Timeout | undefined;
 
   constructor(
     readonly ticket: number,
-    readonly wish: SlotWish,
+    readonly params: SlotWish,
     private readonly onRelease: (claim: OpenClaim, returnsInMs: number, hasFailed: boolean) => void,
   ) {}
 
@@ -114,7 +116,7 @@
   }
 
   get backend(): string {
-    return this.wish.backend.id;
+    return this.params.backend.id;
   }
 
   release(returnsInMs = 0, hasFailed = false): void {
@@ -123,28 +125,28 @@
 }
 
 interface KnownBackend {
-  keeper: string;
+  allocator: string;
   readonly claims: Map<number, OpenClaim>;
-  figures: SlotStatus | undefined;
-  /** Share of requests that the backend has failed, 0 to 1, as told with the figures. */
+  status: SlotStatus | undefined;
+  /** Share of requests that the backend has failed, 0 to 1, as announced with the status. */
   failureShare: number;
-  /** Requests sent without a question since the figures were told. */
-  sentSince: number;
-  /** Steady time at which the figures were told. */
-  heardAt: number;
-  /** The keeper did not answer: until this steady time nobody waits for it again. */
-  aloneUntil: number;
+  /** Number of requests sent without a grant since the status was received. */
+  sentSinceStatus: number;
+  /** Steady time at which the status was received. */
+  statusAt: number;
+  /** Steady time until which this daemon requests no grants, after the allocator timed out. */
+  noGrantsUntil: number;
   usedAt: number;
 }
 
-/** One daemon's part in keeping slots, as one that sends requests; holds its part as a keeper too. */
+/** Obtains slots for the requests of one daemon. Also contains the slot allocator for the backends that this daemon allocates. */
 export class SlotAdmission {
   private readonly backends = new Map<string, KnownBackend>();
   private readonly outbox: SlotOutbox;
   private readonly keeper: SlotKeeper;
-  private sequence = Math.floor(Math.random() * TICKET_NUMBERS);
+  private sequence = Math.floor(Math.random() * TICKET_RANGE);
   private candidates: string[] = [];
-  private hasGroupChanged = true;
+  private hasMembershipChanged = true;
   private listedAt = 0;
 
   constructor(private readonly options: SlotAdmissionOptions) {
@@ -154,71 +156,71 @@
     this.keeper = new SlotKeeper({ logger, metrics, slotsOf, tell });
   }
 
-  /** Asks for a slot; the answer comes at once or later. */
-  claim(wish: SlotWish): SlotClaim {
+  /** Claims a slot. The claim is held at once, or decided later. */
+  claim(params: SlotWish): SlotClaim {
     const now = steadyNow();
-    this.followGroup();
-    const { id } = wish.backend;
+    this.followMembership();
+    const { id } = params.backend;
     const known = this.knownBackend(id, now);
-    this.sequence = (this.sequence + 1) % TICKET_NUMBERS;
-    const claim = new OpenClaim(this.sequence, wish, (ended, returnsInMs, hasFailed) => {
+    this.sequence = (this.sequence + 1) % TICKET_RANGE;
+    const claim = new OpenClaim(this.sequence, params, (ended, returnsInMs, hasFailed) => {
       this.release(ended, returnsInMs, hasFailed);
     });
     known.claims.set(claim.ticket, claim);
-    if (this.hasRoom(known, wish, now)) this.hold(known, claim);
-    else this.ask(known, claim);
+    if (this.hasFreeSlots(known, params, now)) this.hold(known, claim);
+    else this.requestSlot(known, claim);
     return claim;
   }
 
-  /** What the keeper of a backend said of it within {@link FIGURES_BELIEVED_MS}; undefined if nothing. */
+  /** Status of a backend that its allocator announced within {@link STATUS_VALID_MS}; undefined if there is none. */
   figuresOf(backend: string, now: number): SlotStatus | undefined {
     const known = this.backends.get(backend);
-    if (known === undefined || now - known.heardAt > FIGURES_BELIEVED_MS) return undefined;
-    return known.figures;
+    if (known === undefined || now - known.statusAt > STATUS_VALID_MS) return undefined;
+    return known.status;
   }
 
-  /** Share of requests that a backend has failed lately by its keeper's word; 0 if nothing is known. */
+  /** Share of requests that a backend has failed recently, as announced by its allocator; 0 if unknown. */
   failureShareOf(backend: string, now: number): number {
     const known = this.backends.get(backend);
-    if (known === undefined || now - known.heardAt > FAILURES_BELIEVED_MS) return 0;
+    if (known === undefined || now - known.statusAt > FAILURES_VALID_MS) return 0;
     return known.failureShare;
   }
 
-  /** Milliseconds since the keeper of a backend was heard; undefined if it was not. */
+  /** Milliseconds since the last status of a backend was received from its allocator; undefined if there is none. */
   figuresAgeMs(backend: string, now: number): number | undefined {
     const known = this.backends.get(backend);
-    return known?.figures && Math.round(now - known.heardAt);
+    return known?.status && Math.round(now - known.statusAt);
   }
 
-  /** The set of live daemons has changed. */
+  /** Called when the set of live daemons has changed. */
   groupChanged(): void {
-    this.hasGroupChanged = true;
+    this.hasMembershipChanged = true;
   }
 
-  /** Looks at the clock and the group; call it a few times a second. */
+  /** Follows changes of the group and lists tickets if due. Call it a few times per second. */
   tick(): void {
     const now = steadyNow();
-    this.followGroup();
+    this.followMembership();
     this.keeper.tick();
     if (now - this.listedAt < LIST_PERIOD_MS) return;
     this.listedAt = now;
     for (const [id, known] of this.backends) {
-      if (known.claims.size === 0 && now - known.usedAt > LISTED_AFTER_USE_MS) {
+      if (known.claims.size === 0 && now - known.usedAt > LIST_AFTER_USE_MS) {
         this.backends.delete(id);
       } else this.list(id, known);
     }
   }
 
-  /** Handles a message about slots; false if it is another kind. */
+  /** Handles a message about slots. Returns false if the message is of another kind. */
   receive(from: string, body: PeerBody): boolean {
     if (body.case === 'slotReport') this.keeper.receive(from, body.value);
     else if (body.case === 'slotWords') {
-      for (const word of body.value.words) this.hear(from, word);
+      for (const message of body.value.words) this.handleMessage(from, message);
     } else return false;
     return true;
   }
 
-  /** The daemon that keeps a backend's slots, as this one sees the group. */
+  /** Address of the daemon that allocates a backend's slots, by this daemon's view of the group. */
   keeperOf(backend: string): string {
     return firstCandidate(`slots/${backend}`, this.candidates) ?? this.options.self;
   }
@@ -228,43 +230,43 @@
     else this.options.sendDatagram(to, body);
   }
 
-  private hasRoom(known: KnownBackend, wish: SlotWish, now: number): boolean {
-    const { figures, heardAt, claims, aloneUntil } = known;
-    if (now < aloneUntil) return true;
-    if (figures !== undefined && now - heardAt <= ROOM_BELIEVED_MS) {
-      return !requiresGrant({ ...figures, inFlight: figures.inFlight + known.sentSince });
+  private hasFreeSlots(known: KnownBackend, params: SlotWish, now: number): boolean {
+    const { status, statusAt, claims, noGrantsUntil } = known;
+    if (now < noGrantsUntil) return true;
+    if (status !== undefined && now - statusAt <= FREE_SLOTS_VALID_MS) {
+      return !requiresGrant({ ...status, inFlight: status.inFlight + known.sentSinceStatus });
     }
-    const { ownerLoad, backend } = wish;
+    const { ownerLoad, backend } = params;
     if (ownerLoad === undefined) return false;
     const inFlight = Math.max(ownerLoad, claims.size);
     return !requiresGrant({ slots: backend.slots, inFlight, waiting: 0, expectedWaitMs: 0 });
   }
 
-  /** The request goes without the keeper's word. */
+  /** Marks the claim as held and reports the use to the allocator. */
   private hold(known: KnownBackend, claim: OpenClaim): void {
     claim.state = 'held';
-    known.sentSince += 1;
+    known.sentSinceStatus += 1;
     clearTimeout(claim.timer);
-    const { backend, ticket, wish } = claim;
-    const { tenant, work } = wish;
+    const { backend, ticket, params } = claim;
+    const { tenant, work } = params;
     const value = create(SlotUseSchema, { backend, ticket, tenant, work });
-    this.outbox.tell(known.keeper, { kind: 'taken', value });
+    this.outbox.tell(known.allocator, { kind: 'taken', value });
   }
 
-  private ask(known: KnownBackend, claim: OpenClaim): void {
-    this.sendAsk(known, claim);
+  private requestSlot(known: KnownBackend, claim: OpenClaim): void {
+    this.sendRequest(known, claim);
     clearTimeout(claim.timer);
     claim.timer = setTimeout(() => {
-      this.sendAsk(known, claim);
+      this.sendRequest(known, claim);
       claim.timer = setTimeout(
-        () => this.decideAlone(known, claim),
-        ANSWER_WITHIN_MS - ASK_AGAIN_MS,
+        () => this.sendWithoutGrant(known, claim),
+        REPLY_TIMEOUT_MS - RESEND_DELAY_MS,
       );
-    }, ASK_AGAIN_MS);
+    }, RESEND_DELAY_MS);
   }
 
-  private sendAsk(known: KnownBackend, { backend, ticket, wish }: OpenClaim): void {
-    const { rank, dueAt, giveUpAt, arrivedAt, tenant, work } = wish;
+  private sendRequest(known: KnownBackend, { backend, ticket, params }: OpenClaim): void {
+    const { rank, dueAt, giveUpAt, arrivedAt, tenant, work } = params;
     const now = steadyNow();
     const value = create(SlotAskSchema, {
       backend,
@@ -276,109 +278,113 @@
       tenant,
       work,
     });
-    this.outbox.tell(known.keeper, { kind: 'ask', value });
+    this.outbox.tell(known.allocator, { kind: 'ask', value });
   }
 
-  private decideAlone(known: KnownBackend, claim: OpenClaim): void {
-    const { backend, wish } = claim;
-    const { keeper } = known;
+  private sendWithoutGrant(known: KnownBackend, claim: OpenClaim): void {
+    const { backend, params } = claim;
+    const { allocator } = known;
     this.options.metrics.slotAsksUnanswered.inc();
-    const waitedMs = Math.round(steadyNow() - claim.askedAt);
+    const waitedMs = Math.round(steadyNow() - claim.requestedAt);
     this.options.logger.warn('slot_keeper_silent', {
-      request: wish.request,
+      request: params.request,
       backend,
-      keeper,
+      keeper: allocator,
       waitedMs,
     });
-    known.figures = undefined;
-    known.aloneUntil = steadyNow() + ALONE_MS;
+    known.status = undefined;
+    known.noGrantsUntil = steadyNow() + NO_GRANT_PERIOD_MS;
     this.hold(known, claim);
-    wish.onAnswer({ type: 'granted' });
+    params.onAnswer({ type: 'granted' });
   }
 
   private release(claim: OpenClaim, returnsInMs: number, hasFailed: boolean): void {
-    const { backend, ticket, timer, wish } = claim;
+    const { backend, ticket, timer, params } = claim;
     const known = this.backends.get(backend);
     clearTimeout(timer);
     if (known === undefined) return;
     const wasOpen = known.claims.delete(ticket);
     if (!wasOpen && returnsInMs === 0) return;
     known.usedAt = steadyNow();
-    this.tellEnd(known.keeper, { backend, ticket, returnsInMs, rank: wish.rank, hasFailed });
+    this.reportEnd(known.allocator, { backend, ticket, returnsInMs, rank: params.rank, hasFailed });
   }
 
-  private tellEnd(keeper: string, end: MessageInitShape<typeof SlotEndSchema>): void {
+  private reportEnd(allocator: string, end: MessageInitShape<typeof SlotEndSchema>): void {
     const returnsInMs = Math.ceil(end.returnsInMs ?? 0);
     const value = create(SlotEndSchema, { ...end, returnsInMs });
-    this.outbox.tell(keeper, { kind: 'ended', value });
+    this.outbox.tell(allocator, { kind: 'ended', value });
   }
 
-  private hear(from: string, word: SlotWord): void {
-    const known = this.backends.get(word.backend);
+  private handleMessage(from: string, message: SlotWord): void {
+    const known = this.backends.get(message.backend);
     const now = steadyNow();
-    if (known !== undefined && known.keeper === from && word.verdict !== SlotVerdict.UNKNOWN) {
-      const { slots, inFlight, waiting, newcomerWaitMs } = word;
-      known.figures = { slots, inFlight, waiting, expectedWaitMs: newcomerWaitMs };
-      known.failureShare = fractionOfPerMille(word.failurePerMille);
-      known.heardAt = now;
-      known.sentSince = 0;
-      known.aloneUntil = 0;
+    if (
+      known !== undefined &&
+      known.allocator === from &&
+      message.verdict !== SlotVerdict.UNKNOWN
+    ) {
+      const { slots, inFlight, waiting, newcomerWaitMs } = message;
+      known.status = { slots, inFlight, waiting, expectedWaitMs: newcomerWaitMs };
+      known.failureShare = fractionOfPerMille(message.failurePerMille);
+      known.statusAt = now;
+      known.sentSinceStatus = 0;
+      known.noGrantsUntil = 0;
     }
-    const claim = known?.claims.get(word.ticket);
+    const claim = known?.claims.get(message.ticket);
     if (known === undefined || claim === undefined) {
-      // Granted to one that no longer wants it.
-      if (word.verdict === SlotVerdict.GRANTED) {
-        this.tellEnd(from, { backend: word.backend, ticket: word.ticket });
+      // The grant is for a request that no longer needs it.
+      if (message.verdict === SlotVerdict.GRANTED) {
+        this.reportEnd(from, { backend: message.backend, ticket: message.ticket });
       }
       return;
     }
     if (claim.isHeld) return;
-    if (from === known.keeper) return this.settle(known, claim, word);
-    // The former keeper's word counts as far as it lets the request go.
-    if (word.verdict !== SlotVerdict.GRANTED) return;
+    if (from === known.allocator) return this.applyDecision(known, claim, message);
+    // Of a former allocator's decisions only grants are applied.
+    if (message.verdict !== SlotVerdict.GRANTED) return;
     this.hold(known, claim);
-    claim.wish.onAnswer({ type: 'granted' });
+    claim.params.onAnswer({ type: 'granted' });
   }
 
-  private settle(known: KnownBackend, claim: OpenClaim, word: SlotWord): void {
-    const { verdict, waitMs } = word;
+  private applyDecision(known: KnownBackend, claim: OpenClaim, message: SlotWord): void {
+    const { verdict, waitMs } = message;
     if (verdict === SlotVerdict.NEWS) return;
     clearTimeout(claim.timer);
     if (verdict === SlotVerdict.QUEUED) {
-      claim.timer = setTimeout(() => this.ask(known, claim), REFRESH_MS);
-      const isNews = claim.state === 'asked';
+      claim.timer = setTimeout(() => this.requestSlot(known, claim), WAITING_RESEND_PERIOD_MS);
+      const isFirst = claim.state === 'asked';
       claim.state = 'queued';
-      if (isNews) this.log('slot_queued', claim, word);
-      return claim.wish.onAnswer({ type: 'queued', expectedWaitMs: waitMs });
+      if (isFirst) this.log('slot_queued', claim, message);
+      return claim.params.onAnswer({ type: 'queued', expectedWaitMs: waitMs });
     }
-    const waitedSeconds = (steadyNow() - claim.askedAt) / 1_000;
+    const waitedSeconds = (steadyNow() - claim.requestedAt) / 1_000;
     if (verdict === SlotVerdict.GRANTED) {
       claim.state = 'held';
-      this.log('slot_granted', claim, word);
+      this.log('slot_granted', claim, message);
       this.options.metrics.slotWaitSeconds.observe({ answer: 'granted' }, waitedSeconds);
-      return claim.wish.onAnswer({ type: 'granted' });
+      return claim.params.onAnswer({ type: 'granted' });
     }
     known.claims.delete(claim.ticket);
-    this.log('slot_refused', claim, word);
+    this.log('slot_refused', claim, message);
     this.options.metrics.slotWaitSeconds.observe({ answer: 'refused' }, waitedSeconds);
     const isRefused = verdict === SlotVerdict.REFUSED;
-    claim.wish.onAnswer(
+    claim.params.onAnswer(
       isRefused ? { type: 'refused', retryAfterMs: waitMs } : { type: 'unknown' },
     );
   }
 
-  private log(event: string, claim: OpenClaim, word: SlotWord): void {
-    const { inFlight, waiting, slots, waitMs } = word;
-    const { backend, wish, askedAt } = claim;
+  private log(event: string, claim: OpenClaim, message: SlotWord): void {
+    const { inFlight, waiting, slots, waitMs } = message;
+    const { backend, params, requestedAt } = claim;
     this.options.logger.info(event, {
-      request: wish.request,
+      request: params.request,
       backend,
-      rank: wish.rank,
+      rank: params.rank,
       inFlight,
       waiting,
       slots,
       waitMs,
-      waitedMs: Math.round(steadyNow() - askedAt),
+      waitedMs: Math.round(steadyNow() - requestedAt),
     });
   }
 
@@ -388,33 +394,33 @@
       known.usedAt = now;
       return known;
     }
-    const keeper = this.keeperOf(id);
+    const allocator = this.keeperOf(id);
     const claims = new Map<number, OpenClaim>();
-    const fresh: KnownBackend = {
-      keeper,
+    const added: KnownBackend = {
+      allocator,
       claims,
-      figures: undefined,
+      status: undefined,
       failureShare: 0,
-      sentSince: 0,
-      heardAt: 0,
-      aloneUntil: 0,
+      sentSinceStatus: 0,
+      statusAt: 0,
+      noGrantsUntil: 0,
       usedAt: now,
     };
-    this.backends.set(id, fresh);
-    return fresh;
+    this.backends.set(id, added);
+    return added;
   }
 
-  private list(backend: string, { keeper, claims }: KnownBackend): void {
+  private list(backend: string, { allocator, claims }: KnownBackend): void {
     const all = [...claims.values()];
     const inFlight = all.filter(({ state }) => state === 'held').map(({ ticket }) => ticket);
     const waiting = all.filter(({ state }) => state !== 'held').map(({ ticket }) => ticket);
     const value = create(SlotListSchema, { backend, inFlight, waiting });
-    this.outbox.tell(keeper, { kind: 'list', value });
+    this.outbox.tell(allocator, { kind: 'list', value });
   }
 
-  private followGroup(): void {
-    if (!this.hasGroupChanged) return;
-    this.hasGroupChanged = false;
+  private followMembership(): void {
+    if (!this.hasMembershipChanged) return;
+    this.hasMembershipChanged = false;
     const { live, reachable, self } = this.options;
     this.keeper.keepOnly(new Set([...reachable(), self]));
     const candidates = highCapacityMembers(live())
@@ -422,36 +428,37 @@
       .sort();
     if (candidates.join() === this.candidates.join()) return;
     this.candidates = candidates;
-    for (const [id, known] of this.backends) this.followKeeper(id, known);
+    for (const [id, known] of this.backends) this.followAllocator(id, known);
   }
 
-  /** A new keeper is told of all that this daemon has there, and asked for what waits. */
-  private followKeeper(id: string, known: KnownBackend): void {
-    const keeper = this.keeperOf(id);
-    if (keeper === known.keeper) return;
-    const former = known.keeper;
-    known.keeper = keeper;
-    known.figures = undefined;
+  /** If the backend has a new allocator, reports this daemon's uses to it and sends it the waiting slot requests. */
+  private followAllocator(id: string, known: KnownBackend): void {
+    const allocator = this.keeperOf(id);
+    if (allocator === known.allocator) return;
+    const former = known.allocator;
+    known.allocator = allocator;
+    known.status = undefined;
     known.failureShare = 0;
-    known.aloneUntil = 0;
+    known.noGrantsUntil = 0;
     const waiting = [...known.claims.values()].filter(({ state }) => state !== 'held').length;
     const inFlight = known.claims.size - waiting;
     this.options.logger.info('slot_keeper_changed', {
       backend: id,
       former,
-      keeper,
+      keeper: allocator,
       inFlight,
       waiting,
     });
     for (const claim of known.claims.values()) {
-      this.tellEnd(former, { backend: id, ticket: claim.ticket });
+      this.reportEnd(former, { backend: id, ticket: claim.ticket });
       if (claim.state === 'held') this.hold(known, claim);
     }
-    for (const claim of known.claims.values()) if (claim.state !== 'held') this.ask(known, claim);
+    for (const claim of known.claims.values())
+      if (claim.state !== 'held') this.requestSlot(known, claim);
   }
 }
 
-/** Slots of a backend that takes requests; one that names none works on one request at a time. */
+/** Number of slots of a backend; a backend that announces none processes one request at a time. */
 export function slotsOf(backend: BackendRecord | undefined): number | undefined {
   return backend && Math.max(1, backend.slots);
 }
--- a/src/gateway/slot-keeper.ts
+++ b/src/gateway/slot-keeper.ts
@@ -1,6 +1,7 @@
 /**
- * The keeper's side of backends' slots: one queue for each backend of which this daemon is asked.
- * Every daemon can be a keeper; who is one is worked out by those who ask (`slot-admission.ts`).
+ * The slot allocator's side of slot admission: one queue for each backend for which this daemon
+ * receives slot requests. Every daemon can be the slot allocator of a backend. The daemons that send
+ * the requests choose it (`slot-admission.ts`).
  */
 import { create } from '@bufbuild/protobuf';
 import type { Logger } from '../common/logger.js';
@@ -20,108 +21,115 @@
 import type { SlotEntry } from './slot-outbox.js';
 import { steadyNow } from './steady-clock.js';
 
-/** A queue that nobody has used for so long is forgotten. */
-const UNUSED_LIFETIME_MS = 10_000;
-/** A daemon is told that a backend is tight at most so often, however much it sends unasked. */
-const NEWS_PERIOD_MS = 50;
+/** A queue that no daemon has used for this time is deleted. */
+const UNUSED_EXPIRY_MS = 10_000;
+/**
+ * Minimum time between two unsolicited status messages to a daemon about a backend that is nearly full or failing,
+ * however many requests the daemon sends without a grant.
+ */
+const STATUS_PERIOD_MS = 50;
 
-/** From this share of failures on daemons are told unasked: each would find out by requests of its own. */
-const TOLD_FAILURE_SHARE = 0.25;
+/**
+ * Failure share from which daemons get unsolicited status messages. Otherwise each daemon would detect the failures
+ * only by requests of its own.
+ */
+const ANNOUNCED_FAILURE_SHARE = 0.25;
 
 /** Options of {@link SlotKeeper}. */
 export interface SlotKeeperOptions {
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
-  /** Slots of a backend that takes requests; undefined if it takes none, or is not known here. */
+  /** Number of slots of a backend that accepts requests; undefined if it accepts none, or is not known to this daemon. */
   readonly slotsOf: (backend: string) => number | undefined;
   readonly tell: (to: string, entry: SlotEntry) => void;
 }
 
-interface KeptBackend {
+interface AllocatedBackend {
   readonly queue: SlotQueue;
   usedAt: number;
-  /** Daemons that use it, and when they were last told of it without having asked. */
-  readonly newsAt: Map<string, number>;
+  /** Steady time of the last unsolicited status message to each daemon that uses the backend, by address. */
+  readonly statusSentAt: Map<string, number>;
 }
 
-/** The queues that this daemon keeps. */
+/** The slot queues for which this daemon is the allocator. */
 export class SlotKeeper {
-  private readonly kept = new Map<string, KeptBackend>();
+  private readonly kept = new Map<string, AllocatedBackend>();
 
   constructor(private readonly options: SlotKeeperOptions) {}
 
-  /** Handles what a daemon reports; what belongs to no known backend is answered so. */
+  /** Handles a daemon's report. The reply to a request for an unknown backend says that it is unknown. */
   receive(from: string, { asks, taken, ended, lists }: SlotReport): void {
     const now = steadyNow();
     for (const { backend, ticket, returnsInMs, rank, hasFailed } of ended) {
-      const kept = this.kept.get(backend);
-      if (kept === undefined) continue;
-      if (returnsInMs > 0) kept.queue.expectRetry(rank, returnsInMs, now);
-      this.answer(backend, kept, kept.queue.end(from, ticket, now, hasFailed));
-      if (hasFailed) this.tellFailing(backend, kept, now);
+      const entry = this.kept.get(backend);
+      if (entry === undefined) continue;
+      if (returnsInMs > 0) entry.queue.expectRetry(rank, returnsInMs, now);
+      this.sendDecisions(backend, entry, entry.queue.end(from, ticket, now, hasFailed));
+      if (hasFailed) this.announceFailing(backend, entry, now);
     }
     for (const { backend, ticket, tenant, work } of taken) {
-      const kept = this.keptOf(backend, now);
-      if (kept === undefined) continue;
-      kept.queue.recordUse({ daemon: from, ticket, tenant, work }, now);
-      this.tellNews(from, backend, kept, now);
+      const entry = this.findOrCreate(backend, now);
+      if (entry === undefined) continue;
+      entry.queue.recordUse({ daemon: from, ticket, tenant, work }, now);
+      this.sendStatusIfTight(from, backend, entry, now);
     }
     for (const { backend, inFlight, waiting } of lists) {
-      const kept = this.keptOf(backend, now);
-      if (kept === undefined) continue;
-      noteUser(kept, from);
-      this.answer(backend, kept, kept.queue.reconcile(from, inFlight, waiting, now));
+      const entry = this.findOrCreate(backend, now);
+      if (entry === undefined) continue;
+      addUser(entry, from);
+      this.sendDecisions(backend, entry, entry.queue.reconcile(from, inFlight, waiting, now));
     }
-    for (const ask of asks) this.receiveAsk(from, ask, now);
+    for (const slotRequest of asks) this.handleRequest(from, slotRequest, now);
   }
 
-  /** Looks at the clock and the backends; call it some times a second. */
+  /** Updates the queues for the current time and slot counts. Call it a few times per second. */
   tick(): void {
     const now = steadyNow();
     let overfill = 0;
-    for (const [backend, kept] of this.kept) {
+    for (const [backend, entry] of this.kept) {
       const slots = this.options.slotsOf(backend);
-      if (slots === undefined) this.close(backend, kept, now);
-      else if (now - kept.usedAt > UNUSED_LIFETIME_MS) this.kept.delete(backend);
+      if (slots === undefined) this.close(backend, entry, now);
+      else if (now - entry.usedAt > UNUSED_EXPIRY_MS) this.kept.delete(backend);
       else {
-        kept.queue.setSlots(slots);
-        this.answer(backend, kept, kept.queue.tick(now));
-        const { inFlight } = kept.queue.status(steadyNow());
+        entry.queue.setSlots(slots);
+        this.sendDecisions(backend, entry, entry.queue.tick(now));
+        const { inFlight } = entry.queue.status(steadyNow());
         overfill += Math.max(0, inFlight - slots);
       }
     }
     this.options.metrics.slotOverfill.set(overfill);
   }
 
-  /** What daemons held that are not reachable any more is void. */
+  /** Deletes the slots and requests of daemons that are no longer reachable. */
   keepOnly(daemons: ReadonlySet<string>): void {
     const now = steadyNow();
-    for (const [backend, kept] of this.kept) {
-      for (const user of kept.newsAt.keys()) if (!daemons.has(user)) kept.newsAt.delete(user);
-      for (const daemon of kept.queue.daemons()) {
+    for (const [backend, entry] of this.kept) {
+      for (const user of entry.statusSentAt.keys())
+        if (!daemons.has(user)) entry.statusSentAt.delete(user);
+      for (const daemon of entry.queue.daemons()) {
         if (daemons.has(daemon)) continue;
         this.options.logger.info('slot_daemon_gone', { backend, peer: daemon });
-        this.answer(backend, kept, kept.queue.removeDaemon(daemon, now));
+        this.sendDecisions(backend, entry, entry.queue.removeDaemon(daemon, now));
       }
     }
   }
 
-  private receiveAsk(from: string, ask: SlotAsk, now: number): void {
-    const { backend, ticket, rank, tenant, work, waitedMs } = ask;
-    const kept = this.keptOf(backend, now);
-    if (kept === undefined) {
+  private handleRequest(from: string, slotRequest: SlotAsk, now: number): void {
+    const { backend, ticket, rank, tenant, work, waitedMs } = slotRequest;
+    const entry = this.findOrCreate(backend, now);
+    if (entry === undefined) {
       this.options.logger.info('slot_backend_unknown', { backend, peer: from });
-      const word = create(SlotWordSchema, { backend, ticket, verdict: SlotVerdict.UNKNOWN });
-      return this.options.tell(from, { kind: 'word', value: word });
+      const reply = create(SlotWordSchema, { backend, ticket, verdict: SlotVerdict.UNKNOWN });
+      return this.options.tell(from, { kind: 'word', value: reply });
     }
-    noteUser(kept, from);
-    const dueAt = now + ask.dueInMs;
-    const giveUpAt = now + ask.giveUpInMs;
-    const wish = { daemon: from, ticket, rank, dueAt, giveUpAt, waitedMs, tenant, work };
-    this.answer(backend, kept, kept.queue.request(wish, now));
+    addUser(entry, from);
+    const dueAt = now + slotRequest.dueInMs;
+    const giveUpAt = now + slotRequest.giveUpInMs;
+    const request = { daemon: from, ticket, rank, dueAt, giveUpAt, waitedMs, tenant, work };
+    this.sendDecisions(backend, entry, entry.queue.request(request, now));
   }
 
-  private keptOf(backend: string, now: number): KeptBackend | undefined {
+  private findOrCreate(backend: string, now: number): AllocatedBackend | undefined {
     const known = this.kept.get(backend);
     if (known !== undefined) {
       known.usedAt = now;
@@ -129,47 +137,60 @@
     }
     const slots = this.options.slotsOf(backend);
     if (slots === undefined) return undefined;
-    const kept = { queue: new SlotQueue(slots), usedAt: now, newsAt: new Map<string, number>() };
-    this.kept.set(backend, kept);
+    const entry = {
+      queue: new SlotQueue(slots),
+      usedAt: now,
+      statusSentAt: new Map<string, number>(),
+    };
+    this.kept.set(backend, entry);
     this.options.logger.info('slots_kept', { backend, slots });
-    return kept;
+    return entry;
   }
 
-  private close(backend: string, kept: KeptBackend, now: number): void {
+  private close(backend: string, entry: AllocatedBackend, now: number): void {
     this.kept.delete(backend);
-    const decisions = kept.queue.close(now);
+    const decisions = entry.queue.close(now);
     this.options.logger.info('slots_closed', { backend, waiting: decisions.length });
-    this.answer(backend, kept, decisions);
+    this.sendDecisions(backend, entry, decisions);
   }
 
-  private tellNews(to: string, backend: string, kept: KeptBackend, now: number): void {
-    noteUser(kept, to);
-    if (!requiresGrant(kept.queue.status(now)) && !isFailing(kept, now)) return;
-    this.tellUnasked(to, backend, kept, now);
+  private sendStatusIfTight(
+    to: string,
+    backend: string,
+    entry: AllocatedBackend,
+    now: number,
+  ): void {
+    addUser(entry, to);
+    if (!requiresGrant(entry.queue.status(now)) && !isFailing(entry, now)) return;
+    this.sendStatus(to, backend, entry, now);
   }
 
-  /** All that use it are told that it fails, before they meet failures themselves. */
-  private tellFailing(backend: string, kept: KeptBackend, now: number): void {
-    if (!isFailing(kept, now)) return;
-    for (const user of kept.newsAt.keys()) this.tellUnasked(user, backend, kept, now);
+  /** Informs all daemons that use the backend that it fails, before their own requests fail. */
+  private announceFailing(backend: string, entry: AllocatedBackend, now: number): void {
+    if (!isFailing(entry, now)) return;
+    for (const user of entry.statusSentAt.keys()) this.sendStatus(user, backend, entry, now);
   }
 
-  private tellUnasked(to: string, backend: string, kept: KeptBackend, now: number): void {
-    if (now - (kept.newsAt.get(to) ?? -Infinity) < NEWS_PERIOD_MS) return;
-    kept.newsAt.set(to, now);
-    this.tell(to, backend, kept, 0, undefined);
+  private sendStatus(to: string, backend: string, entry: AllocatedBackend, now: number): void {
+    if (now - (entry.statusSentAt.get(to) ?? -Infinity) < STATUS_PERIOD_MS) return;
+    entry.statusSentAt.set(to, now);
+    this.send(to, backend, entry, 0, undefined);
   }
 
-  private answer(backend: string, kept: KeptBackend, decisions: readonly SlotDecision[]): void {
+  private sendDecisions(
+    backend: string,
+    entry: AllocatedBackend,
+    decisions: readonly SlotDecision[],
+  ): void {
     for (const { daemon, ticket, answer } of decisions) {
-      this.tell(daemon, backend, kept, ticket, answer);
+      this.send(daemon, backend, entry, ticket, answer);
     }
   }
 
-  private tell(
+  private send(
     to: string,
     backend: string,
-    { queue }: KeptBackend,
+    { queue }: AllocatedBackend,
     ticket: number,
     answer: SlotResponse | undefined,
   ): void {
@@ -190,12 +211,12 @@
   }
 }
 
-function noteUser({ newsAt }: KeptBackend, daemon: string): void {
-  if (!newsAt.has(daemon)) newsAt.set(daemon, -Infinity);
+function addUser({ statusSentAt }: AllocatedBackend, daemon: string): void {
+  if (!statusSentAt.has(daemon)) statusSentAt.set(daemon, -Infinity);
 }
 
-function isFailing({ queue }: KeptBackend, now: number): boolean {
-  return queue.failureShare(now) >= TOLD_FAILURE_SHARE;
+function isFailing({ queue }: AllocatedBackend, now: number): boolean {
+  return queue.failureShare(now) >= ANNOUNCED_FAILURE_SHARE;
 }
 
 function verdictOf(answer: SlotResponse | undefined): SlotVerdict {
--- a/src/gateway/slot-outbox.ts
+++ b/src/gateway/slot-outbox.ts
@@ -1,4 +1,4 @@
-/** Joins what is to be told of slots in one turn of the event loop: one datagram for each peer. */
+/** Batches messages about slots: the messages of one turn of the event loop go to each peer in as few datagrams as possible. */
 import { create } from '@bufbuild/protobuf';
 import type { PeerBody } from '../daemon/peer-transport.js';
 import {
@@ -11,10 +11,10 @@
   type SlotWord,
 } from '../proto/gen/internal_pb.js';
 
-/** Entries of a datagram: some 60 bytes each, so that it is not divided on the way. */
-const MOST_ENTRIES = 16;
+/** Maximum number of entries per datagram. An entry has about 60 bytes, so the datagram is not fragmented. */
+const MAX_ENTRIES = 16;
 
-/** One thing to tell a peer. */
+/** One entry of a message to a peer. */
 export type SlotEntry =
   | { readonly kind: 'ask'; readonly value: SlotAsk }
   | { readonly kind: 'taken'; readonly value: SlotUse }
@@ -22,18 +22,18 @@
   | { readonly kind: 'list'; readonly value: SlotList }
   | { readonly kind: 'word'; readonly value: SlotWord };
 
-/** Collects entries until the turn ends. */
+/** Collects entries until the end of the turn. */
 export class SlotOutbox {
   private readonly entries = new Map<string, SlotEntry[]>();
   private isScheduled = false;
 
   constructor(private readonly send: (to: string, body: PeerBody) => void) {}
 
-  /** Sends the entry to the peer at the end of this turn, with all others for it. */
+  /** Sends the entry to the peer at the end of this turn, together with the other entries for that peer. */
   tell(to: string, entry: SlotEntry): void {
-    const waiting = this.entries.get(to) ?? [];
-    this.entries.set(to, waiting);
-    waiting.push(entry);
+    const queued = this.entries.get(to) ?? [];
+    this.entries.set(to, queued);
+    queued.push(entry);
     if (this.isScheduled) return;
     this.isScheduled = true;
     setImmediate(() => this.flush());
@@ -41,16 +41,16 @@
 
   private flush(): void {
     this.isScheduled = false;
-    const all = [...this.entries];
+    const batches = [...this.entries];
     this.entries.clear();
-    for (const [to, entries] of all) {
-      for (let from = 0; from < entries.length; from += MOST_ENTRIES) {
-        this.sendPart(to, entries.slice(from, from + MOST_ENTRIES));
+    for (const [to, entries] of batches) {
+      for (let offset = 0; offset < entries.length; offset += MAX_ENTRIES) {
+        this.sendBatch(to, entries.slice(offset, offset + MAX_ENTRIES));
       }
     }
   }
 
-  private sendPart(to: string, entries: readonly SlotEntry[]): void {
+  private sendBatch(to: string, entries: readonly SlotEntry[]): void {
     const report = create(SlotReportSchema);
     const words = create(SlotWordsSchema);
     for (const entry of entries) {
--- a/test/gateway/configuration-exchange.test.ts
+++ b/test/gateway/configuration-exchange.test.ts
@@ -10,7 +10,7 @@
   ConfigurationRequestSchema,
 } from '../../src/proto/gen/internal_pb.js';
 
-/** One daemon; its documents are a byte that is the version. */
+/** One daemon whose configuration documents consist of one byte, the version. */
 class Daemon {
   version = 0;
   refreshes = 0;
@@ -49,22 +49,22 @@
 }
 
 describe('ConfigurationExchange', () => {
-  it('brings a newer configuration from the peer that has it, without the store', () => {
+  it('fetches a newer configuration from the peer that announced it, without a store call', () => {
     const reader = new Daemon();
     const daemon = new Daemon();
     reader.version = 7;
     daemon.version = 5;
     daemon.exchange.hearVersion('reader', 7);
-    const [question] = daemon.sent;
-    if (question === undefined) throw new Error('nothing was asked');
-    expect(question.to).toBe('reader');
-    reader.exchange.receive('daemon', question.body);
+    const [request] = daemon.sent;
+    if (request === undefined) throw new Error('the daemon sent no configuration request');
+    expect(request.to).toBe('reader');
+    reader.exchange.receive('daemon', request.body);
     for (const { body } of reader.sent) daemon.exchange.receive('reader', body);
     expect(daemon.version).toBe(7);
     expect(daemon.refreshes).toBe(0);
   });
 
-  it('asks the store once the peer has had time to answer, and neither of them before', async () => {
+  it('requests the configuration from the store after the peer timed out, and sends no request before', async () => {
     const daemon = new Daemon();
     daemon.exchange.hearVersion('reader', 7);
     daemon.exchange.hearVersion('reader', 7);
@@ -74,7 +74,7 @@
     expect([daemon.sent.length, daemon.refreshes]).toEqual([1, 1]);
   });
 
-  it('asks a peer again when neither the first one nor the store has brought it', async () => {
+  it('sends a request to a peer again if neither the first peer nor the store supplied the configuration', async () => {
     const daemon = new Daemon();
     for (const from of ['reader', 'other', 'other']) {
       daemon.exchange.hearVersion(from, 7);
@@ -84,7 +84,7 @@
     expect(daemon.sent.map(({ to }) => to)).toEqual(['reader', 'other']);
   });
 
-  it('asks a peer again for a version that is newer still', async () => {
+  it('sends another peer request if an even newer version is announced', async () => {
     const daemon = new Daemon();
     daemon.exchange.hearVersion('reader', 7);
     await sleep(520);
@@ -93,7 +93,7 @@
     expect(daemon.refreshes).toBe(0);
   });
 
-  it('never steps back to a late document, and answers only with what is newer', () => {
+  it('ignores a late document with an older version, and replies only with a newer configuration', () => {
     const daemon = new Daemon();
     daemon.version = 7;
     const value = create(ConfigurationDocumentSchema, { document: Uint8Array.of(6) });
--- a/test/gateway/directory-duty.test.ts
+++ b/test/gateway/directory-duty.test.ts
@@ -1,9 +1,7 @@
 /**
- * Symptom to expect: while the platform turns the designated readers away and serves the others, a
- * change of the directory (a backend that leaves, a configuration) is known too late by all daemons
- * that read late.
- *
- * Cause: the readers' news were taken for a proof of what they read, but told only that they live.
+ * Guards against late directory changes (a backend that is shutting down, a configuration) on all daemons
+ * that read with a delay, while the platform rejects the designated readers and serves the others. The
+ * cause was that readers' updates counted as proof that they could read, but showed only that they run.
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { LogFields, Logger } from '../../src/common/logger.js';
@@ -36,46 +34,46 @@
     return RANKED.map((address) => group.member(address).attention);
   }
 
-  function turnAway(addresses: readonly string[], isAnswered: boolean): void {
+  function setAnswered(addresses: readonly string[], isAnswered: boolean): void {
     for (const address of addresses) group.member(address).isAnswered = isAnswered;
   }
 
-  it('are two, while the platform answers them', async () => {
+  it('are two while the platform responds to them', async () => {
     await group.run(3_000);
     expect(attentionsByRank()).toEqual(['close', 'close', ...Array<string>(10).fill('relaxed')]);
   });
 
-  it('are relieved by the next in rank while the platform answers none of them', async () => {
+  it('are replaced by the next daemons in rank while the platform responds to none of them', async () => {
     await group.run(3_000);
-    turnAway(RANKED.slice(0, 2), false);
+    setAnswered(RANKED.slice(0, 2), false);
     await group.run(2 * TICK_MS);
     const closer = Array<string>(6).fill('close');
     expect(attentionsByRank()).toEqual([...closer, ...Array<string>(6).fill('relaxed')]);
     await group.run(5_000);
     expect(attentionsByRank().slice(0, 6)).toEqual(closer);
-    turnAway(RANKED.slice(0, 2), true);
+    setAnswered(RANKED.slice(0, 2), true);
     await group.run(2 * TICK_MS);
     expect(attentionsByRank()).toEqual(['close', 'close', ...Array<string>(10).fill('relaxed')]);
   });
 
-  it('are not relieved while the platform answers one of them', async () => {
+  it('are not replaced while the platform responds to one of them', async () => {
     await group.run(3_000);
-    turnAway(RANKED.slice(0, 1), false);
+    setAnswered(RANKED.slice(0, 1), false);
     await group.run(5_000);
     expect(attentionsByRank().slice(2)).toEqual(Array<string>(10).fill('relaxed'));
   });
 
-  it('do not let a daemon be sure of what it holds while the platform answers nobody', async () => {
+  it('do not make the directory of a daemon count as current while the platform responds to no daemon', async () => {
     await group.run(3_000);
     const last = group.member(RANKED.at(-1));
     expect(last.duty.isInformed()).toBe(true);
-    turnAway(ADDRESSES, false);
+    setAnswered(ADDRESSES, false);
     await group.run(2_000);
     expect([...group.members.values()].map(({ duty }) => duty.isInformed())).not.toContain(true);
     expect(attentionsByRank().slice(6)).toEqual(Array<string>(6).fill('relaxed'));
   });
 
-  it('log what has ended, how they know, and to how many they told it', async () => {
+  it('log which backends ended, the source of the change, and the number of daemons that it was sent to', async () => {
     group.list([backendOf('one', 1), backendOf('two', 2)]);
     await group.run(6_000);
     group.list([backendOf('one', 1)]);
@@ -87,12 +85,12 @@
     ]);
   });
 
-  it('let a daemon tell how old its knowledge is', async () => {
+  it('determine the age of the directory that a daemon reports', async () => {
     await group.run(3_000);
     const last = group.member(RANKED.at(-1)).duty;
     expect(last.knowledgeAgeMs()).toBeLessThan(1_000);
     group.delivers = () => false;
-    turnAway(ADDRESSES, false);
+    setAnswered(ADDRESSES, false);
     await group.run(1_250);
     expect(last.knowledgeAgeMs()).toBeGreaterThan(1_000);
     await group.run(1_000);
--- a/test/gateway/directory-group.ts
+++ b/test/gateway/directory-group.ts
@@ -1,6 +1,6 @@
 /**
- * Daemons that follow one platform's directory together, in simulated time: each has its duty and its list;
- * what they say reaches whom a test lets it reach.
+ * A group of daemons that follow the directory of one platform in simulated time. Each has its own directory
+ * follower and list. Tests choose which daemons receive the messages of which others.
  */
 import { vi } from 'vitest';
 import { silentLogger, type Logger } from '../../src/common/logger.js';
@@ -12,9 +12,9 @@
 import type { PeerGroup } from '../../src/gateway/peer-group.js';
 import type { DirectoryAttention, PlatformDirectory } from '../../src/gateway/ports.js';
 
-/** All daemons look at the clock so often. */
+/** Tick period of all daemons. */
 export const DIRECTORY_TICK_MS = 250;
-/** A daemon that reads late reads so often, and what the platform held so long ago. */
+/** Period of delayed reads, and age of the state that they return. */
 const LATE_PERIOD_MS = 5_000;
 const LATE_BY_MS = 3_000;
 
@@ -26,7 +26,7 @@
 
 type Delivery = (from: string, to: string) => boolean;
 
-/** A backend that has just been listed. */
+/** Returns the record of a backend that has just been listed. */
 export function backendOf(id: string, revision: number): BackendRecord {
   return {
     id,
@@ -43,12 +43,12 @@
   };
 }
 
-/** One daemon. */
+/** One simulated daemon. */
 export class GroupMember {
   attention: DirectoryAttention = 'alone';
-  /** Whether the platform answers it. */
+  /** Whether the platform responds to this daemon. */
   isAnswered = true;
-  /** Whether its process runs. */
+  /** Whether the daemon's process runs. */
   isRunning = true;
   readonly backends = new BackendDirectory();
   readonly duty: DirectoryDuty;
@@ -83,17 +83,17 @@
     });
   }
 
-  /** Milliseconds since it last read what the platform held some seconds before. */
+  /** Milliseconds since the daemon's last delayed read. */
   get lateReadingAgeMs(): number {
     return performance.now() - this.lastLateReading;
   }
 
-  /** Whether it would send a request to the backend. */
+  /** Whether the daemon would send a request to the backend. */
   serves(backend: string): boolean {
     return this.backends.servingBackends('service').some(({ id }) => id === backend);
   }
 
-  /** Reads as closely as its attention asks, then looks at the clock. */
+  /** Reads the directory according to the daemon's attention, then runs its timers. */
   tick(): void {
     if (!this.isRunning) return;
     this.read();
@@ -117,14 +117,14 @@
   }
 }
 
-/** All daemons, and the platform's list. Wants simulated time of `performance`. */
+/** All daemons, and the platform's list. Requires fake timers for `performance`. */
 export class DirectoryGroup {
   readonly members = new Map<string, GroupMember>();
   /** The daemon that owns the services, if any. */
   owner: string | undefined;
-  /** Whether a message reaches a daemon. */
+  /** Whether a message from one daemon reaches another. */
   delivers: Delivery = () => true;
-  /** Whether a daemon takes another for live. */
+  /** Whether a daemon considers another one live. */
   sees: Delivery = () => true;
   private readonly snapshots: Snapshot[] = [{ at: -Infinity, revision: 0, backends: [] }];
 
@@ -135,18 +135,18 @@
     for (const address of addresses) this.restart(address);
   }
 
-  /** A new process takes the place of the daemon's. */
+  /** Replaces the daemon's process by a new one. */
   restart(address: string): void {
     this.members.set(address, new GroupMember(address, this, this.logger));
   }
 
   member(address: string | undefined): GroupMember {
     const found = this.members.get(address ?? '');
-    if (found === undefined) throw new Error(`no daemon ${address}`);
+    if (found === undefined) throw new Error(`no daemon has the address ${address}`);
     return found;
   }
 
-  /** The platform lists these backends from now on. */
+  /** Sets the backends that the platform lists from now on. */
   list(backends: readonly BackendRecord[]): void {
     const revision = Math.max(this.revision + 1, ...backends.map((each) => each.revision));
     this.snapshots.push({ at: performance.now(), revision, backends });
@@ -179,7 +179,7 @@
     }
   }
 
-  /** Runs until a daemon has just read late: what changes now it does not read for the longest time. */
+  /** Runs until just after a delayed read of the daemon, so that the time until it reads a change itself is longest. */
   async runUntilLateReading(address: string): Promise<void> {
     do await this.run(DIRECTORY_TICK_MS);
     while (this.member(address).lateReadingAgeMs >= DIRECTORY_TICK_MS);
--- a/test/gateway/known-readers.test.ts
+++ b/test/gateway/known-readers.test.ts
@@ -1,11 +1,11 @@
 import { beforeEach, describe, expect, it } from 'vitest';
 import { KnownReaders, type ReaderNews } from '../../src/gateway/known-readers.js';
 
-const OWN = 17;
-const OTHER = 18;
+const OWN_DIGEST = 17;
+const OTHER_DIGEST = 18;
 
-function news(part: Partial<ReaderNews> = {}): ReaderNews {
-  return { version: 1, platformAway: false, servingDigest: OWN, ...part };
+function readerStatus(part: Partial<ReaderNews> = {}): ReaderNews {
+  return { version: 1, platformAway: false, servingDigest: OWN_DIGEST, ...part };
 }
 
 describe('KnownReaders', () => {
@@ -15,66 +15,66 @@
     readers = new KnownReaders();
   });
 
-  function hear(address: string, digest: number | undefined, now: number): void {
-    readers.hear(address, news({ servingDigest: digest }), OWN, now);
+  function recordDigest(address: string, digest: number | undefined, now: number): void {
+    readers.hear(address, readerStatus({ servingDigest: digest }), OWN_DIGEST, now);
   }
 
-  it('see no difference where the lists are the same, or a reader tells nothing of its list', () => {
-    hear('a', OWN, 0);
-    hear('b', undefined, 0);
-    expect(readers.differingReader(OWN, 5_000)).toBeUndefined();
+  it('report no difference if the lists are equal, or if a reader sends no digest', () => {
+    recordDigest('a', OWN_DIGEST, 0);
+    recordDigest('b', undefined, 0);
+    expect(readers.differingReader(OWN_DIGEST, 5_000)).toBeUndefined();
   });
 
-  it('see a difference that outlasts the next news', () => {
-    hear('a', OTHER, 0);
-    expect(readers.differingReader(OWN, 700)).toBeUndefined();
-    hear('a', OTHER, 750);
-    expect(readers.differingReader(OWN, 800)).toBe('a');
+  it('report a difference that persists after the next update', () => {
+    recordDigest('a', OTHER_DIGEST, 0);
+    expect(readers.differingReader(OWN_DIGEST, 700)).toBeUndefined();
+    recordDigest('a', OTHER_DIGEST, 750);
+    expect(readers.differingReader(OWN_DIGEST, 800)).toBe('a');
   });
 
-  it('do not take a reader that is behind for one that differs', () => {
-    hear('a', OTHER, 0);
-    hear('a', OWN, 750);
-    hear('a', OTHER, 1_500);
-    expect(readers.differingReader(OWN, 1_600)).toBeUndefined();
+  it('do not report a reader whose list only lags behind for a short time', () => {
+    recordDigest('a', OTHER_DIGEST, 0);
+    recordDigest('a', OWN_DIGEST, 750);
+    recordDigest('a', OTHER_DIGEST, 1_500);
+    expect(readers.differingReader(OWN_DIGEST, 1_600)).toBeUndefined();
   });
 
-  it('see a difference with one reader, whatever another lists', () => {
+  it('report a difference from one reader even if another reader has the same list', () => {
     for (const now of [0, 750, 1_500]) {
-      hear('a', OTHER, now);
-      hear('b', OWN, now);
+      recordDigest('a', OTHER_DIGEST, now);
+      recordDigest('b', OWN_DIGEST, now);
     }
-    expect(readers.differingReader(OWN, 1_500)).toBe('a');
+    expect(readers.differingReader(OWN_DIGEST, 1_500)).toBe('a');
   });
 
-  it('compare nothing with a reader that the platform does not answer', () => {
-    const away = news({ platformAway: true, servingDigest: OTHER });
-    for (const now of [0, 750, 1_500]) readers.hear('a', away, OWN, now);
-    expect(readers.differingReader(OWN, 1_500)).toBeUndefined();
+  it('ignore the list of a reader to which the platform does not respond', () => {
+    const unansweredStatus = readerStatus({ platformAway: true, servingDigest: OTHER_DIGEST });
+    for (const now of [0, 750, 1_500]) readers.hear('a', unansweredStatus, OWN_DIGEST, now);
+    expect(readers.differingReader(OWN_DIGEST, 1_500)).toBeUndefined();
   });
 
-  it('leave a difference alone that this daemon has looked into, until the reader lists others', () => {
-    hear('a', OTHER, 0);
+  it('do not report a difference that this daemon has checked, until the reader lists other backends', () => {
+    recordDigest('a', OTHER_DIGEST, 0);
     readers.settleDifferences(1_000);
-    hear('a', OTHER, 1_500);
-    hear('a', OTHER, 3_000);
-    expect(readers.differingReader(OWN, 3_000)).toBeUndefined();
-    hear('a', 19, 3_750);
-    hear('a', 19, 4_550);
-    expect(readers.differingReader(OWN, 4_550)).toBe('a');
+    recordDigest('a', OTHER_DIGEST, 1_500);
+    recordDigest('a', OTHER_DIGEST, 3_000);
+    expect(readers.differingReader(OWN_DIGEST, 3_000)).toBeUndefined();
+    recordDigest('a', 19, 3_750);
+    recordDigest('a', 19, 4_550);
+    expect(readers.differingReader(OWN_DIGEST, 4_550)).toBe('a');
   });
 
-  it('look into a lasting difference again after some time', () => {
-    hear('a', OTHER, 0);
+  it('report a persistent difference again after the check has expired', () => {
+    recordDigest('a', OTHER_DIGEST, 0);
     readers.settleDifferences(1_000);
-    hear('a', OTHER, 11_100);
-    hear('a', OTHER, 11_900);
-    expect(readers.differingReader(OWN, 11_900)).toBe('a');
+    recordDigest('a', OTHER_DIGEST, 11_100);
+    recordDigest('a', OTHER_DIGEST, 11_900);
+    expect(readers.differingReader(OWN_DIGEST, 11_900)).toBe('a');
   });
 
-  it('count those that are heard, and those of them that the platform answers', () => {
-    readers.hear('a', news({ version: 3 }), OWN, 0);
-    readers.hear('b', news({ platformAway: true, version: 4 }), OWN, 1_000);
+  it('count readers with recent updates, and those of them to which the platform responds', () => {
+    readers.hear('a', readerStatus({ version: 3 }), OWN_DIGEST, 0);
+    readers.hear('b', readerStatus({ platformAway: true, version: 4 }), OWN_DIGEST, 1_000);
     expect(readers.counts(1_000)).toEqual({ readers: 2, answered: 1 });
     expect(readers.hearsAnswered(1_000)).toBe(true);
     expect(readers.hearsAnswered(1_000, new Set(['a']))).toBe(false);
--- a/test/gateway/leaving-answers.test.ts
+++ b/test/gateway/leaving-answers.test.ts
@@ -1,7 +1,7 @@
 /*
- * A backend said in an answer that it leaves, and got requests of the gateway that had passed this answer on for as long as the
- * store had not acknowledged the same: 5.1 s later in one case, where the store took 12.7 s. In the gateway's log the request
- * stands as `sent backend=... backends=8`, without an age of its list. Nothing read the word in the answer's head.
+ * Guards against requests to a backend that has announced its shutdown in a response header. The gateway ignored the header and
+ * sent requests until the store acknowledged the shutdown: still 5.1 s after the response in one case, where the store took
+ * 12.7 s. The gateway logs such a request as `sent backend=... backends=8`, without the age of its list.
  */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import {
@@ -17,13 +17,13 @@
 
 const REQUESTS = 20;
 
-/** Answers as usual, and says that it leaves. */
+/** Responds as usual, and announces the backend's shutdown. */
 const answerLeaving: BackendHandler = (request, response) => {
   response.setHeader('leaving', '1');
   answerWhole(request, response);
 };
 
-describe('a backend that says in its answers that it leaves', () => {
+describe('a backend that announces its shutdown in its responses', () => {
   let harness: GatewayHarness;
   let one: TestBackend;
   let two: TestBackend;
@@ -47,21 +47,21 @@
     return statuses;
   }
 
-  it('gets no request after the first answer', async () => {
+  it('gets no request after the first response', async () => {
     const statuses = await callMany();
     expect(statuses).toEqual(statuses.map(() => 200));
     expect(one.arrivals.length).toBeLessThanOrEqual(1);
     expect(two.arrivals.length).toBeGreaterThanOrEqual(REQUESTS - 1);
   });
 
-  /** No request reaches the backend from now on. */
+  /** Checks that no further request reaches the backend. */
   async function expectNoMore(): Promise<void> {
     const before = one.arrivals.length;
     await callMany();
     expect(one.arrivals.length).toBe(before);
   }
 
-  it('gets none though a list shows it as ready, older or newer', async () => {
+  it('gets no request even if an older or newer list shows it as ready', async () => {
     await callMany();
     harness.list([one.record({ revision: 9 }), two.record()]);
     await expectNoMore();
@@ -71,9 +71,9 @@
 
   it.each([
     ['a refusal', { status: 503, headers: { 'not-run': 'yes' } }],
-    ['a failure of its own', { status: 500, headers: { signed: 'yes' } }],
-    ['a failure that nobody vouches for', { status: 500, headers: {} }],
-  ])('may say so in %s', async (_name, { status, headers }) => {
+    ['a signed failure', { status: 500, headers: { signed: 'yes' } }],
+    ['an unsigned failure', { status: 500, headers: {} }],
+  ])('may announce it in %s', async (_name, { status, headers }) => {
     one.handle = (_request, response) => {
       response.writeHead(status, { ...headers, leaving: '1' }).end();
     };
@@ -81,7 +81,7 @@
     expect(one.arrivals.length).toBeLessThanOrEqual(1);
   });
 
-  it('may say so in the head of a stream, which goes on', async () => {
+  it('may announce it in the header of a stream, which continues', async () => {
     const stream = testRoute({ repeatability: 'resumable_stream' });
     harness.configure(testConfiguration({ version: 2, routes: [stream] }));
     const answer = answerEvents(1, 20, 4);
@@ -99,7 +99,7 @@
     expect((await first).complete).toBe(true);
   });
 
-  it('is another one than the process that has its address now', async () => {
+  it('is distinguished from a later process with the same address', async () => {
     one.handle = (_request, response) => {
       response.writeHead(421, { 'not-run': 'yes', leaving: '1' }).end();
     };
@@ -109,7 +109,7 @@
     expect((await harness.call({ id: 'again' })).status).toBe(200);
   });
 
-  it('serves again once it has started anew under its id', async () => {
+  it('serves again after a restart with the same id', async () => {
     harness.list([one.record({ start: 's1' }), two.record()]);
     await callMany();
     one.handle = answerWhole;
@@ -117,7 +117,7 @@
     expect((await harness.call({ id: 'again' })).status).toBe(200);
   });
 
-  it('says nothing with any other value', async () => {
+  it('announces nothing with any other header value', async () => {
     one.handle = (request, response) => {
       response.setHeader('leaving', '0');
       answerWhole(request, response);
@@ -126,14 +126,14 @@
     expect(await callMany()).toEqual(Array(REQUESTS).fill(200));
   });
 
-  it('is left by another daemon too, which has had no answer of it', async () => {
+  it('gets no request from another daemon that has had no response from it', async () => {
     const { peerPort } = harness.settings;
     const address = '127.0.0.2';
     const other = await GatewayHarness.start({ address, peerPort, seeds: ['127.0.0.1'] });
     other.configure(testConfiguration());
     other.list([one.record(), two.record()]);
-    const isMet = (): boolean => harness.gateway['peers'].live().length === 2;
-    for (let look = 0; look < 60 && !isMet(); look++) await pause(100);
+    const isConnected = (): boolean => harness.gateway['peers'].live().length === 2;
+    for (let attempt = 0; attempt < 60 && !isConnected(); attempt++) await pause(100);
     await callMany();
     const before = one.arrivals.length;
     expect(before).toBeGreaterThan(0);
--- a/test/gateway/member-list.test.ts
+++ b/test/gateway/member-list.test.ts
@@ -14,7 +14,7 @@
 
 const ADDRESS = '10.0.0.1:7380';
 
-/** A store that notes its calls. */
+/** A store that records its calls. */
 class CountingStore implements RecordStore {
   storeEra = 1;
 
@@ -27,7 +27,7 @@
   isDown = false;
 
   read(): never {
-    throw new Error('the list holds what a read would tell');
+    throw new Error('unexpected read: the list already contains all records');
   }
 
   list(kind: string, freshness: string): ReturnType<RecordStore['list']> {
@@ -88,7 +88,7 @@
     for (const list of lists.splice(0)) await list.leave();
   });
 
-  it('enters, reads once without delay, and again late', async () => {
+  it('writes its entry, reads the current list once, and reads a late list afterwards', async () => {
     const store = new CountingStore();
     store.records.set('d2', {
       name: 'd2',
@@ -104,7 +104,7 @@
     expect(store.calls.slice(2)).toEqual(['list members late']);
   });
 
-  it('finds its own entry of before a restart without a further call', async () => {
+  it('recognizes its own entry after a restart without a further call', async () => {
     const store = new CountingStore();
     store.records.set('d1', { name: 'd1', value: { address: ADDRESS, zone: 'a' }, revision: 4 });
     startList(store);
@@ -112,7 +112,7 @@
     expect(store.calls).toEqual(['write members d1 new', 'list members current']);
   });
 
-  it('replaces the entry of a former address', async () => {
+  it('replaces an entry with an earlier address', async () => {
     const store = new CountingStore();
     store.records.set('d1', {
       name: 'd1',
@@ -125,7 +125,7 @@
     expect(store.records.get('d1')?.value).toEqual({ address: ADDRESS, zone: 'a' });
   });
 
-  it('renews the entry of before a restart with the next reading, for a short right until then', async () => {
+  it('after a restart holds its earlier entry for a short validity and renews it with the next read', async () => {
     const store = new CountingStore();
     store.records.set('d1', { name: 'd1', value: { address: ADDRESS, zone: 'a' }, revision: 4 });
     const renewals: number[] = [];
@@ -139,7 +139,7 @@
     expect(leaseNow() - (renewals.at(-1) ?? 0)).toBeLessThan(2_500);
   });
 
-  it('asks a store that is down less and less often', async () => {
+  it('backs off while the store is down', async () => {
     const store = new CountingStore();
     store.isDown = true;
     startList(store);
@@ -148,7 +148,7 @@
     expect(store.calls.length).toBeGreaterThanOrEqual(2);
   });
 
-  it('enters itself again when the store has come back from a copy without its entry', async () => {
+  it('writes its entry again after the store was restored from a copy without it', async () => {
     const store = new CountingStore();
     startList(store);
     await sleep(100);
--- a/test/gateway/peer-group.test.ts
+++ b/test/gateway/peer-group.test.ts
@@ -1,7 +1,7 @@
 /**
- * A gateway that was asked to stop sent on to a backend for 2.1 s after it had said that it leaves, until it ended
- * itself: what daemons tell all others went only to those that may be given duties, and a daemon that drains may
- * not. It still has requests to finish, and sends some of them again.
+ * Guards against a draining gateway that misses broadcasts. A draining gateway sent requests to a backend for 2.1 s
+ * after the backend had announced its shutdown, until the gateway itself exited: broadcasts went only to daemons that
+ * can be assigned work, which excludes draining ones. A draining daemon still has requests to finish, and retries some.
  *
  *     31.256 gateway-2 event=draining
  *     31.364 gateway-3 event=backend_ended backend=replica-8-3 revision=206
@@ -16,9 +16,9 @@
 import { findFreePorts } from '../../src/testbed/free-ports.js';
 
 const HOST = '127.0.0.1';
-const LOOK_MS = 50;
-const LONGEST_MS = 3_000;
-const NEWS: PeerBody = encodeNews({
+const TICK_MS = 50;
+const TIMEOUT_MS = 3_000;
+const DIRECTORY_UPDATE: PeerBody = encodeNews({
   configurationVersion: 1,
   ended: [{ id: 'backend', revision: 7 }],
   started: [],
@@ -43,11 +43,11 @@
   return group;
 }
 
-/** Lets the groups look at their clocks until something holds. */
-async function lookUntil(holds: () => boolean): Promise<void> {
-  for (let waited = 0; waited < LONGEST_MS && !holds(); waited += LOOK_MS) {
+/** Runs the timers of all groups until the condition holds. */
+async function tickUntil(holds: () => boolean): Promise<void> {
+  for (let waited = 0; waited < TIMEOUT_MS && !holds(); waited += TICK_MS) {
     for (const group of groups) group.look();
-    await sleep(LOOK_MS);
+    await sleep(TICK_MS);
   }
 }
 
@@ -55,17 +55,17 @@
   for (const group of groups.splice(0)) group.stop();
 });
 
-it('tells a daemon that drains what it tells all others', async () => {
+it('includes a draining daemon in broadcasts', async () => {
   const [port = 0, otherPort = 0] = await findFreePorts(2);
   const received: PeerBody[] = [];
   const reader = await startGroup(port, []);
   const draining = await startGroup(otherPort, received);
   reader.addSeeds([draining.address]);
-  await lookUntil(() => reader.live().length === 2 && draining.live().length === 2);
+  await tickUntil(() => reader.live().length === 2 && draining.live().length === 2);
   draining.leave();
-  await lookUntil(() => reader.live().length === 1);
+  await tickUntil(() => reader.live().length === 1);
   expect(reader.live()).toHaveLength(1);
-  reader.broadcast(NEWS);
-  await lookUntil(() => received.length > 0);
+  reader.broadcast(DIRECTORY_UPDATE);
+  await tickUntil(() => received.length > 0);
   expect(received.map((body) => body.case)).toEqual(['directoryNews']);
 });
--- a/test/gateway/shared-slots.test.ts
+++ b/test/gateway/shared-slots.test.ts
@@ -14,16 +14,16 @@
 const SLOTS = 2;
 const CALL_MS = 60;
 
-describe('slots of backends, kept for all daemons', () => {
+describe('slots of backends, allocated for all daemons', () => {
   let harness: GatewayHarness;
   let backends: TestBackend[];
   let running: Map<string, number>;
-  let most: number;
+  let maxRunning: number;
   const urgencies = new Set<string>();
 
   beforeEach(async () => {
     running = new Map();
-    most = 0;
+    maxRunning = 0;
     urgencies.clear();
     backends = [new TestBackend('one', slow('one')), new TestBackend('two', slow('two'))];
     for (const backend of backends) await backend.start();
@@ -45,12 +45,12 @@
     for (const backend of backends) backend.stop();
   });
 
-  /** Answers after a while, and counts what runs at once. */
+  /** Responds after a delay, and records the number of concurrent requests. */
   function slow(id: string): BackendHandler {
     return (request, response) => {
       const count = (running.get(id) ?? 0) + 1;
       running.set(id, count);
-      most = Math.max(most, count);
+      maxRunning = Math.max(maxRunning, count);
       urgencies.add(String(request.headers.urgency));
       setTimeout(() => {
         running.set(id, (running.get(id) ?? 0) - 1);
@@ -68,35 +68,35 @@
     return (await Promise.all(calls)).map(({ status }) => status);
   }
 
-  it('are never overfilled, and all that fit into their time are served', async () => {
+  it('are never exceeded, and all requests that can be served in time are served', async () => {
     list(2);
     const statuses = await callMany(24);
     expect(statuses.every((status) => status === 200)).toBe(true);
-    expect(most).toBe(SLOTS);
+    expect(maxRunning).toBe(SLOTS);
     expect(harness.lines.some(({ event }) => event === 'slot_queued')).toBe(true);
   });
 
-  it('are told to the owner with all that waits there, and nothing is left in the end', async () => {
+  it('report held and waiting requests to the owner, and none after all have ended', async () => {
     list(1);
     let answered = 0;
     const calls = Array.from({ length: 10 }, (_, index) =>
       harness.call({ id: `c${index}` }).then(() => (answered += 1)),
     );
     const { tracker } = harness.gateway['context'];
-    // However slowly the ten arrive: each is told from then on until its answer.
-    const told = (): number => tracker.inFlightAt('one');
-    let mostTold = 0;
-    while (answered === 0 || told() + answered < 10) {
-      mostTold = Math.max(mostTold, told());
+    // Each request counts from its arrival until its response, even if the ten arrive slowly.
+    const countInFlight = (): number => tracker.inFlightAt('one');
+    let maxCounted = 0;
+    while (answered === 0 || countInFlight() + answered < 10) {
+      maxCounted = Math.max(maxCounted, countInFlight());
       await pause(2);
     }
-    expect(told() + answered).toBe(10);
-    expect(Math.max(mostTold, told())).toBeGreaterThan(2 * SLOTS);
+    expect(countInFlight() + answered).toBe(10);
+    expect(Math.max(maxCounted, countInFlight())).toBeGreaterThan(2 * SLOTS);
     await Promise.all(calls);
     expect(tracker.inFlightAt('one')).toBe(0);
   });
 
-  it('go to the most urgent first, and to backends all alike', async () => {
+  it('are granted to the most urgent request first, and backends see the same urgency for all requests', async () => {
     list(1);
     const order: string[] = [];
     const call = (id: string, path: string): Promise<unknown> =>
@@ -109,7 +109,7 @@
     expect(urgencies.size).toBe(1);
   });
 
-  it('are refused at once, with a time to come back, to who would wait in vain', async () => {
+  it('are refused at once, with a retry delay, to requests that cannot be served in time', async () => {
     list(1);
     await callMany(12);
     const begun = performance.now();
@@ -124,10 +124,10 @@
     const kept = harness.gateway['slots']?.['keeper']['kept'].get('one');
     expect(kept?.queue['returns']).toHaveLength(1);
     await waiting;
-    expect(most).toBe(SLOTS);
+    expect(maxRunning).toBe(SLOTS);
   });
 
-  it('come free when a caller leaves, running or waiting', async () => {
+  it('are released when the caller of a running or waiting request disconnects', async () => {
     list(1);
     const held = Array.from({ length: 6 }, (_, index) => {
       const request = harness.request({ id: `h${index}` }, () => {});
@@ -142,7 +142,7 @@
     expect(performance.now() - begun).toBeLessThan(3 * CALL_MS);
   });
 
-  it('of a backend that starts again under its id: those who wait are served', async () => {
+  it('of a backend that restarts with the same id serve the waiting requests', async () => {
     const record = backends[0]!.record({ slots: SLOTS, start: 'one' });
     harness.list([record]);
     const calls = callMany(8);
@@ -153,7 +153,7 @@
     expect(performance.now() - begun).toBeLessThan(2_500);
   });
 
-  it('of a backend that ends: those who wait go to another at once', async () => {
+  it('of a backend that shuts down pass their waiting requests to another backend at once', async () => {
     list(1);
     const calls = callMany(8);
     await pause(CALL_MS / 2);
@@ -164,13 +164,13 @@
   });
 });
 
-describe('slots of a backend that two daemons send to', () => {
+describe('slots of a backend that receives requests from two daemons', () => {
   const daemons: GatewayHarness[] = [];
   let running = 0;
-  let most = 0;
+  let maxRunning = 0;
   const backend = new TestBackend('one', (request, response) => {
     running += 1;
-    most = Math.max(most, running);
+    maxRunning = Math.max(maxRunning, running);
     setTimeout(() => {
       running -= 1;
       answerWhole(request, response);
@@ -192,8 +192,8 @@
     }
     const seesBoth = (daemon: GatewayHarness): boolean =>
       daemon.gateway['peers'].live().length === 2;
-    for (let look = 0; look < 60 && !daemons.every(seesBoth); look++) await pause(100);
-    // The keeper follows the members with the next look at the clock.
+    for (let attempt = 0; attempt < 60 && !daemons.every(seesBoth); attempt++) await pause(100);
+    // The slot allocator follows the membership at its next tick.
     await pause(150);
   });
 
@@ -202,24 +202,24 @@
     backend.stop();
   });
 
-  it('are not overfilled by both, and all are served', async () => {
+  it('are not exceeded by the two daemons together, and all requests are served', async () => {
     const calls = daemons.flatMap((daemon, index) =>
       Array.from({ length: 10 }, (_, call) => daemon.call({ id: `d${index}c${call}` })),
     );
     const statuses = (await Promise.all(calls)).map(({ status }) => status);
     expect(statuses).toEqual(statuses.map(() => 200));
-    expect(most).toBe(SLOTS);
+    expect(maxRunning).toBe(SLOTS);
     for (const daemon of daemons) {
       expect(daemon.lines.some(({ event }) => event === 'slot_queued')).toBe(true);
       expect(daemon.lines.some(({ event }) => event === 'slot_keeper_silent')).toBe(false);
     }
-    const keepers = daemons.filter((daemon) =>
+    const allocators = daemons.filter((daemon) =>
       daemon.lines.some(({ event }) => event === 'slots_kept'),
     );
-    expect(keepers).toHaveLength(1);
+    expect(allocators).toHaveLength(1);
   });
 
-  it('of a backend that fails at once are left by a daemon that has not met a failure', async () => {
+  it('of a backend that fails at once are avoided by a daemon that has not seen a failure itself', async () => {
     const failing: BackendHandler = (_, response) => response.writeHead(500).end();
     const hasty = new TestBackend('hasty', answerWhole);
     await hasty.start();
