--- a/src/gateway/digest-gossip.ts
+++ b/src/gateway/digest-gossip.ts
@@ -70,7 +70,7 @@
     this.nextRequestAt = now + REQUEST_PERIOD_MS;
     const { others, sendDatagram, encodeQuestion, digest } = this.options;
     const candidates = others();
-    this.deleteOthers(new Set(candidates));
+    this.deleteUnreachable(new Set(candidates));
     this.turn += 1;
     const target = candidates[this.turn % Math.max(1, candidates.length)];
     if (target !== undefined) sendDatagram(target, encodeQuestion(digest()));
@@ -92,9 +92,9 @@
   }
 
   /** Deletes the last replies to daemons that are no longer reachable. */
-  private deleteOthers(others: ReadonlySet<string>): void {
+  private deleteUnreachable(reachable: ReadonlySet<string>): void {
     for (const requester of this.lastReplies.keys()) {
-      if (!others.has(requester)) this.lastReplies.delete(requester);
+      if (!reachable.has(requester)) this.lastReplies.delete(requester);
     }
   }
 }
--- a/src/gateway/member-list.ts
+++ b/src/gateway/member-list.ts
@@ -44,7 +44,7 @@
   private renewals = 0;
   private renewAt = -Infinity;
   /** Whether this process has taken over the entry of an earlier process. */
-  private hasKeptEntry = false;
+  private hasTakenOverEntry = false;
 
   /** @param onRenewed - Called with the lease time of the request when the store has acknowledged this daemon's entry. */
   constructor(
@@ -116,21 +116,24 @@
     const list = await this.store.list('members', 'current');
     if (list.isErr) return this.logFailure(list.error);
     this.applyList(list.value);
-    this.isListed = created.isOk || (await this.keepEntry(list.value, listRequestedAt));
+    this.isListed = created.isOk || (await this.takeOverEntry(list.value, listRequestedAt));
     return this.isListed;
   }
 
   /** Handles an existing entry under this daemon's name, which may hold an earlier address or be old. */
-  private async keepEntry(list: readonly StoredRecord[], requestedAt: number): Promise<boolean> {
+  private async takeOverEntry(
+    list: readonly StoredRecord[],
+    requestedAt: number,
+  ): Promise<boolean> {
     const known = list.find((record) => record.name === this.settings.name);
     if (readMember(known?.value)?.address !== this.peers.address)
       return this.writeEntry(known?.revision);
     this.renewals = renewalsOf(known?.value);
     this.revision = known?.revision;
     // The time of the last renewal is unknown. The entry counts until the next read, which renews it, and only once.
-    if (!this.hasKeptEntry)
+    if (!this.hasTakenOverEntry)
       this.onRenewed(requestedAt - RENEWAL_EXPIRY_MS + PREVIOUS_ENTRY_VALID_MS);
-    this.hasKeptEntry = true;
+    this.hasTakenOverEntry = true;
     return true;
   }
 
--- a/src/gateway/slot-admission.ts
+++ b/src/gateway/slot-admission.ts
@@ -152,8 +152,8 @@
   constructor(private readonly options: SlotAdmissionOptions) {
     this.outbox = new SlotOutbox((to, body) => this.deliver(to, body));
     const { logger, metrics, slotsOf } = options;
-    const tell = this.outbox.tell.bind(this.outbox);
-    this.keeper = new SlotKeeper({ logger, metrics, slotsOf, tell });
+    const enqueueEntry = this.outbox.tell.bind(this.outbox);
+    this.keeper = new SlotKeeper({ logger, metrics, slotsOf, tell: enqueueEntry });
   }
 
   /** Claims a slot. The claim is held at once, or decided later. */
