--- a/src/daemon/admin-api.ts
+++ b/src/daemon/admin-api.ts
@@ -1,7 +1,7 @@
 /**
- * The administration API, the same on every daemon: templates and tenants as
- * documents, conditional writes, and the status of the system. Accepted means
- * written in the platform's object API.
+ * The administration API, identical on every daemon: reads and conditional writes of
+ * template and tenant documents, and the status of the system. A write is accepted once
+ * it is stored in the platform's object API.
  */
 import { randomUUID } from 'node:crypto';
 import type http from 'node:http';
@@ -21,9 +21,10 @@
 import type { Directory } from './directory.js';
 import type { StatusReport } from './status.js';
 
+/** Attempts to read an object back after the reply to a write was lost. */
 const READ_BACK_ATTEMPTS = 3;
 
-/** What the API needs around it. */
+/** Dependencies and settings of {@link AdminApi}. */
 export interface AdminApiOptions {
   readonly platform: PlatformClient;
   readonly directory: Directory;
@@ -32,7 +33,7 @@
   readonly status: () => StatusReport;
 }
 
-/** A document with its version, as operators read it. */
+/** A document and its version, as returned to operators. */
 export interface VersionedDocument {
   readonly version: number;
   readonly document: unknown;
@@ -45,11 +46,11 @@
   ['tenants', 'tenant'],
 ]);
 
-/** Serves operators. */
+/** Handles the requests of operators. */
 export class AdminApi {
   constructor(private readonly options: AdminApiOptions) {}
 
-  /** Serves `/admin/v1/...`. */
+  /** Handles a request to `/admin/v1/...`. */
   async handle(
     path: string,
     request: http.IncomingMessage,
@@ -57,7 +58,10 @@
   ): Promise<void> {
     const hash = credentialHash(request.headers.authorization, 'Bearer');
     if (hash === undefined || !isAllowed(hash, this.options.adminKeyHashes)) {
-      return sendError(response, serviceError('unauthorized', 'an administration key is needed'));
+      return sendError(
+        response,
+        serviceError('unauthorized', 'a valid administration key is required'),
+      );
     }
     const [collection = '', name = ''] = path.slice('/admin/v1/'.length).split('/');
     if (collection === 'status') return sendJson(response, 200, this.options.status());
@@ -98,7 +102,7 @@
     if (found.error.kind === 'not_found') {
       return sendError(response, serviceError('not_found', `no ${kind} "${name}"`));
     }
-    // During an outage of the platform the accepted configuration is still here.
+    // During a platform outage, serves the last accepted configuration and marks it as stale.
     if (this.options.directory.version(kind, name) === 0) return sendError(response, found.error);
     sendJson(response, 200, { ...this.versioned(kind, name), stale: true });
   }
@@ -121,7 +125,7 @@
     const body = await readJson(request, this.options.bodyLimitBytes);
     const parsed = body
       .andThen(parseDocument)
-      .andThen((document) => matching(document, kind, name));
+      .andThen((document) => matchPath(document, kind, name));
     if (parsed.isErr) return sendError(response, parsed.error);
     const related = await this.checkRelated(parsed.value);
     if (related.isErr) return sendError(response, related.error);
@@ -140,7 +144,7 @@
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): Promise<void> {
-    if (kind === 'template' && this.isUsed(name)) {
+    if (kind === 'template' && this.hasTenants(name)) {
       const message = `template "${name}" still has tenants`;
       return sendError(response, serviceError('invalid_document', message));
     }
@@ -154,12 +158,12 @@
     sendJson(response, 200, { version: written.value });
   }
 
-  private isUsed(template: string): boolean {
+  private hasTenants(template: string): boolean {
     const { directory } = this.options;
     return directory.names('tenant').some((tenant) => directory.templateOf(tenant) === template);
   }
 
-  /** The version of If-Match; without the header, the version that stands now. */
+  /** The version in If-Match; 0 for `If-None-Match: *`; without these headers, the current version. */
   private async expectedVersion(
     kind: DocumentKind,
     name: string,
@@ -177,7 +181,7 @@
     return found.error.kind === 'not_found' ? Result.ok(0) : Result.err(found.error);
   }
 
-  /** Writes once; a lost reply is settled by reading back, never by writing again. */
+  /** Writes once. If the reply is lost, reads the object back instead of writing it again. */
   private async write(
     kind: DocumentKind,
     name: string,
@@ -202,7 +206,7 @@
     return written;
   }
 
-  /** A tenant must fill in its template; a template must still suit its tenants. */
+  /** Checks a tenant against its template, or a changed template against all its tenants. */
   private async checkRelated(document: OperatorDocument): Promise<Result<void, ServiceError>> {
     if (document.kind === 'Tenant') return this.checkTenant(document);
     const { directory } = this.options;
@@ -227,12 +231,12 @@
   }
 }
 
-function matching(
+function matchPath(
   document: OperatorDocument,
   kind: DocumentKind,
   name: string,
 ): Result<OperatorDocument, ServiceError> {
   if (document.kind.toLowerCase() === kind && document.name === name) return Result.ok(document);
-  const message = `the document is ${document.kind} "${document.name}", the path ${kind} "${name}"`;
+  const message = `the document is ${document.kind} "${document.name}", but the path names ${kind} "${name}"`;
   return Result.err(serviceError('invalid_document', message));
 }
--- a/src/daemon/caller-api.ts
+++ b/src/daemon/caller-api.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' API in the shape of OpenAI's: chat and text completions, whole
- * or streamed, and the list of models. A tenant's name is its model's name.
+ * The caller API, compatible with OpenAI's: chat and text completions, streamed or not,
+ * and the list of models. A tenant's name is used as its model name.
  */
 import { randomUUID } from 'node:crypto';
 import type http from 'node:http';
@@ -21,11 +21,11 @@
 import type { Directory } from './directory.js';
 import type { CallerRequest, RequestService } from './request-service.js';
 
-/** Tokens of an answer when the caller names no limit. */
+/** Maximum number of tokens in a response if the caller sets no limit. */
 const DEFAULT_MAX_TOKENS = 512;
-/** Characters of a prompt that count as one token, for the usage figures. */
+/** Characters of a prompt that count as one token in the reported usage. */
 const CHARACTERS_PER_TOKEN = 4;
-const MOST_KEY_CHARACTERS = 200;
+const MAX_IDEMPOTENCY_KEY_CHARACTERS = 200;
 
 const contentSchema = z.union([
   z.string(),
@@ -59,7 +59,7 @@
     .string()
     .regex(/^[\w.-]{1,100}$/)
     .optional(),
-  'idempotency-key': z.string().min(1).max(MOST_KEY_CHARACTERS).optional(),
+  'idempotency-key': z.string().min(1).max(MAX_IDEMPOTENCY_KEY_CHARACTERS).optional(),
 });
 
 interface ParsedBody {
@@ -70,21 +70,21 @@
   readonly includeUsage: boolean;
 }
 
-/** What the API needs around it. */
+/** Dependencies and settings of {@link CallerApi}. */
 export interface CallerApiOptions {
   readonly clock: Clock;
   readonly directory: Directory;
   readonly requests: RequestService;
   readonly bodyLimitBytes: number;
-  /** Why nothing can be taken now; undefined when it can. */
+  /** Returns the error to refuse requests with; undefined if the daemon is ready. */
   readonly unready: () => ServiceError | undefined;
 }
 
-/** Serves callers. */
+/** Handles the requests of callers. */
 export class CallerApi {
   constructor(private readonly options: CallerApiOptions) {}
 
-  /** Serves `/v1/...`. */
+  /** Handles a request to `/v1/...`. */
   async handle(
     path: string,
     request: http.IncomingMessage,
@@ -106,11 +106,14 @@
   private listModels(request: http.IncomingMessage, response: http.ServerResponse): void {
     const hash = credentialHash(request.headers.authorization, 'Bearer');
     if (hash === undefined) {
-      return sendError(response, serviceError('unauthorized', 'a bearer key is needed'));
+      return sendError(response, serviceError('unauthorized', 'a bearer key is required'));
     }
     const names = this.options.directory.tenantsWithKey(hash);
     if (names.length === 0) {
-      return sendError(response, serviceError('unauthorized', 'the key opens no tenant'));
+      return sendError(
+        response,
+        serviceError('unauthorized', 'the key is not valid for any tenant'),
+      );
     }
     const data = names.map((id) => ({ id, object: 'model', created: 0, owned_by: 'scaleslip' }));
     sendJson(response, 200, { object: 'list', data });
@@ -140,20 +143,20 @@
 
   private authorize(hash: string | undefined, model: string): Result<TenantSpec, ServiceError> {
     if (hash === undefined)
-      return Result.err(serviceError('unauthorized', 'a bearer key is needed'));
+      return Result.err(serviceError('unauthorized', 'a bearer key is required'));
     const { directory } = this.options;
     const spec = directory.tenant(model);
     if (spec !== undefined && isAllowed(hash, spec.keyHashes)) return Result.ok(spec);
     if (directory.tenantsWithKey(hash).length === 0) {
-      return Result.err(serviceError('unauthorized', 'the key opens no tenant'));
+      return Result.err(serviceError('unauthorized', 'the key is not valid for any tenant'));
     }
     if (spec === undefined)
       return Result.err(serviceError('unknown_tenant', `no model "${model}"`));
-    return Result.err(serviceError('forbidden', `the key does not open "${model}"`));
+    return Result.err(serviceError('forbidden', `the key is not valid for model "${model}"`));
   }
 
   private submit(call: AcceptedCall, chat: boolean, response: http.ServerResponse): void {
-    const request = this.routed(call);
+    const request = this.toRoutedRequest(call);
     const { prompt, maxTokens } = call.body;
     const exchange = new CallerExchange(response, {
       id: request.id,
@@ -171,10 +174,10 @@
     this.options.requests.submit(caller);
   }
 
-  private routed(call: AcceptedCall): RoutedRequest {
+  private toRoutedRequest(call: AcceptedCall): RoutedRequest {
     const { spec, headers } = call;
     const name = headers['x-request-id'];
-    // Always unique: engines tell requests apart by this id.
+    // The random part makes the id unique, because engines identify requests by it.
     const id = name === undefined ? randomUUID() : `${name}~${randomUUID()}`;
     return {
       id,
@@ -199,7 +202,7 @@
   const prompt = parsed.data.messages
     .map((message) => `${message.role}: ${contentText(message.content)}`)
     .join('\n');
-  return Result.ok({ ...commonOf(parsed.data), prompt });
+  return Result.ok({ ...commonOptionsOf(parsed.data), prompt });
 }
 
 function parseCompletion(value: unknown): Result<ParsedBody, ServiceError> {
@@ -207,7 +210,7 @@
   if (!parsed.success) return Result.err(bodyError(parsed.error));
   const { prompt } = parsed.data;
   const text = typeof prompt === 'string' ? prompt : prompt.join('\n');
-  return Result.ok({ ...commonOf(parsed.data), prompt: text });
+  return Result.ok({ ...commonOptionsOf(parsed.data), prompt: text });
 }
 
 function bodyError(error: z.ZodError): ServiceError {
@@ -229,7 +232,7 @@
     { readonly include_usage?: boolean | null | undefined } | null | undefined;
 }
 
-function commonOf(body: CommonBody): Omit<ParsedBody, 'prompt'> {
+function commonOptionsOf(body: CommonBody): Omit<ParsedBody, 'prompt'> {
   return {
     model: body.model,
     maxTokens: body.max_completion_tokens ?? body.max_tokens ?? DEFAULT_MAX_TOKENS,
--- a/src/daemon/caller-exchange.ts
+++ b/src/daemon/caller-exchange.ts
@@ -1,26 +1,26 @@
 /**
- * One caller's HTTP exchange: renders the answer in the shape that OpenAI
- * clients read, whole or as server-sent events. The head of the answer waits
- * for the first token, so that a refusal still has its own status.
+ * One caller's HTTP exchange: renders the response in the format of OpenAI's API, as one
+ * JSON object or as server-sent events. The response headers are sent with the first
+ * token, so that a request refused before that gets its own status code.
  */
 import type http from 'node:http';
 import { errorBody, type ServiceError } from '../common/errors.js';
 import { sendError, sendJson } from '../common/http-server.js';
 
-/** What the caller asked for. */
+/** Properties of the requested response. */
 export interface AnswerShape {
   readonly id: string;
-  /** The tenant, as `model` in the answer. */
+  /** Name of the tenant; the value of `model` in the response. */
   readonly model: string;
   readonly chat: boolean;
   readonly stream: boolean;
-  /** Unix seconds. */
+  /** Creation time in Unix seconds. */
   readonly created: number;
   readonly promptTokens: number;
   readonly includeUsage: boolean;
 }
 
-/** Writes one answer. */
+/** Writes the response to one request. */
 export class CallerExchange {
   private readonly texts: string[] = [];
   private started = false;
@@ -31,17 +31,17 @@
     readonly shape: AnswerShape,
   ) {}
 
-  /** Whether the last byte has been written. */
+  /** Whether the response is complete or has failed; nothing more is written. */
   get isEnded(): boolean {
     return this.ended;
   }
 
-  /** Tokens received. */
+  /** Number of tokens received. */
   get tokens(): number {
     return this.texts.length;
   }
 
-  /** Adds a token; a repeated one after a resume is ignored. */
+  /** Adds a token. Returns false for one that is ignored, such as a repeated token after a resume. */
   addToken(offset: number, text: string): boolean {
     if (this.ended || offset !== this.texts.length) return false;
     this.texts.push(text);
@@ -52,12 +52,12 @@
     return true;
   }
 
-  /** Ends the answer well. */
+  /** Completes the response successfully. */
   finish(finishReason: 'stop' | 'length'): void {
     if (this.ended) return;
     this.ended = true;
     if (!this.shape.stream) {
-      sendJson(this.response, 200, this.wholeAnswer(finishReason), this.headers());
+      sendJson(this.response, 200, this.fullResponse(finishReason), this.headers());
       return;
     }
     this.startStream();
@@ -66,7 +66,7 @@
     this.response.end('data: [DONE]\n\n');
   }
 
-  /** Ends the answer with an error; a stream that has begun gets it as its last event. */
+  /** Ends the response with an error; a stream that has started gets the error as its last event. */
   fail(error: ServiceError): void {
     if (this.ended) return;
     this.ended = true;
@@ -115,7 +115,7 @@
     return this.frame([{ ...head, delta: { ...role, ...delta } }]);
   }
 
-  private wholeAnswer(finishReason: string): object {
+  private fullResponse(finishReason: string): object {
     const text = this.texts.join('');
     const head = { index: 0, finish_reason: finishReason };
     const message = { role: 'assistant', content: text };
--- a/src/daemon/codec.ts
+++ b/src/daemon/codec.ts
@@ -1,4 +1,4 @@
-/** Between the decision logic's types and the internal protocol's messages. */
+/** Converts between the types of `src/core` and the messages of the internal protocol. */
 import { create } from '@bufbuild/protobuf';
 import type { FeedEntry } from '../core/feed.js';
 import type {
@@ -67,7 +67,7 @@
   return { address, zone, site, incarnation, capacity, state: LIVENESS[update.state] ?? 'alive' };
 }
 
-/** A probe as a message. */
+/** Encodes a membership probe. */
 export function encodeProbe(message: ProbeMessage): PeerBody {
   const updates = message.updates.map(encodeMember);
   const { sequence } = message;
@@ -83,7 +83,7 @@
   }
 }
 
-/** A probe out of a message; undefined if it is another kind. */
+/** Decodes a membership probe; undefined for a message of another kind. */
 function decodeProbe(body: PeerBody): ProbeMessage | undefined {
   switch (body.case) {
     case 'ping':
@@ -100,7 +100,7 @@
   }
 }
 
-/** All that a member knows as a message. */
+/** Encodes the full membership state of a daemon. */
 export function encodeState(message: StateMessage): PeerBody {
   const members = message.members.map(encodeMember);
   const isAnswer = message.type === 'state_answer';
@@ -108,7 +108,7 @@
   return { case: 'membershipState', value };
 }
 
-/** What is for membership out of a message; undefined if it is another kind. */
+/** Decodes a membership message; undefined for a message of another kind. */
 export function decodeMembership(body: PeerBody): ProbeMessage | StateMessage | undefined {
   if (body.case !== 'membershipState') return decodeProbe(body);
   const { members, isAnswer } = body.value;
@@ -116,20 +116,20 @@
   return { type, members: members.map(decodeMember) };
 }
 
-/** A wake as a message. */
+/** Encodes a wake request. */
 export function encodeWake(pool: string, wake: WakeRequest): PeerBody {
   const { tenant, priority, deadline, waiting, inFlight } = wake;
   const value = create(WakeSchema, { pool, tenant, priority, deadline, waiting, inFlight });
   return { case: 'wake', value };
 }
 
-/** A wake out of a message. */
+/** Decodes a wake request. */
 export function decodeWake(from: string, wake: Wake): WakeRequest {
   const { tenant, priority, deadline, waiting, inFlight } = wake;
   return { router: from, tenant, priority, deadline, waiting, inFlight };
 }
 
-/** A location as a message. */
+/** Encodes a tenant's location. */
 export function encodeLocation(location: TenantLocation): PeerBody {
   const value = create(LocationSchema, {
     pool: location.pool,
@@ -145,7 +145,7 @@
   return { case: 'location', value };
 }
 
-/** A location out of a message. */
+/** Decodes a tenant's location. */
 export function decodeLocation(location: Location): TenantLocation {
   const { pool, epoch, version, tenant, readyInMs, retryAfterMs, routers } = location;
   const replicas = location.replicas.map(({ engine, incarnation, share }) => ({
@@ -157,7 +157,7 @@
   return { pool, epoch, version, tenant, state, replicas, readyInMs, retryAfterMs, routers };
 }
 
-/** An object of a feed as a message. */
+/** Encodes a feed entry. */
 export function encodeEntry(entry: FeedEntry): Entry {
   const { key, revision } = entry;
   return create(
@@ -166,7 +166,7 @@
   );
 }
 
-/** An object of a feed out of a message. */
+/** Decodes a feed entry. */
 export function decodeEntry(entry: Entry): FeedEntry {
   return { key: entry.key, revision: entry.revision, value: entry.value };
 }
--- a/src/daemon/conditional-update.ts
+++ b/src/daemon/conditional-update.ts
@@ -1,24 +1,24 @@
 /**
- * Compare-and-swap on one object, with lost replies settled by reading back:
- * never by writing again blindly.
+ * Compare-and-swap on one object. If the reply to a write is lost, the object is read
+ * back to find out whether the write took effect; it is never blindly written again.
  */
 import { Result } from 'true-myth';
 import { serviceError, type ServiceError } from '../common/errors.js';
 import { sleep } from '../common/process.js';
 import type { ObjectKind, PlatformClient, StoredObject } from '../platform/platform-client.js';
 
-/** Times that a conflict is met with a fresh look before it is given up. */
-const MOST_ATTEMPTS = 6;
+/** Attempts to read, change and write an object before the update fails with a conflict. */
+const MAX_ATTEMPTS = 6;
 const READ_BACK_ATTEMPTS = 5;
 const READ_BACK_PAUSE_MS = 200;
 
-/** One change of an object. */
+/** Describes a change of one object. */
 export interface ConditionalUpdate<Value> {
   readonly kind: ObjectKind;
   readonly name: string;
-  /** The new value for the current one, or undefined if nothing is to be written. */
+  /** Returns the new value for the current one, or undefined if no write is needed. */
   readonly change: (current: Value | undefined) => Value | undefined;
-  /** Whether a value that was read back is the one just written. */
+  /** Whether a value that was read back comes from the write in question. */
   readonly isOwn: (written: Value, found: Value) => boolean;
 }
 
@@ -26,13 +26,13 @@
 export interface Updated<Value> {
   readonly version: number;
   readonly value: Value | undefined;
-  /** False if the change asked for nothing. */
+  /** False if no write was needed. */
   readonly written: boolean;
 }
 
 /**
- * Reads, changes and writes until the write has taken effect or the change asks
- * for nothing. Errors: `version_conflict` after many races,
+ * Reads, changes and writes an object until the write has taken effect or no write is
+ * needed. Errors: `version_conflict` if every attempt lost to a concurrent write,
  * `platform_unavailable`, `platform_outcome_unknown`.
  */
 export async function updateObject<Value>(
@@ -40,7 +40,7 @@
   update: ConditionalUpdate<Value>,
 ): Promise<Result<Updated<Value>, ServiceError>> {
   const { kind, name } = update;
-  for (let attempt = 0; attempt < MOST_ATTEMPTS; attempt++) {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
     const current = await readObject<Value>(platform, kind, name);
     if (current.isErr) return Result.err(current.error);
     const value = update.change(current.value.value);
--- a/src/daemon/configuration-service.ts
+++ b/src/daemon/configuration-service.ts
@@ -1,7 +1,7 @@
 /**
- * The configuration and the list of machines at one daemon: which daemons it
- * hears from, whether it reads the platform itself, and whether what it holds
- * is current enough to serve.
+ * Maintains the configuration and the list of machines at one daemon: chooses the
+ * upstream daemons, decides whether this daemon reads the platform itself, and decides
+ * whether the configuration is current enough to serve requests.
  */
 import { create } from '@bufbuild/protobuf';
 import type { Clock } from '../common/clock.js';
@@ -22,14 +22,14 @@
 
 /** Milliseconds between two heartbeats to subscribers. */
 export const RELAY_HEARTBEAT_MS = 2_000;
-/** Daemons that each daemon hears from. */
-const UPSTREAMS = 2;
-/** Milliseconds without a fresh word of the platform before the other daemons are asked. */
-const ASK_PEERS_AFTER_MS = 3_000;
-/** Milliseconds between two rounds of asking. */
-const ASK_PERIOD_MS = 1_000;
-
-/** What the service needs around it. */
+/** Number of upstream daemons that each daemon subscribes to. */
+const UPSTREAM_COUNT = 2;
+/** Milliseconds after the start without a confirmation by the platform before the other daemons are queried. */
+const QUERY_PEERS_AFTER_MS = 3_000;
+/** Milliseconds between two queries to the other daemons. */
+const QUERY_PERIOD_MS = 1_000;
+
+/** Dependencies and settings of {@link ConfigurationService}. */
 export interface ConfigurationServiceOptions {
   readonly self: DutyMember;
   readonly clock: Clock;
@@ -42,16 +42,16 @@
   readonly onMachineChange: (address: string) => void;
 }
 
-/** Both feeds of one daemon. */
+/** Manages both feeds of one daemon. */
 export class ConfigurationService {
   readonly configuration: FeedRelay;
   readonly machines: FeedRelay;
   private readonly reader: PlatformReader;
   private readonly startedAt: number;
-  private readonly answers = new Map<string, number>();
-  private lastAskedAt = 0;
+  private readonly peerRevisions = new Map<string, number>();
+  private lastQueryAt = 0;
   private nonce = 0;
-  private current = false;
+  private wasCurrent = false;
 
   constructor(private readonly options: ConfigurationServiceOptions) {
     const { clock, send } = options;
@@ -75,37 +75,37 @@
     this.reader = new PlatformReader(platform, this.configuration, this.machines, logger);
   }
 
-  /** Works out anew whom to hear from, and whether to read the platform. */
+  /** Recomputes the upstreams and whether this daemon reads the platform. */
   membersChanged(): void {
     const { membership, readersPerZone, self } = this.options;
     const live = membership.live();
     const readers = readersOf(self.zone, live, readersPerZone);
     this.reader.setRunning(readers.includes(self.address));
-    const upstreams = upstreamsOf(self, live, readersPerZone, UPSTREAMS);
+    const upstreams = upstreamsOf(self, live, readersPerZone, UPSTREAM_COUNT);
     this.configuration.setUpstreams(upstreams);
     this.machines.setUpstreams(upstreams);
     for (const relay of [this.configuration, this.machines]) {
       for (const subscriber of relay.subscriberList()) {
-        // One that is thought dead may only be paused: it is kept until it is forgotten.
+        // A subscriber considered dead may only be paused, so it is kept while it is a known member.
         if (!membership.isKnown(subscriber)) relay.dropSubscriber(subscriber);
       }
     }
   }
 
-  /** Subscribes again after a connection was lost. */
+  /** Subscribes again to a peer whose connection was lost. */
   peerDisconnected(address: string): void {
     if (!this.options.membership.isReachable(address)) return;
     this.configuration.resubscribe(address);
     this.machines.resubscribe(address);
   }
 
-  /** Asks upstreams that have gone silent again. */
+  /** Subscribes again to upstreams that have sent nothing recently. */
   renewSilent(): void {
     this.configuration.renewSilent();
     this.machines.renewSilent();
   }
 
-  /** Sends this daemon's positions to those who hear from it. */
+  /** Sends this daemon's positions in the feeds to its subscribers. */
   sendHeartbeats(): void {
     const relays = [this.configuration, this.machines];
     const subscribers = new Set(relays.flatMap((relay) => relay.subscriberList()));
@@ -117,30 +117,31 @@
   }
 
   /**
-   * Whether the configuration is current enough to serve. A daemon that has
-   * just started must not serve an older configuration than it may have served
-   * before: it waits for a word of the platform since its start, or, while the
-   * platform is away, for the highest revision of all daemons that live.
+   * Whether the configuration is current enough to serve requests. A restarted daemon
+   * must not serve a configuration older than the one it may have served before. It
+   * therefore waits until the platform has confirmed the configuration since the start
+   * or, while the platform is unavailable, until it has reached the highest revision of
+   * all live daemons.
    */
   isCurrent(): boolean {
-    if (this.current) return true;
+    if (this.wasCurrent) return true;
     const confirmed = this.configuration.isConfirmed;
     if (confirmed || this.hasReachedAllPeers()) {
-      this.current = true;
+      this.wasCurrent = true;
       const { revision } = this.configuration.state;
       this.options.logger.info('configuration_current', { revision, confirmed });
     }
-    return this.current;
+    return this.wasCurrent;
   }
 
-  /** Asks the other daemons for their revisions while the platform is away. */
+  /** Queries the revisions of the other daemons while the platform is unavailable. */
   askPeers(): void {
     const now = this.options.clock.now();
-    if (this.isCurrent() || now - this.startedAt < ASK_PEERS_AFTER_MS) return;
-    if (now - this.lastAskedAt < ASK_PERIOD_MS) return;
-    this.lastAskedAt = now;
+    if (this.isCurrent() || now - this.startedAt < QUERY_PEERS_AFTER_MS) return;
+    if (now - this.lastQueryAt < QUERY_PERIOD_MS) return;
+    this.lastQueryAt = now;
     this.nonce += 1;
-    this.answers.clear();
+    this.peerRevisions.clear();
     const value = create(RevisionQuerySchema, { feed: FeedName.CONFIGURATION, nonce: this.nonce });
     for (const member of this.options.membership.live()) {
       if (member.address === this.options.self.address) continue;
@@ -148,7 +149,7 @@
     }
   }
 
-  /** Takes in a message of the relay. True if it was one. */
+  /** Handles a message of the relay protocol. Returns false for any other message. */
   handle(from: string, body: PeerBody): boolean {
     switch (body.case) {
       case 'subscribe':
@@ -171,7 +172,7 @@
     }
   }
 
-  /** Ends the reading of the platform. */
+  /** Stops reading the platform. */
   stop(): void {
     this.reader.setRunning(false);
   }
@@ -188,7 +189,7 @@
 
   private handleQuery(from: string, query: RevisionQuery): void {
     if (query.answer) {
-      if (query.nonce === this.nonce) this.answers.set(from, query.revision);
+      if (query.nonce === this.nonce) this.peerRevisions.set(from, query.revision);
       return;
     }
     const { revision } = this.configuration.state;
@@ -197,14 +198,14 @@
     this.options.send(from, { case: 'revisionQuery', value });
   }
 
-  /** Every live daemon has answered, and none is further. */
+  /** Whether all live daemons have replied and none has a higher revision. */
   private hasReachedAllPeers(): boolean {
     const others = this.options.membership
       .live()
       .filter((member) => member.address !== this.options.self.address);
     if (others.length === 0) return false;
-    if (others.some((member) => !this.answers.has(member.address))) return false;
-    const highest = Math.max(...this.answers.values());
+    if (others.some((member) => !this.peerRevisions.has(member.address))) return false;
+    const highest = Math.max(...this.peerRevisions.values());
     return highest > 0 && this.configuration.state.revision >= highest;
   }
 }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -1,6 +1,6 @@
 /**
- * One daemon: router, member, and by rank owner of pools and reader of the
- * platform. Puts the parts together; decides nothing itself.
+ * One daemon: a router and member of the group and, depending on its rank, also an owner
+ * of pools and a reader of the platform. This module only connects the components.
  */
 import { systemClock, type Clock } from '../common/clock.js';
 import { serviceError, type ServiceError } from '../common/errors.js';
@@ -39,34 +39,34 @@
 import type { DaemonSettings } from './settings.js';
 import { makeStatus, type StatusReport } from './status.js';
 
-/** Milliseconds between two looks at the membership's timers. */
+/** Milliseconds between two ticks of the membership protocol. */
 const MEMBERSHIP_TICK_MS = 50;
-/** This daemon's duties are ranked without regard to the power of its machine. */
+/** Capacity value that excludes the capacity of the machine from the ranking for duties. */
 const UNKNOWN_CAPACITY = 0;
-/** Milliseconds between two looks at pools and peers. */
+/** Milliseconds between two evaluations of pool ownership and peers. */
 const DUTY_TICK_MS = 500;
-/** Milliseconds between two clean-ups of expired claims. */
+/** Milliseconds between two deletions of expired claims. */
 const CLEANUP_MS = 30_000;
 /**
- * Milliseconds for which a draining daemon still answers, with a refusal and
- * `Connection: close`, so that no caller's request meets a closing connection.
+ * Milliseconds for which a drained daemon still refuses requests with `Connection: close`
+ * before it closes its port, so that no caller sends a request on a closing connection.
  */
-const LAME_DUCK_MS = 800;
-/** Milliseconds that a leaving daemon's news has to spread before it closes its ports. */
-const FAREWELL_MS = 300;
+const DRAIN_REFUSAL_MS = 800;
+/** Milliseconds for the announcement that this daemon leaves to spread before it closes the peer port. */
+const LEAVE_ANNOUNCEMENT_MS = 300;
 
-/** The outside systems, and what tests replace. */
+/** External systems, and components that tests replace. */
 export interface DaemonDependencies {
   readonly platform: PlatformClient;
   readonly engines: EngineClient;
   readonly logger: Logger;
   readonly faults?: LinkFaults;
   readonly clock?: Clock;
-  /** Bytes of control traffic over HTTP so far, for the metrics. */
+  /** Returns the bytes of control traffic over HTTP since the start, for the metrics. */
   readonly httpControlBytes?: () => number;
 }
 
-/** One running daemon. */
+/** Runs one daemon. */
 export class Daemon {
   readonly transport: PeerTransport;
   readonly membership: Membership;
@@ -102,12 +102,12 @@
       onDisconnect: (address) => this.configuration.peerDisconnected(address),
     });
     const self = this.transport.address;
-    const place = { address: self, zone: settings.zone, site: settings.site };
-    const own = { ...place, incarnation: clock.now(), capacity: UNKNOWN_CAPACITY };
-    this.membership = new Membership({ ...own, state: 'alive' });
+    const identity = { address: self, zone: settings.zone, site: settings.site };
+    const ownMember = { ...identity, incarnation: clock.now(), capacity: UNKNOWN_CAPACITY };
+    this.membership = new Membership({ ...ownMember, state: 'alive' });
     const send = (to: string, body: PeerBody): void => this.transport.send(to, body);
     this.configuration = new ConfigurationService({
-      self: place,
+      self: identity,
       clock,
       logger,
       membership: this.membership,
@@ -153,12 +153,12 @@
     this.frontDoor = this.makeFrontDoor(faults);
   }
 
-  /** This daemon's peer address. */
+  /** The address of this daemon for other daemons. */
   get address(): string {
     return this.transport.address;
   }
 
-  /** Opens the ports and starts to take part. */
+  /** Opens the ports, starts the periodic tasks and joins the group. */
   async start(): Promise<void> {
     await this.transport.start();
     await this.frontDoor.start();
@@ -169,20 +169,20 @@
       zone: settings.zone,
       site: settings.site,
     });
-    const onFault = (fault: unknown): void => {
+    const onError = (fault: unknown): void => {
       dependencies.logger.error('daemon_fault', { reason: faultText(fault) });
     };
     this.tickers.push(
-      startTicker(MEMBERSHIP_TICK_MS, () => this.membershipTick(), onFault),
-      startTicker(DUTY_TICK_MS, () => this.lookAtDuties(), onFault),
-      startTicker(RELAY_HEARTBEAT_MS, () => this.configuration.sendHeartbeats(), onFault),
-      startTicker(CLEANUP_MS, () => this.keyClaims.expire(), onFault),
+      startTicker(MEMBERSHIP_TICK_MS, () => this.membershipTick(), onError),
+      startTicker(DUTY_TICK_MS, () => this.evaluateDuties(), onError),
+      startTicker(RELAY_HEARTBEAT_MS, () => this.configuration.sendHeartbeats(), onError),
+      startTicker(CLEANUP_MS, () => this.keyClaims.expire(), onError),
     );
     this.offerSeeds();
     this.membersChanged();
   }
 
-  /** Why no request can be taken now; undefined when it can. */
+  /** Returns the error to refuse requests with; undefined if the daemon is ready. */
   unready(): ServiceError | undefined {
     if (this.draining) return serviceError('draining', 'this daemon is stopping');
     if (this.configuration.isCurrent()) return undefined;
@@ -190,15 +190,16 @@
   }
 
   /**
-   * A planned stop: nothing new is taken, streams finish, pools and claims are
-   * handed over. Resolves when all is done, also if it is asked for again.
+   * Performs a planned stop: refuses new requests, hands over pools and claims, and lets
+   * running requests finish. Resolves when the daemon has stopped; repeated calls return
+   * the same promise.
    */
   drain(): Promise<void> {
-    this.stopping ??= this.finish();
+    this.stopping ??= this.performDrain();
     return this.stopping;
   }
 
-  private async finish(): Promise<void> {
+  private async performDrain(): Promise<void> {
     this.draining = true;
     const { logger } = this.dependencies;
     logger.info('drain_started', { unfinished: this.requests.unfinished });
@@ -206,20 +207,20 @@
     this.keyClaims.handOver();
     await this.claims.release();
     await this.requests.drain();
-    await new Promise((resolve) => setTimeout(resolve, LAME_DUCK_MS));
+    await new Promise((resolve) => setTimeout(resolve, DRAIN_REFUSAL_MS));
     await this.frontDoor.stop();
-    await new Promise((resolve) => setTimeout(resolve, FAREWELL_MS));
+    await new Promise((resolve) => setTimeout(resolve, LEAVE_ANNOUNCEMENT_MS));
     this.close();
     logger.info('drain_finished');
   }
 
-  /** Stops at once, as after a crash, for tests. */
+  /** Stops immediately without draining, as in a crash. For tests. */
   kill(): void {
     this.frontDoor.kill();
     this.close();
   }
 
-  /** The status report. */
+  /** Builds the status report. */
   status(): StatusReport {
     return makeStatus({
       daemon: this.settings.name,
@@ -274,7 +275,7 @@
 
   private startOwner(record: PoolRecord): PoolOwnerProcess {
     const { dependencies, settings } = this;
-    const worth = settings.coldStartWorthSeconds;
+    const coldStartWorth = settings.coldStartWorthSeconds;
     return new PoolOwnerProcess({
       record,
       self: this.address,
@@ -287,9 +288,9 @@
       placement: new CacheAwarePlacement(),
       keepAlive: new AdaptiveKeepAlive({
         coldStartWorthMs: {
-          live: worth.live * 1000,
-          interactive: worth.interactive * 1000,
-          batch: worth.batch * 1000,
+          live: coldStartWorth.live * 1000,
+          interactive: coldStartWorth.interactive * 1000,
+          batch: coldStartWorth.batch * 1000,
         },
       }),
       remoteLoads: this.remoteLoadsFor(record),
@@ -298,7 +299,7 @@
     });
   }
 
-  /** This pool's part of the loads that the weight store serves at full speed. */
+  /** This pool's share of the concurrent loads that the weight store serves at full speed; at least 1. */
   private remoteLoadsFor(record: PoolRecord): number {
     const pools = this.directory.pools().filter((other) => other.site === record.site);
     const { fullSpeedLoads } = this.settings.weightStore;
@@ -349,7 +350,7 @@
   private membershipTick(): void {
     this.membershipEvent({ type: 'tick' });
     if (!this.membersHaveChanged) return;
-    // Many changes at once, as after a start or the loss of a zone, are worked out once.
+    // Handles all changes since the last tick together; a start or the loss of a zone causes many.
     this.membersHaveChanged = false;
     this.membersChanged();
   }
@@ -360,7 +361,7 @@
     if (this.configuration.isCurrent()) this.claims.evaluate();
   }
 
-  private lookAtDuties(): void {
+  private evaluateDuties(): void {
     this.configuration.askPeers();
     this.configuration.renewSilent();
     this.keyClaims.pull();
--- a/src/daemon/directory.ts
+++ b/src/daemon/directory.ts
@@ -1,4 +1,4 @@
-/** The configuration and the list of machines as the rest of a daemon reads them. */
+/** Decoded, cached access to the configuration and the list of machines for the other parts of a daemon. */
 import { parseJson } from '../common/http-client.js';
 import {
   parseDocument,
@@ -15,7 +15,7 @@
 import type { PoolRoute, RoutingDirectory } from '../core/router-messages.js';
 import { objectKey, type Machine, type ObjectKind } from '../platform/platform-client.js';
 
-/** Decoded objects kept; the rest is decoded when it is used again. */
+/** Maximum number of decoded objects in each cache; evicted objects are decoded again on use. */
 const CACHE_LIMIT = 1024;
 
 interface CachedTenant {
@@ -29,11 +29,11 @@
   readonly record: unknown;
 }
 
-/** Reads the two feeds. */
+/** Looks up objects in the configuration feed and the machine feed. */
 export class Directory implements RoutingDirectory {
   private readonly tenantCache = new Map<string, CachedTenant>();
   private readonly recordCache = new Map<string, CachedRecord>();
-  /** The decoded list; it is looked at several times a second and changes a few times an hour. */
+  /** The decoded list of machines; it is read several times a second and changes a few times an hour. */
   private machineCache: { readonly revision: number; readonly machines: readonly Machine[] } = {
     revision: -1,
     machines: [],
@@ -54,7 +54,7 @@
       cached?.tenantRevision === tenantRevision && cached.templateRevision === templateRevision;
     if (isCurrent) return cached.spec;
     const spec = this.render(name);
-    remember(this.tenantCache, name, { tenantRevision, templateRevision, spec });
+    addToCache(this.tenantCache, name, { tenantRevision, templateRevision, spec });
     return spec;
   }
 
@@ -64,24 +64,24 @@
     const routes = quota.shares
       .filter((share) => allowedReplicas(share) > 0)
       .map((share) => this.routeTo(share.pool));
-    // Stable: within a site the quota's own order decides, so that routers wake the same pool.
+    // Keeps the quota's order within a site, so that all routers wake the same pool.
     return [
       ...routes.filter((route) => route.site === this.site),
       ...routes.filter((route) => route.site !== this.site),
     ];
   }
 
-  /** How a tenant's replicas are split. */
+  /** The quota record of a tenant: the distribution of its replicas over pools. */
   quota(tenant: string): QuotaRecord | undefined {
     return this.record<QuotaRecord>('quota', tenant);
   }
 
-  /** Who owns a pool. */
+  /** The record of a pool, which names its owner. */
   pool(name: string): PoolRecord | undefined {
     return this.record<PoolRecord>('pool', name);
   }
 
-  /** All pools that have ever been claimed. */
+  /** The records of all pools that have ever been claimed. */
   pools(): PoolRecord[] {
     return this.names('pool').flatMap((name) => this.pool(name) ?? []);
   }
@@ -96,7 +96,7 @@
     return this.configuration.revisionOf(objectKey(kind, name));
   }
 
-  /** A tenant as one pool sees it; undefined if the pool has no part of it. */
+  /** A tenant from the point of view of one pool; undefined if the pool has no share of its quota. */
   pooledTenant(pool: string, tenant: string): PooledTenant | undefined {
     const share = this.quota(tenant)?.shares.find((entry) => entry.pool === pool);
     if (share === undefined) return undefined;
@@ -109,7 +109,7 @@
     };
   }
 
-  /** Tenants whose document names a key hash. */
+  /** Names of the tenants whose document contains a key hash. */
   tenantsWithKey(keyHash: string): string[] {
     return this.names('tenant').filter((name) => {
       const value = this.configuration.get(objectKey('tenant', name));
@@ -117,12 +117,12 @@
     });
   }
 
-  /** The template that a tenant's document names. */
+  /** Name of the template in a tenant's document; empty if there is no document. */
   templateOf(tenant: string): string {
     return this.tenantDocument(tenant)?.template ?? '';
   }
 
-  /** The platform's list. */
+  /** The machines in the platform's list. */
   machines(): readonly Machine[] {
     const { revision } = this.machineFeed;
     if (this.machineCache.revision !== revision) {
@@ -133,7 +133,7 @@
     return this.machineCache.machines;
   }
 
-  /** One machine of the platform's list. */
+  /** One machine in the platform's list. */
   machine(address: string): Machine | undefined {
     return decode<Machine>(this.machineFeed.get(address));
   }
@@ -143,7 +143,7 @@
     return { pool, site: record?.site ?? '', owner: record?.owner ?? '' };
   }
 
-  /** A document as operators wrote it. */
+  /** A template or tenant document as the operator wrote it. */
   document(kind: 'template' | 'tenant', name: string): unknown {
     return withoutWriteId(this.record(kind, name));
   }
@@ -159,7 +159,7 @@
     const cached = this.recordCache.get(key);
     if (cached?.revision === revision) return cached.record as Value;
     const record = decode<Value>(this.configuration.get(key));
-    if (record !== undefined) remember(this.recordCache, key, { revision, record });
+    if (record !== undefined) addToCache(this.recordCache, key, { revision, record });
     return record;
   }
 
@@ -178,8 +178,8 @@
   return parseJson(Buffer.from(bytes).toString('utf8')).unwrapOr(undefined) as Value | undefined;
 }
 
-/** Adds to a bounded cache; the oldest entry goes. */
-function remember<Value>(cache: Map<string, Value>, key: string, value: Value): void {
+/** Adds a value to a bounded cache and evicts the oldest entry if the cache is full. */
+function addToCache<Value>(cache: Map<string, Value>, key: string, value: Value): void {
   cache.delete(key);
   cache.set(key, value);
   if (cache.size <= CACHE_LIMIT) return;
--- a/src/daemon/feed-relay.ts
+++ b/src/daemon/feed-relay.ts
@@ -1,7 +1,7 @@
 /**
- * One feed at one daemon: takes updates from readers or from this daemon's own
- * reading of the platform, and passes them on to subscribers. A gap is closed
- * by subscribing anew; a daemon never steps to a lower revision.
+ * Relays one feed at one daemon: applies updates from upstream daemons or from this
+ * daemon's own platform reader, and forwards them to subscribers. After a gap the
+ * daemon subscribes again; its revision never decreases.
  */
 import { create } from '@bufbuild/protobuf';
 import type { Clock } from '../common/clock.js';
@@ -19,13 +19,14 @@
 import { decodeEntry, encodeEntry } from './codec.js';
 import type { PeerBody } from './peer-transport.js';
 
-/** Changes kept for subscribers that were away for a moment. */
-const LOG_LIMIT = 256;
-/** Objects in one part of a snapshot. */
-const SNAPSHOT_PART = 500;
-/** Milliseconds after which a silent upstream is asked again; a little over its heartbeat's period. */
-const UPSTREAM_SILENCE_MS = 2_500;
-const LONGEST_AGE_MS = 2 ** 31 - 1;
+/** Deltas kept for subscribers that reconnect after a short interruption. */
+const DELTA_LOG_LIMIT = 256;
+/** Maximum number of objects in one part of a snapshot. */
+const SNAPSHOT_PART_ENTRIES = 500;
+/** Milliseconds without a message after which an upstream is subscribed to again; slightly more than its heartbeat period. */
+const UPSTREAM_TIMEOUT_MS = 2_500;
+/** Largest value of the message field, a signed 32-bit integer. */
+const MAX_AGE_MS = 2 ** 31 - 1;
 
 interface LoggedDelta {
   readonly base: number;
@@ -34,86 +35,86 @@
 }
 
 interface Subscription {
-  /** Start of the subscriber's process. */
+  /** Start of the subscriber's process, in Unix milliseconds. */
   readonly token: number;
-  /** By this daemon's clock. */
-  readonly takenAt: number;
+  /** Time of the subscription by this daemon's clock, in Unix milliseconds. */
+  readonly subscribedAt: number;
 }
 
-interface SnapshotParts {
+interface PendingSnapshot {
   readonly revision: number;
   readonly entries: FeedEntry[];
 }
 
-/** What a relay needs around it. */
+/** Dependencies and settings of {@link FeedRelay}. */
 export interface FeedRelayOptions {
   readonly feed: FeedName;
   readonly clock: Clock;
-  /** Tells this process from an earlier one at the same address: its start in Unix milliseconds. */
+  /** Start of this process in Unix milliseconds; distinguishes it from an earlier process at the same address. */
   readonly token: number;
   readonly send: (to: string, body: PeerBody) => void;
-  /** Called for every object that has changed. */
+  /** Called with the key of every object that has changed. */
   readonly onChange: (key: string) => void;
 }
 
 /** The state of one feed and its subscribers. */
 export class FeedRelay {
   readonly state = new Feed();
-  /** Unix milliseconds of the platform's last word that the state rests on; 0 for never. */
+  /** Time at which the platform last confirmed the state, directly or through a relay, in Unix milliseconds; 0 for never. */
   confirmedAt = 0;
   /**
-   * Whether the platform has confirmed the state since this process started, by
-   * its own word or by that of a relay about this process's subscription. It
-   * rests on no comparison of clocks: a heartbeat that was on its way since
-   * before the start carries another token.
+   * Whether the platform has confirmed the state since this process started, either
+   * directly or through a relay that was confirmed after this process subscribed to
+   * it. This needs no comparison of clocks: a heartbeat that was sent before the
+   * start of this process carries a different token.
    */
   isConfirmed = false;
   private readonly subscribers = new Map<string, Subscription>();
-  /** Unix milliseconds of the platform's last word to this daemon itself. */
-  private ownWordAt = 0;
+  /** Time at which the platform last confirmed the state to this daemon directly, in Unix milliseconds. */
+  private directlyConfirmedAt = 0;
   private readonly log: LoggedDelta[] = [];
-  private readonly parts = new Map<string, SnapshotParts>();
+  private readonly pendingSnapshots = new Map<string, PendingSnapshot>();
   private upstreams: readonly string[] = [];
-  /** When each upstream was last heard from, or asked. */
-  private readonly heardAt = new Map<string, number>();
+  /** Time of the last message from each upstream, or of the last subscription to it, in Unix milliseconds. */
+  private readonly lastContactAt = new Map<string, number>();
 
   constructor(private readonly options: FeedRelayOptions) {}
 
-  /** Chooses whom to hear from; subscribes to those that are new. */
+  /** Sets the upstreams and subscribes to the added ones. */
   setUpstreams(upstreams: readonly string[]): void {
-    const fresh = upstreams.filter((address) => !this.upstreams.includes(address));
+    const added = upstreams.filter((address) => !this.upstreams.includes(address));
     this.upstreams = upstreams;
-    for (const address of fresh) this.subscribe(address);
+    for (const address of added) this.subscribe(address);
   }
 
-  /** Subscribes again, after a gap or a lost connection. */
+  /** Subscribes to an upstream again, after a gap or a lost connection. */
   resubscribe(address: string): void {
     if (this.upstreams.includes(address)) this.subscribe(address);
   }
 
   /**
-   * Subscribes again to upstreams that have gone silent: one may have taken this
-   * daemon for dead while it was paused, and forgotten its subscription.
+   * Subscribes again to upstreams that have sent nothing recently: while this daemon
+   * was paused, an upstream may have considered it dead and dropped its subscription.
    */
   renewSilent(): void {
     const now = this.options.clock.now();
     for (const address of this.upstreams) {
-      const silence = now - (this.heardAt.get(address) ?? 0);
-      if (silence >= UPSTREAM_SILENCE_MS) this.subscribe(address);
+      const silentMs = now - (this.lastContactAt.get(address) ?? 0);
+      if (silentMs >= UPSTREAM_TIMEOUT_MS) this.subscribe(address);
     }
   }
 
-  /** Forgets a subscriber. */
+  /** Removes a subscriber. */
   dropSubscriber(address: string): void {
     this.subscribers.delete(address);
   }
 
-  /** Everyone who hears from this daemon. */
+  /** Addresses of the daemons that subscribe to this relay. */
   subscriberList(): string[] {
     return [...this.subscribers.keys()];
   }
 
-  /** This relay's position as a subscriber hears it; undefined for any other daemon. */
+  /** This relay's position as sent to a subscriber; undefined if the daemon is not subscribed. */
   positionFor(subscriber: string): FeedPosition | undefined {
     const subscription = this.subscribers.get(subscriber);
     if (subscription === undefined) return undefined;
@@ -121,34 +122,34 @@
     return create(FeedPositionSchema, {
       feed: this.options.feed,
       revision: this.state.revision,
-      ageMs: Math.min(age, LONGEST_AGE_MS),
+      ageMs: Math.min(age, MAX_AGE_MS),
       token: subscription.token,
-      confirmed: this.ownWordAt > subscription.takenAt,
+      confirmed: this.directlyConfirmedAt > subscription.subscribedAt,
     });
   }
 
-  /** Takes in a step that this daemon read from the platform itself. */
+  /** Applies a delta that this daemon read from the platform. */
   applyLocalDelta(base: number, revision: number, entries: readonly FeedEntry[]): void {
     this.applyDelta(base, revision, entries);
   }
 
-  /** Takes in the whole state as this daemon read it from the platform itself. */
+  /** Applies a snapshot that this daemon read from the platform. */
   applyLocalSnapshot(revision: number, entries: readonly FeedEntry[]): void {
     this.applySnapshot(revision, entries);
   }
 
-  /** The platform itself has just confirmed that the state is current. */
+  /** Records that the platform has just confirmed directly that the state is current. */
   confirm(): void {
-    this.ownWordAt = this.options.clock.now();
-    this.confirmedAt = this.ownWordAt;
+    this.directlyConfirmedAt = this.options.clock.now();
+    this.confirmedAt = this.directlyConfirmedAt;
     this.isConfirmed = true;
   }
 
-  /** A peer wants to hear from here on. */
+  /** Adds a subscriber and sends it all changes since its revision. */
   handleSubscribe(from: string, revision: number, token: number): void {
-    const known = this.subscribers.get(from);
-    if (known?.token !== token) {
-      this.subscribers.set(from, { token, takenAt: this.options.clock.now() });
+    const existing = this.subscribers.get(from);
+    if (existing?.token !== token) {
+      this.subscribers.set(from, { token, subscribedAt: this.options.clock.now() });
     }
     if (revision === this.state.revision) return;
     const oldest = this.log[0]?.base;
@@ -161,9 +162,9 @@
     }
   }
 
-  /** A peer reports its position: closes gaps, and learns how fresh the state is. */
+  /** Handles the position of an upstream: subscribes again after a gap and records the age of the state. */
   handlePosition(from: string, position: FeedPosition): void {
-    this.heard(from);
+    this.recordContact(from);
     if (position.revision > this.state.revision) {
       this.resubscribe(from);
       return;
@@ -173,32 +174,33 @@
     this.confirmedAt = Math.max(this.confirmedAt, this.options.clock.now() - position.ageMs);
   }
 
-  /** A step from a peer. */
+  /** Handles a delta from an upstream. */
   handleDelta(from: string, delta: Delta): void {
-    this.heard(from);
+    this.recordContact(from);
     const entries = delta.entries.map(decodeEntry);
     const outcome = this.applyDelta(delta.base, delta.revision, entries);
     if (outcome === 'gap') this.resubscribe(from);
   }
 
-  /** A part of a snapshot from a peer. */
+  /** Handles one part of a snapshot from an upstream. */
   handleSnapshot(from: string, snapshot: Snapshot): void {
-    this.heard(from);
-    if (snapshot.first) this.parts.set(from, { revision: snapshot.revision, entries: [] });
-    const parts = this.parts.get(from);
-    if (parts === undefined || parts.revision !== snapshot.revision) return;
-    for (const entry of snapshot.entries) parts.entries.push(decodeEntry(entry));
+    this.recordContact(from);
+    if (snapshot.first)
+      this.pendingSnapshots.set(from, { revision: snapshot.revision, entries: [] });
+    const pending = this.pendingSnapshots.get(from);
+    if (pending === undefined || pending.revision !== snapshot.revision) return;
+    for (const entry of snapshot.entries) pending.entries.push(decodeEntry(entry));
     if (!snapshot.last) return;
-    this.parts.delete(from);
-    this.applySnapshot(parts.revision, parts.entries);
+    this.pendingSnapshots.delete(from);
+    this.applySnapshot(pending.revision, pending.entries);
   }
 
-  private heard(from: string): void {
-    this.heardAt.set(from, this.options.clock.now());
+  private recordContact(from: string): void {
+    this.lastContactAt.set(from, this.options.clock.now());
   }
 
   private subscribe(address: string): void {
-    this.heard(address);
+    this.recordContact(address);
     const { feed, token } = this.options;
     const value = create(SubscribeSchema, { feed, revision: this.state.revision, token });
     this.options.send(address, { case: 'subscribe', value });
@@ -213,7 +215,7 @@
     if (outcome !== 'applied') return outcome;
     const delta = { base, revision, entries };
     this.log.push(delta);
-    if (this.log.length > LOG_LIMIT) this.log.shift();
+    if (this.log.length > DELTA_LOG_LIMIT) this.log.shift();
     const body = this.deltaBody(delta);
     for (const subscriber of this.subscribers.keys()) this.options.send(subscriber, body);
     return outcome;
@@ -237,13 +239,13 @@
   private sendSnapshot(to: string): void {
     const all = this.state.all();
     const { revision } = this.state;
-    for (let start = 0; start === 0 || start < all.length; start += SNAPSHOT_PART) {
+    for (let start = 0; start === 0 || start < all.length; start += SNAPSHOT_PART_ENTRIES) {
       const value = create(SnapshotSchema, {
         feed: this.options.feed,
         revision,
-        entries: all.slice(start, start + SNAPSHOT_PART).map(encodeEntry),
+        entries: all.slice(start, start + SNAPSHOT_PART_ENTRIES).map(encodeEntry),
         first: start === 0,
-        last: start + SNAPSHOT_PART >= all.length,
+        last: start + SNAPSHOT_PART_ENTRIES >= all.length,
       });
       this.options.send(to, { case: 'snapshot', value });
     }
--- a/src/daemon/front-door.ts
+++ b/src/daemon/front-door.ts
@@ -1,4 +1,4 @@
-/** The daemon's HTTP server: callers, operators, health and metrics on one port. */
+/** The daemon's HTTP server: serves the caller API, the administration API, health checks and metrics on one port. */
 import http from 'node:http';
 import { serviceError, type ServiceError } from '../common/errors.js';
 import { listen, readJson, sendError, sendJson } from '../common/http-server.js';
@@ -10,7 +10,7 @@
 
 const FAULTS_BODY_LIMIT_BYTES = 64 * 1024;
 
-/** What the server needs around it. */
+/** Dependencies and settings of the HTTP server. */
 export interface FrontDoorOptions {
   readonly host: string;
   readonly port: number;
@@ -18,14 +18,15 @@
   readonly metrics: DaemonMetrics;
   readonly callers: CallerApi;
   readonly operators: AdminApi;
+  /** Returns the error to refuse requests with; undefined if the daemon is ready. */
   readonly unready: () => ServiceError | undefined;
-  /** Brings the gauges up to date before they are read. */
+  /** Updates the gauges before the metrics are rendered. */
   readonly refreshMetrics: () => void;
-  /** Link faults that tests may switch; undefined in production. */
+  /** Link faults that tests inject; undefined in production. */
   readonly faults: LinkFaults | undefined;
 }
 
-/** Serves HTTP. */
+/** Routes HTTP requests to the APIs by path. */
 export class FrontDoor {
   private readonly server: http.Server;
 
@@ -33,7 +34,10 @@
     this.server = http.createServer((request, response) => {
       this.route(request, response).catch((fault: unknown) => {
         options.logger.error('http_fault', { reason: faultText(fault) });
-        sendError(response, serviceError('internal', 'an unexpected fault; see the log'));
+        sendError(
+          response,
+          serviceError('internal', 'unexpected error; see the log of the daemon'),
+        );
       });
     });
     this.server.keepAliveTimeout = 65_000;
@@ -42,12 +46,12 @@
     });
   }
 
-  /** Starts to listen. */
+  /** Listens on the configured host and port. */
   async start(): Promise<void> {
     await listen(this.server, this.options.host, this.options.port);
   }
 
-  /** Takes no new connection; resolves when the last answer has been written. */
+  /** Stops accepting connections; resolves when the last response has been written. */
   async stop(): Promise<void> {
     await new Promise<void>((resolve) => {
       this.server.close(() => resolve());
@@ -55,7 +59,7 @@
     });
   }
 
-  /** Cuts all connections. */
+  /** Closes all connections immediately. */
   kill(): void {
     this.server.close();
     this.server.closeAllConnections();
--- a/src/daemon/key-claims.ts
+++ b/src/daemon/key-claims.ts
@@ -1,4 +1,4 @@
-/** Claims idempotency keys at a quorum of daemons, and votes on the claims of others. */
+/** Claims idempotency keys at a quorum of voters, and votes on the claims of other daemons. */
 import { create } from '@bufbuild/protobuf';
 import type { Clock } from '../common/clock.js';
 import {
@@ -24,62 +24,65 @@
 } from '../proto/gen/internal_pb.js';
 import type { PeerBody } from './peer-transport.js';
 
-/** Milliseconds until a round without a quorum is given up; a later vote does not count. */
+/** Milliseconds after which a round without a quorum fails; later votes are not counted. */
 const ROUND_TIMEOUT_MS = 600;
-/** Milliseconds that a new voter waits before it pulls: longer than any round. */
-const PULL_AFTER_MS = 1_500;
-/** Milliseconds between the first two pulls, and at most: in a new group all stay young for long. */
-const FIRST_PULL_PERIOD_MS = 1_000;
-const LONGEST_PULL_PERIOD_MS = 60_000;
-/** Milliseconds that the first voter is waited for before the others are asked too. */
-const FIRST_VOTER_MS = 100;
-/** Milliseconds that a granted round waits for a voter that might refuse. */
-const REFUSAL_GRACE_MS = 60;
-
-/** How a claim ended. */
+/** Milliseconds that a restarted voter waits before it pulls claims; longer than any round. */
+const PULL_DELAY_MS = 1_500;
+/**
+ * Milliseconds between the first two pulls; the period doubles up to the maximum. In a
+ * newly started group, the tables of all voters stay incomplete for a long time.
+ */
+const INITIAL_PULL_PERIOD_MS = 1_000;
+const MAX_PULL_PERIOD_MS = 60_000;
+/** Milliseconds to wait for the first voter's vote before the claim is sent to the other voters. */
+const FIRST_VOTER_TIMEOUT_MS = 100;
+/** Milliseconds that a round with a quorum of grants waits for the remaining voter, which may refuse. */
+const REFUSAL_WAIT_MS = 60;
+
+/** Final outcome of a claim. */
 export type SettledClaim = Exclude<ClaimOutcome, 'pending'>;
 
 interface OpenRound {
   readonly startedAt: number;
   readonly round: ClaimRound;
   readonly voters: readonly string[];
-  readonly answered: Set<string>;
+  readonly repliedVoters: Set<string>;
   readonly settle: (outcome: SettledClaim) => void;
-  askedAll: boolean;
-  askOthers: () => void;
+  sentToAll: boolean;
+  sendToOthers: () => void;
 }
 
-/** What claims need around them. */
+/** Dependencies of {@link KeyClaims}. */
 export interface KeyClaimsOptions {
   readonly clock: Clock;
   readonly membership: Membership;
   /**
-   * The daemons of the platform's list. Voters are chosen from it and not from
-   * the live members: on the two sides of a cut the live members differ, and
-   * each side would find a quorum of its own.
+   * The daemons in the platform's list. Voters are chosen from this list instead of the
+   * live members: the live members differ on the two sides of a network partition, and
+   * each side would reach its own quorum.
    */
   readonly listed: () => readonly DutyMember[];
   readonly send: (to: string, body: PeerBody) => void;
 }
 
-/** Both sides of the claims at one daemon. */
+/** Claims keys for the router of one daemon, and votes on claims of other routers. */
 export class KeyClaims {
   private readonly table: ClaimTable;
   private readonly rounds = new Map<string, OpenRound>();
-  /** Who was asked for the keys of requests that have not ended. */
+  /** Voters for the key of each unfinished request, by request id. */
   private readonly voters = new Map<string, readonly string[]>();
   private readonly startedAt: number;
   private readonly pulledFrom = new Set<string>();
   private pullToken = 0;
   private lastPullAt = 0;
-  private pullPeriodMs = FIRST_PULL_PERIOD_MS;
+  private pullPeriodMs = INITIAL_PULL_PERIOD_MS;
 
   constructor(private readonly options: KeyClaimsOptions) {
     this.startedAt = options.clock.now();
     this.table = new ClaimTable(this.startedAt);
   }
 
-  /** Claims a key for a request; resolves at the latest after {@link ROUND_TIMEOUT_MS}. */
+  /** Claims a key for a request; resolves within {@link ROUND_TIMEOUT_MS}. */
   claim(tenant: string, key: string, request: string): Promise<SettledClaim> {
     const voters = votersOf(tenant, key, this.options.listed(), CLAIM_VOTERS);
     this.voters.set(request, voters);
@@ -90,39 +93,40 @@
         this.rounds.delete(request);
         resolve(outcome);
       };
-      const answered = new Set<string>();
+      const repliedVoters = new Set<string>();
       const startedAt = this.options.clock.now();
       const round = new ClaimRound(voters);
-      const open = { startedAt, round, voters, answered, settle, askedAll: false };
-      this.rounds.set(request, { ...open, askOthers: () => {} });
-      this.askVoters(voters, create(ClaimKeySchema, { tenant, key, request }));
+      const open = { startedAt, round, voters, repliedVoters, settle, sentToAll: false };
+      this.rounds.set(request, { ...open, sendToOthers: () => {} });
+      this.sendClaim(voters, create(ClaimKeySchema, { tenant, key, request }));
     });
   }
 
   /**
-   * Asks the first voter alone, and the others once it has granted: two requests
-   * at the same moment are then told apart by one voter and do not split the
-   * votes. A first voter that is silent is not waited for.
+   * Sends the claim to the first voter only, and to the others once it has granted: if
+   * two requests claim a key simultaneously, the first voter decides between them and
+   * the votes are not split. If the first voter does not reply within
+   * {@link FIRST_VOTER_TIMEOUT_MS}, the claim is sent to the others anyway.
    */
-  private askVoters(voters: readonly string[], message: ClaimKey): void {
+  private sendClaim(voters: readonly string[], message: ClaimKey): void {
     const [first, ...others] = voters;
     if (first === undefined) return;
     const body = { case: 'claimKey', value: message } as const;
     this.options.send(first, body);
-    const askOthers = (): void => {
+    const sendToOthers = (): void => {
       const open = this.rounds.get(message.request);
-      if (open === undefined || open.askedAll) return;
-      open.askedAll = true;
+      if (open === undefined || open.sentToAll) return;
+      open.sentToAll = true;
       for (const voter of others) this.options.send(voter, body);
     };
     const open = this.rounds.get(message.request);
-    if (open !== undefined) open.askOthers = askOthers;
-    setTimeout(askOthers, FIRST_VOTER_MS);
+    if (open !== undefined) open.sendToOthers = sendToOthers;
+    setTimeout(sendToOthers, FIRST_VOTER_TIMEOUT_MS);
   }
 
   /**
-   * Gives a key back after its request was refused without having run, so that
-   * the caller can come back with the same key. Must not be called otherwise.
+   * Releases the key of a request that was refused without having run, so that the
+   * caller can retry with the same key. Must not be called in any other case.
    */
   release(tenant: string, key: string, request: string): void {
     const voters = this.voters.get(request) ?? [];
@@ -131,17 +135,17 @@
     for (const voter of voters) this.options.send(voter, { case: 'claimRelease', value });
   }
 
-  /** The request has ended otherwise: its key stays claimed until it expires. */
+  /** Keeps the key of an ended request claimed until it expires, because the request has run or may have run. */
   keep(request: string): void {
     this.voters.delete(request);
   }
 
-  /** A router gives a key back. */
+  /** Handles a router's release of a key. */
   handleRelease(message: ClaimRelease): void {
     this.table.release(message.tenant, message.key, message.request);
   }
 
-  /** Votes on a claim. */
+  /** Votes on another router's claim. */
   handleClaim(from: string, message: ClaimKey): void {
     const now = this.options.clock.now();
     const { tenant, key, request } = message;
@@ -151,27 +155,27 @@
     this.options.send(from, { case: 'claimKeyAnswer', value });
   }
 
-  /** Counts a vote. */
+  /** Counts a voter's vote in the open round of its request. */
   handleAnswer(from: string, message: ClaimKeyAnswer): void {
     const open = this.rounds.get(message.request);
     if (open === undefined) return;
-    // A router that was paused must not count votes of a round that is over.
+    // A router that was paused must not count votes that arrive after the round's timeout.
     if (this.options.clock.now() - open.startedAt > ROUND_TIMEOUT_MS)
       return open.settle('unavailable');
-    open.answered.add(from);
+    open.repliedVoters.add(from);
     const outcome = open.round.vote(from, message.granted, message.young);
-    if (outcome === 'pending') return open.askOthers();
-    if (outcome !== 'granted' || open.answered.size === open.voters.length) {
+    if (outcome === 'pending') return open.sendToOthers();
+    if (outcome !== 'granted' || open.repliedVoters.size === open.voters.length) {
       open.settle(outcome);
       return;
     }
-    // A quorum has granted; the last voter may still know better.
+    // A quorum has granted, but the remaining voter may still refuse.
     setTimeout(() => {
       if (this.rounds.get(message.request) === open) open.settle('granted');
-    }, REFUSAL_GRACE_MS);
+    }, REFUSAL_WAIT_MS);
   }
 
-  /** Takes over the claims of a daemon that drains, or that was asked for them. */
+  /** Merges the claims that a draining daemon hands over, or that a voter sends in reply to a pull. */
   handleTransfer(from: string, message: ClaimTransfer): void {
     const claims = message.claims.map(({ tenant, key, request, expiresAt }): KeyClaim => ({
       tenant,
@@ -184,11 +188,11 @@
     this.pulledFrom.add(from);
     const others = this.otherMembers();
     const isMajority = this.pulledFrom.size + 1 > this.options.listed().length / 2;
-    const haveAll = others.every((address) => this.pulledFrom.has(address));
-    if (isMajority && haveAll) this.table.markComplete();
+    const hasAll = others.every((address) => this.pulledFrom.has(address));
+    if (isMajority && hasAll) this.table.markComplete();
   }
 
-  /** Answers a new voter. */
+  /** Sends this voter's claims to a restarted voter. */
   handlePull(from: string, message: ClaimPull): void {
     const now = this.options.clock.now();
     const claims = this.table.all().map((claim) => ({ ...claim }));
@@ -197,13 +201,13 @@
     this.options.send(from, { case: 'claimTransfer', value });
   }
 
-  /** While this voter is young: asks all others for their claims. */
+  /** Requests the claims of all other daemons while this voter's table may lack claims. */
   pull(): void {
     const now = this.options.clock.now();
-    if (!this.table.mayLackClaims(now) || now - this.startedAt < PULL_AFTER_MS) return;
+    if (!this.table.mayLackClaims(now) || now - this.startedAt < PULL_DELAY_MS) return;
     if (now - this.lastPullAt < this.pullPeriodMs) return;
     this.lastPullAt = now;
-    this.pullPeriodMs = Math.min(this.pullPeriodMs * 2, LONGEST_PULL_PERIOD_MS);
+    this.pullPeriodMs = Math.min(this.pullPeriodMs * 2, MAX_PULL_PERIOD_MS);
     this.pullToken = now;
     this.pulledFrom.clear();
     const value = create(ClaimPullSchema, { token: this.pullToken });
@@ -217,13 +221,13 @@
     return addresses.filter((address) => address !== membership.ownView.address);
   }
 
-  /** Hands this daemon's claims to those who vote once it is gone. */
+  /** Sends this daemon's claims to the daemons that vote on their keys once it has left. */
   handOver(): void {
     const self = this.options.membership.ownView.address;
-    const staying = this.options.listed().filter((member) => member.address !== self);
+    const remaining = this.options.listed().filter((member) => member.address !== self);
     const byVoter = new Map<string, KeyClaim[]>();
     for (const claim of this.table.all()) {
-      for (const voter of votersOf(claim.tenant, claim.key, staying, CLAIM_VOTERS)) {
+      for (const voter of votersOf(claim.tenant, claim.key, remaining, CLAIM_VOTERS)) {
         byVoter.set(voter, [...(byVoter.get(voter) ?? []), claim]);
       }
     }
@@ -233,7 +237,7 @@
     }
   }
 
-  /** Drops what has expired. */
+  /** Deletes expired claims. */
   expire(): void {
     this.table.deleteExpired(this.options.clock.now());
   }
--- a/src/daemon/membership-transport.ts
+++ b/src/daemon/membership-transport.ts
@@ -1,9 +1,9 @@
-/** Carries out what membership wants sent: probes as datagrams, whole states over TCP. */
+/** Sends the messages of the membership protocol: probes as UDP datagrams, full states over TCP. */
 import type { MembershipEffect } from '../core/membership-messages.js';
 import { encodeProbe, encodeState } from './codec.js';
 import type { PeerTransport } from './peer-transport.js';
 
-/** Sends the messages among the effects; true if the set of live members has changed. */
+/** Sends the messages among the effects. Returns true if the set of live members has changed. */
 export function performMembershipEffects(
   effects: readonly MembershipEffect[],
   transport: PeerTransport,
--- a/src/daemon/metrics.ts
+++ b/src/daemon/metrics.ts
@@ -1,10 +1,10 @@
-/** Metrics of one daemon, by prom-client, in a registry of their own. */
+/** Prometheus metrics of one daemon, in their own prom-client registry. */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 
-/** Buckets for cold starts, in seconds. */
+/** Histogram buckets for cold starts, in seconds. */
 const COLD_START_BUCKETS = [0.1, 0.25, 0.5, 1, 2, 4, 8, 15, 30, 60, 120, 300];
-/** Buckets for added time, in seconds. */
-const ADDED_TIME_BUCKETS = [0.0005, 0.001, 0.002, 0.003, 0.005, 0.01, 0.05, 0.25];
+/** Histogram buckets for the dispatch time of requests to warm tenants, in seconds. */
+const DISPATCH_TIME_BUCKETS = [0.0005, 0.001, 0.002, 0.003, 0.005, 0.01, 0.05, 0.25];
 
 /** All metrics of a daemon. */
 export class DaemonMetrics {
@@ -19,7 +19,7 @@
   readonly addedTime = new Histogram({
     name: 'scaleslip_dispatch_seconds',
     help: 'Time from arrival to the send to an engine, for warm tenants',
-    buckets: ADDED_TIME_BUCKETS,
+    buckets: DISPATCH_TIME_BUCKETS,
     registers: [this.registry],
   });
   readonly requests = new Counter({
--- a/src/daemon/peer-transport.ts
+++ b/src/daemon/peer-transport.ts
@@ -1,7 +1,7 @@
 /**
- * Messages between daemons: probes as single UDP datagrams, everything else
- * over TCP as size-delimited protobuf messages, on one port number. A connection
- * carries messages one way, and acknowledgements of one byte the other way.
+ * Transport for messages between daemons: probes as single UDP datagrams, all other
+ * messages as size-delimited protobuf messages over TCP, on the same port number. A TCP
+ * connection carries messages in one direction and one-byte acknowledgements in the other.
  */
 import dgram from 'node:dgram';
 import net from 'node:net';
@@ -12,32 +12,32 @@
 import type { Logger } from '../common/logger.js';
 import { EnvelopeSchema, type Envelope } from '../proto/gen/internal_pb.js';
 
-/** Largest message that is read; a larger length prefix is garbage. */
-const LARGEST_MESSAGE_BYTES = 8 * 1024 * 1024;
-/** Bytes queued towards a peer that does not read, after which the connection is dropped. */
-const LARGEST_BACKLOG_BYTES = 32 * 1024 * 1024;
+/** Maximum size of a message; a larger length prefix is treated as malformed data. */
+const MAX_MESSAGE_BYTES = 8 * 1024 * 1024;
+/** Bytes queued for a peer that does not read, above which the connection is closed. */
+const MAX_BACKLOG_BYTES = 32 * 1024 * 1024;
 const CONNECT_TIMEOUT_MS = 2_000;
-/** Connections without traffic are closed after so long. */
-const IDLE_MS = 60_000;
-/** A receiver answers what it was sent with one byte, after so long for all of that time together. */
-const ACKNOWLEDGE_AFTER_MS = 500;
+/** Milliseconds without traffic after which a connection is closed. */
+const IDLE_TIMEOUT_MS = 60_000;
+/** Milliseconds after which a receiver acknowledges, with one byte, all data received until then. */
+const ACKNOWLEDGEMENT_DELAY_MS = 500;
 /**
- * A connection on which nothing is acknowledged for so long is dropped, and the next message opens
- * a new one: a connection may go silent for good without a reset, which Node's own keep-alive shows
- * after 11 s only.
+ * Milliseconds without an acknowledgement of sent data after which a connection is closed; the
+ * next message opens a new one. A connection may stop delivering data permanently without a
+ * reset, which Node's TCP keep-alive detects only after 11 s.
  */
-const SILENT_MS = 1_800;
+const ACKNOWLEDGEMENT_TIMEOUT_MS = 1_800;
 const ACKNOWLEDGEMENT = new Uint8Array(1);
-/** Bytes of IP and UDP headers, counted with each datagram. */
+/** Size of the IP and UDP headers, added to the byte count of each datagram. */
 const DATAGRAM_HEADER_BYTES = 28;
 
 /** The body of a message between daemons. */
 export type PeerBody = Exclude<Envelope['body'], { case: undefined }>;
 
-/** Receives messages. */
+/** Handles a received message. */
 export type PeerHandler = (from: string, body: PeerBody) => void;
 
-/** What has passed through a transport. */
+/** Traffic counters of a transport. */
 export interface TransportCounts {
   bytesSent: number;
   bytesReceived: number;
@@ -47,20 +47,20 @@
 
 /** Options of {@link PeerTransport}. */
 export interface PeerTransportOptions {
-  /** IP number to listen on, and to present. */
+  /** IPv4 address to listen on, and to use as the sender address. */
   readonly host: string;
   /** Port for TCP and UDP. */
   readonly port: number;
   readonly logger: Logger;
   readonly faults: LinkFaults;
   readonly onMessage: PeerHandler;
-  /** A peer's TCP connection has failed or ended. */
+  /** Called when the TCP connection to a peer has failed or closed. */
   readonly onDisconnect: (address: string) => void;
 }
 
 /** Sends and receives messages of one daemon. */
 export class PeerTransport {
-  /** This daemon's peer address. */
+  /** The address of this daemon for other daemons, as "ip:port". */
   readonly address: string;
   readonly counts: TransportCounts = {
     bytesSent: 0,
@@ -70,8 +70,8 @@
   };
   private readonly connections = new Map<string, net.Socket>();
   private readonly incoming = new Set<net.Socket>();
-  /** Runs out when a peer does not acknowledge. */
-  private readonly silenceTimers = new Map<net.Socket, NodeJS.Timeout>();
+  /** Acknowledgement timeouts of connections with unacknowledged data. */
+  private readonly acknowledgementTimers = new Map<net.Socket, NodeJS.Timeout>();
   private readonly server: net.Server;
   private readonly datagrams = dgram.createSocket('udp4');
   private stopped = false;
@@ -107,12 +107,12 @@
     for (const socket of this.incoming) socket.destroy();
   }
 
-  /** Sends a message over TCP; it is lost if the peer cannot be reached. */
+  /** Sends a message over TCP. The message is lost if the peer cannot be reached. */
   send(to: string, body: PeerBody): void {
     this.sendToAll([to], body);
   }
 
-  /** Sends one message to several peers over TCP; it is encoded once. */
+  /** Sends one message to several peers over TCP, encoding it only once. */
   sendToAll(addresses: readonly string[], body: PeerBody): void {
     const bytes = sizeDelimitedEncode(EnvelopeSchema, this.envelope(body));
     for (const to of addresses) {
@@ -124,7 +124,7 @@
 
   private write(to: string, bytes: Uint8Array): void {
     const socket = this.connections.get(to) ?? this.connect(to);
-    if (socket.writableLength > LARGEST_BACKLOG_BYTES) {
+    if (socket.writableLength > MAX_BACKLOG_BYTES) {
       socket.destroy();
       return;
     }
@@ -134,17 +134,20 @@
   }
 
   private expectAcknowledgement(to: string, socket: net.Socket): void {
-    if (this.silenceTimers.has(socket)) return;
+    if (this.acknowledgementTimers.has(socket)) return;
     const timer = setTimeout(() => {
-      this.options.logger.warn('peer_silent', { peer: to, milliseconds: SILENT_MS });
+      this.options.logger.warn('peer_silent', {
+        peer: to,
+        milliseconds: ACKNOWLEDGEMENT_TIMEOUT_MS,
+      });
       socket.destroy();
-    }, SILENT_MS);
-    this.silenceTimers.set(socket, timer);
+    }, ACKNOWLEDGEMENT_TIMEOUT_MS);
+    this.acknowledgementTimers.set(socket, timer);
   }
 
-  private acknowledged(socket: net.Socket): void {
-    clearTimeout(this.silenceTimers.get(socket));
-    this.silenceTimers.delete(socket);
+  private clearAcknowledgementTimer(socket: net.Socket): void {
+    clearTimeout(this.acknowledgementTimers.get(socket));
+    this.acknowledgementTimers.delete(socket);
   }
 
   /** Sends a message as one datagram. */
@@ -153,7 +156,7 @@
     const [host, port] = splitAddress(to);
     const bytes = toBinary(EnvelopeSchema, this.envelope(body));
     this.datagrams.send(bytes, port, host, () => {
-      // A datagram that cannot be sent is a lost one; the protocol expects losses.
+      // A send error counts as a lost datagram, which the membership protocol tolerates.
     });
     this.countSent(bytes.length + DATAGRAM_HEADER_BYTES);
   }
@@ -174,17 +177,17 @@
     const timer = setTimeout(() => {
       if (socket.connecting) socket.destroy();
     }, CONNECT_TIMEOUT_MS);
-    socket.setTimeout(IDLE_MS, () => socket.end());
+    socket.setTimeout(IDLE_TIMEOUT_MS, () => socket.end());
     socket.on('error', () => {
-      // `close` follows and tells the rest.
+      // The `close` event follows and does the cleanup.
     });
     socket.on('close', () => {
       clearTimeout(timer);
-      this.acknowledged(socket);
+      this.clearAcknowledgementTimer(socket);
       if (this.connections.get(to) === socket) this.connections.delete(to);
       if (!this.stopped) this.options.onDisconnect(to);
     });
-    socket.on('data', () => this.acknowledged(socket));
+    socket.on('data', () => this.clearAcknowledgementTimer(socket));
     return socket;
   }
 
@@ -196,11 +199,11 @@
       acknowledgement ??= setTimeout(() => {
         acknowledgement = undefined;
         if (socket.writable) socket.write(ACKNOWLEDGEMENT);
-      }, ACKNOWLEDGE_AFTER_MS);
+      }, ACKNOWLEDGEMENT_DELAY_MS);
       this.counts.bytesReceived += chunk.length;
       const bytes = rest.length === 0 ? chunk : Buffer.concat([rest, chunk]);
-      const taken = this.takeMessages(bytes, socket);
-      rest = bytes.subarray(taken);
+      const consumed = this.consumeMessages(bytes, socket);
+      rest = bytes.subarray(consumed);
     });
     socket.on('error', () => socket.destroy());
     socket.on('close', () => {
@@ -209,18 +212,18 @@
     });
   }
 
-  /** Handles all whole messages at the start of `bytes`; returns how many bytes they take. */
-  private takeMessages(bytes: Uint8Array, socket: net.Socket): number {
+  /** Handles all complete messages at the start of `bytes`. Returns the number of bytes consumed. */
+  private consumeMessages(bytes: Uint8Array, socket: net.Socket): number {
     let position = 0;
     for (;;) {
       const head = peekSize(bytes.subarray(position));
       if (head === undefined) {
-        this.rejectGarbage(socket, 'no length prefix');
+        this.rejectMalformed(socket, 'no length prefix');
         return bytes.length;
       }
       if (head.eof) return position;
-      if (head.size > LARGEST_MESSAGE_BYTES) {
-        this.rejectGarbage(socket, `a message of ${head.size} bytes`);
+      if (head.size > MAX_MESSAGE_BYTES) {
+        this.rejectMalformed(socket, `a message of ${head.size} bytes`);
         return bytes.length;
       }
       const start = position + head.offset;
@@ -247,18 +250,18 @@
     try {
       return fromBinary(EnvelopeSchema, bytes);
     } catch {
-      this.rejectGarbage(socket, 'a message that cannot be decoded');
+      this.rejectMalformed(socket, 'a message that cannot be decoded');
       return undefined;
     }
   }
 
-  private rejectGarbage(socket: net.Socket | undefined, reason: string): void {
+  private rejectMalformed(socket: net.Socket | undefined, reason: string): void {
     this.options.logger.warn('garbage_received', { reason });
     socket?.destroy();
   }
 }
 
-/** The length prefix at the start of `bytes`; undefined if there is none. */
+/** Decodes the length prefix at the start of `bytes`; undefined if it is invalid. */
 function peekSize(bytes: Uint8Array): ReturnType<typeof sizeDelimitedPeek> | undefined {
   try {
     return sizeDelimitedPeek(bytes);
--- a/src/daemon/platform-reader.ts
+++ b/src/daemon/platform-reader.ts
@@ -1,7 +1,7 @@
 /**
- * Reads the platform in place of a whole zone: a watch on the objects, and the
- * list of machines at intervals. Only the few daemons that rank first in a zone
- * run one, because the object API bears few readers.
+ * Reads the platform on behalf of a whole zone: watches the objects and polls the list
+ * of machines. Only the few highest-ranked daemons of a zone run a reader, because the
+ * object API supports only a small number of readers.
  */
 import type { Logger } from '../common/logger.js';
 import { sleep } from '../common/process.js';
@@ -16,12 +16,12 @@
 } from '../platform/platform-client.js';
 import type { FeedRelay } from './feed-relay.js';
 
-/** Milliseconds between two looks at the list of machines. */
-const MACHINE_PERIOD_MS = 500;
-/** Milliseconds before a broken watch is started again. */
+/** Milliseconds between two polls of the list of machines. */
+const MACHINE_POLL_MS = 500;
+/** Milliseconds before a failed list or an ended watch is retried. */
 const WATCH_RETRY_MS = 300;
 
-/** Feeds two relays from the platform. */
+/** Reads the configuration and the list of machines from the platform into two relays. */
 export class PlatformReader {
   private running = false;
   private watch: Watch | undefined;
@@ -83,7 +83,7 @@
             this.configuration.applyLocalDelta(reached, event.revision, [changeEntry(event)]);
             reached = event.revision;
           }
-          // The watch is in order: what it says now covers all up to its revision.
+          // The watch delivers events in order, so this event confirms all changes up to its revision.
           if (this.configuration.state.revision >= event.revision) this.configuration.confirm();
         },
         onEnd: resolve,
@@ -98,7 +98,7 @@
         this.applyMachines(list.value.version, list.value.machines);
         this.machines.confirm();
       }
-      await sleep(MACHINE_PERIOD_MS);
+      await sleep(MACHINE_POLL_MS);
     }
   }
 
@@ -110,8 +110,8 @@
     for (const machine of list) {
       listed.add(machine.address);
       const value = encodeValue(machine);
-      const held = state.get(machine.address);
-      if (held !== undefined && Buffer.compare(held, value) === 0) continue;
+      const stored = state.get(machine.address);
+      if (stored !== undefined && Buffer.compare(stored, value) === 0) continue;
       entries.push({ key: machine.address, revision: version, value });
     }
     for (const address of [...state.keys('')]) {
@@ -121,7 +121,7 @@
   }
 }
 
-/** A value as feeds hold it. */
+/** Encodes a value in the form in which feeds store it. */
 export function encodeValue(value: unknown): Uint8Array {
   return Buffer.from(JSON.stringify(value), 'utf8');
 }
--- a/src/daemon/pool-claims.ts
+++ b/src/daemon/pool-claims.ts
@@ -1,6 +1,7 @@
 /**
- * Which pools this daemon owns: claims a pool by compare-and-swap when it ranks
- * first for it and the pool has no living owner, and runs an owner for each.
+ * Manages the pools that this daemon owns: claims a pool by compare-and-swap if the
+ * daemon ranks first for it and the pool has no live owner, and runs an owner process
+ * for each claimed pool.
  */
 import { randomUUID } from 'node:crypto';
 import type { Clock } from '../common/clock.js';
@@ -19,10 +20,10 @@
 import type { Directory } from './directory.js';
 import { PoolOwnerProcess, sameWrite } from './pool-owner-process.js';
 
-/** Milliseconds before a pool whose claim failed is looked at again. */
+/** Milliseconds before a failed claim of a pool is retried. */
 const CLAIM_RETRY_MS = 500;
 
-/** What claims need around them. */
+/** Dependencies of {@link PoolClaims}. */
 export interface PoolClaimsOptions {
   readonly self: string;
   readonly clock: Clock;
@@ -31,15 +32,15 @@
   readonly platform: PlatformClient;
   readonly engines: EngineClient;
   readonly directory: Directory;
-  /** The daemons of the platform's list. */
+  /** The daemons in the platform's list. */
   readonly listed: () => readonly DutyMember[];
-  /** Revision that the configuration has reached. */
+  /** Current revision of the configuration. */
   readonly configurationRevision: () => number;
-  /** Starts an owner for a record that names this daemon. */
+  /** Starts an owner process for a pool record that names this daemon as owner. */
   readonly startOwner: (record: PoolRecord) => PoolOwnerProcess;
 }
 
-/** The pools of one daemon. */
+/** Claims and releases the pools of one daemon. */
 export class PoolClaims {
   readonly owners = new Map<string, PoolOwnerProcess>();
   private readonly claiming = new Set<string>();
@@ -48,7 +49,7 @@
 
   constructor(private readonly options: PoolClaimsOptions) {}
 
-  /** Looks at all pools; called when members or pools have changed, and at intervals. */
+  /** Claims all pools that this daemon should own. Called periodically and when the members have changed. */
   evaluate(): void {
     if (this.stopped) return;
     for (const pool of this.knownPools()) {
@@ -56,12 +57,12 @@
     }
   }
 
-  /** Forgets an owner that has lost its pool. */
+  /** Removes the owner process that has lost its pool. */
   lost(pool: string, epoch: number): void {
     if (this.owners.get(pool)?.epoch === epoch) this.owners.delete(pool);
   }
 
-  /** Hands all pools over. */
+  /** Gives up all pools, so that other daemons can claim them at once. */
   async release(): Promise<void> {
     this.stopped = true;
     const owners = [...this.owners.values()];
@@ -69,14 +70,14 @@
     await Promise.all(owners.map((owner) => owner.release()));
   }
 
-  /** Ends all owners without a hand-over. */
+  /** Stops all owner processes without giving up their pools. */
   stop(): void {
     this.stopped = true;
     for (const owner of this.owners.values()) owner.stop();
     this.owners.clear();
   }
 
-  /** Pools of the records, and of the engines that the platform lists. */
+  /** The pools that have a record, and those of the engines in the platform's list. */
   private knownPools(): DutyPool[] {
     const pools = new Map<string, DutyPool>();
     for (const record of this.options.directory.pools()) pools.set(record.pool, record);
@@ -133,7 +134,9 @@
     found: readonly RegisteredEngine[],
   ): PoolRecord {
     const addresses = new Set(found.map((engine) => engine.address));
-    const silent = (current?.engines ?? []).filter((engine) => !addresses.has(engine.address));
+    const unresponsive = (current?.engines ?? []).filter(
+      (engine) => !addresses.has(engine.address),
+    );
     return {
       pool: pool.pool,
       zone: pool.zone,
@@ -142,12 +145,12 @@
       epoch: (current?.epoch ?? 0) + 1,
       writeId: randomUUID(),
       configurationFloor: current?.configurationFloor ?? 0,
-      // An engine that is silent stays registered as it was, and counts until it answers or is gone.
-      engines: [...found, ...silent],
+      // An engine that did not reply stays registered and counted until it replies or is unregistered.
+      engines: [...found, ...unresponsive],
     };
   }
 
-  /** Asks the pool's engines for their incarnations. */
+  /** Requests the incarnations of the pool's engines; engines that do not reply are left out. */
   private async findEngines(
     pool: string,
     registered: readonly RegisteredEngine[],
@@ -156,16 +159,16 @@
     for (const machine of this.options.directory.machines()) {
       if (machine.pool === pool && machine.state === 'live') addresses.add(machine.address);
     }
-    const answers = await Promise.all(
+    const results = await Promise.all(
       [...addresses].map(async (address) => {
         const status = await this.options.engines.status(address);
         return status.isOk ? [{ address, incarnation: status.value.incarnation }] : [];
       }),
     );
-    return answers.flat();
+    return results.flat();
   }
 
-  /** An owner acts only on a configuration at least as new as the pool's floor. */
+  /** Starts the owner process if the configuration has reached the pool's configuration floor; retries later otherwise. */
   private startWhenCurrent(record: PoolRecord): void {
     const { logger, clock } = this.options;
     if (this.options.configurationRevision() < record.configurationFloor) {
--- a/src/daemon/pool-owner-process.ts
+++ b/src/daemon/pool-owner-process.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the owner of one pool under one epoch: performs its orders, follows the
- * engines' reports, and keeps the pool's record.
+ * Runs the owner of one pool for one epoch: sends its orders to engines, receives the
+ * engines' reports, and maintains the pool's record.
  */
 import { randomUUID } from 'node:crypto';
 import type { Clock } from '../common/clock.js';
@@ -24,19 +24,19 @@
 import type { Directory } from './directory.js';
 import type { DaemonMetrics } from './metrics.js';
 
-/** Milliseconds between two looks at idle times, listed machines and expired wakes. */
+/** Milliseconds between two checks of idle times, listed machines and expired wakes. */
 const TICK_MS = 250;
-/** Pauses between two tries of one order. */
-const ORDER_FIRST_PAUSE_MS = 50;
-const ORDER_LONGEST_PAUSE_MS = 1_000;
-/** Milliseconds before a broken report stream is opened again. */
+/** Initial and maximum backoff between two attempts to send an order, in milliseconds. */
+const ORDER_INITIAL_BACKOFF_MS = 50;
+const ORDER_MAX_BACKOFF_MS = 1_000;
+/** Milliseconds before a broken report stream is reopened. */
 const REPORT_RETRY_MS = 300;
-/** Milliseconds that the platform's list must not show an engine before it counts as gone. */
-const GONE_AFTER_MS = 10_000;
-/** Milliseconds before a failed change of a record is tried again. */
+/** Milliseconds for which an engine must be missing from the platform's list before it is considered removed. */
+const MISSING_ENGINE_TIMEOUT_MS = 10_000;
+/** Milliseconds before a failed change of a record is retried. */
 const RECORD_RETRY_MS = 500;
 
-/** What an owner process needs around it. */
+/** Dependencies and settings of {@link PoolOwnerProcess}. */
 export interface PoolOwnerProcessOptions {
   readonly record: PoolRecord;
   readonly self: string;
@@ -50,13 +50,13 @@
   readonly keepAlive: KeepAlivePolicy;
   readonly remoteLoads: number;
   readonly pushLocation: (router: string, location: TenantLocation) => void;
-  /** Called once when a newer owner has taken the pool. */
+  /** Called once when a newer owner has claimed the pool. */
   readonly onLost: (pool: string, epoch: number) => void;
 }
 
 type SendOrder = Extract<PoolEffect, { type: 'send_order' }>;
 
-/** One pool's owner. */
+/** Owner process of one pool. */
 export class PoolOwnerProcess {
   readonly pool: string;
   readonly epoch: number;
@@ -65,11 +65,11 @@
   private readonly orders = new Map<string, Mailbox<SendOrder>>();
   private readonly recordJobs = new Mailbox<() => Promise<void>>();
   private readonly reports = new Map<string, RequestStream>();
-  private readonly absentSince = new Map<string, number>();
-  private readonly joining = new Set<string>();
+  private readonly missingSince = new Map<string, number>();
+  private readonly registeringEngines = new Set<string>();
   private readonly ticker: { stop(): void };
   private readonly claimedAt: number;
-  private sealedLogged = false;
+  private hasLoggedSealed = false;
   private stopped = false;
 
   constructor(private readonly options: PoolOwnerProcessOptions) {
@@ -85,16 +85,16 @@
       keepAlive: options.keepAlive,
       remoteLoads: options.remoteLoads,
     });
-    const onFault = this.onFault.bind(this);
-    startConsumer(this.events, (event) => this.handle(event), onFault);
-    startSerialWorker(this.recordJobs, (job) => job(), onFault);
-    this.ticker = startTicker(TICK_MS, () => this.tick(), onFault);
+    const onError = this.onError.bind(this);
+    startConsumer(this.events, (event) => this.handle(event), onError);
+    startSerialWorker(this.recordJobs, (job) => job(), onError);
+    this.ticker = startTicker(TICK_MS, () => this.tick(), onError);
     this.loadTenants();
     this.perform(this.owner.start());
     for (const engine of record.engines) this.followReports(engine.address);
   }
 
-  /** Ends the process; its orders are no longer sent. */
+  /** Stops the process; pending orders are dropped. */
   stop(): void {
     if (this.stopped) return;
     this.stopped = true;
@@ -105,12 +105,12 @@
     for (const stream of this.reports.values()) stream.close();
   }
 
-  /** A router asks for a tenant. */
+  /** Handles a router's wake request for a tenant. */
   wake(wake: WakeRequest): void {
     this.events.offer({ type: 'wake', wake });
   }
 
-  /** An object of the configuration has changed. */
+  /** Handles the change of an object of the configuration. */
   configurationChanged(key: string): void {
     const [kind = '', name = ''] = splitKey(key);
     if (kind === 'quota' || kind === 'tenant') this.refreshTenant(name);
@@ -118,37 +118,37 @@
     if (kind === 'pool' && name === this.pool) this.checkRecord();
   }
 
-  /** The owner's state, for the status page. */
+  /** The owner's state, for the status report. */
   get state(): PoolOwner {
     return this.owner;
   }
 
-  /** Gives the pool up, so that another daemon can claim it at once. */
+  /** Stops the process and gives up the pool, so that another daemon can claim it at once. */
   async release(): Promise<void> {
     this.stop();
     await updateObject<PoolRecord>(this.options.platform, {
       kind: 'pool',
       name: this.pool,
       change: (current) => {
-        if (current === undefined || !this.isOurs(current)) return undefined;
+        if (current === undefined || !this.isOwnRecord(current)) return undefined;
         return { ...current, owner: '', writeId: randomUUID() };
       },
       isOwn: sameWrite,
     });
   }
 
-  /** The relayed record may tell of a newer owner before any engine does. */
+  /** Checks for a newer owner in the relayed record, which may name it before any engine does. */
   private checkRecord(): void {
     const record = this.options.directory.pool(this.pool);
     if (record !== undefined && record.epoch > this.epoch)
-      this.lose('the record has a newer epoch');
+      this.reportOwnershipLost('the record has a newer epoch');
   }
 
-  private onFault(fault: unknown): void {
+  private onError(fault: unknown): void {
     this.options.logger.error('owner_fault', { pool: this.pool, reason: faultText(fault) });
   }
 
-  private isOurs(record: PoolRecord): boolean {
+  private isOwnRecord(record: PoolRecord): boolean {
     return record.owner === this.options.self && record.epoch === this.epoch;
   }
 
@@ -178,8 +178,8 @@
   private handle(event: PoolEvent): void {
     if (this.stopped) return;
     this.perform(this.owner.handle(event, this.options.clock.now()));
-    if (this.sealedLogged || !this.owner.isSealed()) return;
-    this.sealedLogged = true;
+    if (this.hasLoggedSealed || !this.owner.isSealed()) return;
+    this.hasLoggedSealed = true;
     const milliseconds = this.options.clock.now() - this.claimedAt;
     this.options.logger.info('pool_sealed', { pool: this.pool, epoch: this.epoch, milliseconds });
   }
@@ -206,7 +206,7 @@
         this.recordJobs.offer(() => this.acknowledge(effect.tenant, effect.quotaVersion));
         return;
       case 'ownership_lost':
-        this.lose(effect.reason);
+        this.reportOwnershipLost(effect.reason);
         return;
       case 'load_finished':
         this.loadFinished(effect);
@@ -221,7 +221,7 @@
     this.options.logger.info('load_finished', fields);
   }
 
-  private lose(reason: string): void {
+  private reportOwnershipLost(reason: string): void {
     if (this.stopped) return;
     this.options.logger.warn('ownership_lost', { pool: this.pool, epoch: this.epoch, reason });
     this.stop();
@@ -233,27 +233,27 @@
     if (known !== undefined) return known;
     const mailbox = new Mailbox<SendOrder>();
     this.orders.set(engine, mailbox);
-    startSerialWorker(mailbox, (effect) => this.sendOrder(effect), this.onFault.bind(this));
+    startSerialWorker(mailbox, (effect) => this.sendOrder(effect), this.onError.bind(this));
     return mailbox;
   }
 
-  /** Repeats an order until it is answered; repeating the same sequence is harmless. */
+  /** Sends an order until the engine replies. Engines apply an order with the same sequence number only once. */
   private async sendOrder(effect: SendOrder): Promise<void> {
     const { engine, fence, order } = effect;
-    let pause = ORDER_FIRST_PAUSE_MS;
+    let backoffMs = ORDER_INITIAL_BACKOFF_MS;
     while (this.isOrderCurrent(effect)) {
       this.options.metrics.orders.inc({ type: order.type });
-      const answer = await this.options.engines.order(engine, fence, order);
-      if (answer.isOk) {
-        this.events.offer({ type: 'order_answered', engine, fence, answer: answer.value });
+      const reply = await this.options.engines.order(engine, fence, order);
+      if (reply.isOk) {
+        this.events.offer({ type: 'order_answered', engine, fence, answer: reply.value });
         return;
       }
-      await sleep(pause);
-      pause = Math.min(pause * 2, ORDER_LONGEST_PAUSE_MS);
+      await sleep(backoffMs);
+      backoffMs = Math.min(backoffMs * 2, ORDER_MAX_BACKOFF_MS);
     }
   }
 
-  /** Orders to a process that is gone, or to an engine that has left the pool, are dropped. */
+  /** Whether an order is still valid: its engine belongs to the pool and its process has not restarted. */
   private isOrderCurrent(effect: SendOrder): boolean {
     if (this.stopped) return false;
     return this.owner.engines.get(effect.engine)?.incarnation === effect.fence.incarnation;
@@ -275,7 +275,7 @@
     if (this.stopped) return;
     this.events.offer({ type: 'tick' });
     this.countIdle();
-    this.compareWithList();
+    this.compareWithMachineList();
   }
 
   private countIdle(): void {
@@ -288,26 +288,27 @@
     this.options.metrics.idleSeconds.inc((idle * TICK_MS) / 1000);
   }
 
-  /** What the platform's list says of this pool's engines; never the truth on its own. */
-  private compareWithList(): void {
+  /** Compares this pool's engines with the platform's list, which is only a hint and may be wrong. */
+  private compareWithMachineList(): void {
     const now = this.options.clock.now();
     const listed = this.options.directory
       .machines()
       .filter((machine) => machine.pool === this.pool);
     const names = new Set(listed.map((machine) => machine.address));
     for (const machine of listed) {
-      this.absentSince.delete(machine.address);
+      this.missingSince.delete(machine.address);
       if (this.owner.engines.has(machine.address)) {
         this.reportListed(machine.address, machine.state === 'leaving');
       } else if (machine.state === 'live') {
-        void this.join(machine.address);
+        void this.registerListedEngine(machine.address);
       }
     }
     for (const engine of this.owner.engines.keys()) {
       if (names.has(engine)) continue;
-      const since = this.absentSince.get(engine) ?? now;
-      this.absentSince.set(engine, since);
-      if (now - since >= GONE_AFTER_MS) this.events.offer({ type: 'engine_gone', engine });
+      const since = this.missingSince.get(engine) ?? now;
+      this.missingSince.set(engine, since);
+      if (now - since >= MISSING_ENGINE_TIMEOUT_MS)
+        this.events.offer({ type: 'engine_gone', engine });
     }
   }
 
@@ -316,10 +317,10 @@
     this.events.offer({ type: 'engine_listed', engine, leaving });
   }
 
-  /** Takes a machine that is new in the list into the pool. */
-  private async join(engine: string): Promise<void> {
-    if (this.joining.has(engine)) return;
-    this.joining.add(engine);
+  /** Registers an engine that is new in the platform's list. */
+  private async registerListedEngine(engine: string): Promise<void> {
+    if (this.registeringEngines.has(engine)) return;
+    this.registeringEngines.add(engine);
     const status = await this.options.engines.status(engine);
     if (status.isOk && !this.stopped) {
       const { incarnation } = status.value;
@@ -327,10 +328,10 @@
     } else {
       await sleep(RECORD_RETRY_MS);
     }
-    this.joining.delete(engine);
+    this.registeringEngines.delete(engine);
   }
 
-  /** Enters an incarnation into the record; only after that is it sealed. */
+  /** Writes an engine's incarnation into the pool's record; the engine is sealed only after that. */
   private async registerEngine(engine: RegisteredEngine): Promise<void> {
     const done = await this.updateRecord((record) => ({
       ...record,
@@ -359,19 +360,19 @@
   }
 
   /**
-   * Confirms that the pool has come down to its target. The floor goes into the
-   * pool's record first: a later owner with an older configuration must not
-   * count on the quota that is given up here.
+   * Acknowledges that the pool has shrunk to its target. The configuration floor is
+   * written to the pool's record first: a later owner with an older configuration must
+   * not use the quota that is given up here.
    */
   private async acknowledge(tenant: string, quotaVersion: number): Promise<void> {
-    const floored = await this.updateRecord((record) => ({
+    const isFloorWritten = await this.updateRecord((record) => ({
       ...record,
       configurationFloor: Math.max(record.configurationFloor, quotaVersion),
     }));
     const { platform, directory } = this.options;
     const record = directory.quota(tenant);
     const isCurrent = directory.version('quota', tenant) === quotaVersion && record !== undefined;
-    if (floored && isCurrent) {
+    if (isFloorWritten && isCurrent) {
       const value = acknowledgeShrink(record, this.pool);
       const name = tenant;
       const written = await platform.write({
@@ -383,26 +384,26 @@
       if (written.isOk) return;
       await sleep(RECORD_RETRY_MS);
     }
-    // The watch brings a newer version, or this one is tried again.
+    // Retries, unless the watch delivers a newer version of the quota.
     this.owner.retryAcknowledgement(tenant);
   }
 
-  /** Changes the pool's record while it is still this owner's; false if that failed. */
+  /** Changes the pool's record while this owner holds it. Returns false after a stop or the loss of the pool. */
   private async updateRecord(change: (record: PoolRecord) => PoolRecord): Promise<boolean> {
     while (!this.stopped) {
-      let foreign = false;
+      let isOwnedElsewhere = false;
       const updated = await updateObject<PoolRecord>(this.options.platform, {
         kind: 'pool',
         name: this.pool,
         change: (current) => {
-          foreign = current === undefined || !this.isOurs(current);
-          if (current === undefined || foreign) return undefined;
+          isOwnedElsewhere = current === undefined || !this.isOwnRecord(current);
+          if (current === undefined || isOwnedElsewhere) return undefined;
           return { ...change(current), writeId: randomUUID() };
         },
         isOwn: sameWrite,
       });
-      if (foreign) {
-        this.lose('the record names a newer owner');
+      if (isOwnedElsewhere) {
+        this.reportOwnershipLost('the record names a newer owner');
         return false;
       }
       if (updated.isOk) return true;
@@ -412,7 +413,7 @@
   }
 }
 
-/** Whether a record that was read back is the one just written. */
+/** Whether a record that was read back comes from the given write. */
 export function sameWrite(written: PoolRecord, found: PoolRecord): boolean {
   return written.writeId === found.writeId;
 }
--- a/src/daemon/quota-reconciler.ts
+++ b/src/daemon/quota-reconciler.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the quota records in step with the tenants and pools. Each tenant has
- * one daemon that ranks first for it; should two think so, the compare-and-swap
- * lets only one write through.
+ * Keeps the quota records consistent with the tenants and pools. One daemon ranks first
+ * for each tenant and writes its record; if two daemons consider themselves first, the
+ * compare-and-swap accepts only one of the writes.
  */
 import type { Logger } from '../common/logger.js';
 import { faultText } from '../common/logger.js';
@@ -12,19 +12,19 @@
 import type { PlatformClient } from '../platform/platform-client.js';
 import type { Directory } from './directory.js';
 
-/** Milliseconds between two writes, so that a large change does not flood the object API. */
+/** Milliseconds between two writes, so that a large change does not overload the object API. */
 const WRITE_PAUSE_MS = 2;
 /**
- * Milliseconds for which changes of members are gathered: working the parts out
- * takes a ranking of all members for each part.
+ * Milliseconds for which membership changes are collected before the partitions are
+ * recomputed, which requires ranking all members for each partition.
  */
-const PARTS_DELAY_MS = 1_000;
-/** Milliseconds for which calls to look at all tenants are gathered. */
+const PARTITIONS_DELAY_MS = 1_000;
+/** Milliseconds for which requests to check all tenants are collected. */
 const CHECK_ALL_DELAY_MS = 50;
-/** Milliseconds before a failed write is looked at again. */
+/** Milliseconds before a tenant is checked again after a failed or forbidden write. */
 const RETRY_MS = 500;
 
-/** What the reconciler needs around it. */
+/** Dependencies of {@link QuotaReconciler}. */
 export interface QuotaReconcilerOptions {
   readonly self: string;
   readonly membership: Membership;
@@ -32,20 +32,20 @@
   readonly directory: Directory;
   readonly logger: Logger;
   /**
-   * Whether this daemon may write: its configuration is current, and it sees
-   * half of the listed daemons. One that has just started knows only itself, and
-   * would take all tenants for its own.
+   * Whether this daemon may write: its configuration is current and it reaches at least
+   * half of the listed daemons. A daemon that has just started knows only itself and
+   * would consider itself responsible for all tenants.
    */
   readonly mayWrite: () => boolean;
 }
 
-/** Writes quota records. */
+/** Writes the quota records of the tenants that this daemon is responsible for. */
 export class QuotaReconciler {
   private readonly queue = new Mailbox<string>(65_536);
   private readonly queued = new Set<string>();
-  private parts: ReadonlySet<number> = new Set();
-  private partsTimer: NodeJS.Timeout | undefined;
-  private allTimer: NodeJS.Timeout | undefined;
+  private partitions: ReadonlySet<number> = new Set();
+  private partitionsTimer: NodeJS.Timeout | undefined;
+  private checkAllTimer: NodeJS.Timeout | undefined;
   private stopped = false;
 
   constructor(private readonly options: QuotaReconcilerOptions) {
@@ -56,43 +56,43 @@
     );
   }
 
-  /** Ends the work. */
+  /** Stops the reconciler. */
   stop(): void {
     this.stopped = true;
-    clearTimeout(this.allTimer);
-    clearTimeout(this.partsTimer);
+    clearTimeout(this.checkAllTimer);
+    clearTimeout(this.partitionsTimer);
     this.queue.close();
   }
 
-  /** Looks at one tenant. */
+  /** Queues a check of one tenant if this daemon is responsible for it. */
   check(tenant: string): void {
     if (this.stopped || this.queued.has(tenant)) return;
-    if (!this.isOurs(tenant)) return;
+    if (!this.isResponsibleFor(tenant)) return;
     this.queued.add(tenant);
     this.queue.offer(tenant);
   }
 
-  /** Works out anew which tenants are this daemon's, a little later and once for many changes. */
+  /** Schedules a recomputation of this daemon's partitions; one covers all changes until then. */
   membersChanged(): void {
-    if (this.partsTimer !== undefined || this.stopped) return;
-    this.partsTimer = setTimeout(() => {
-      this.partsTimer = undefined;
-      this.refreshParts();
-    }, PARTS_DELAY_MS);
+    if (this.partitionsTimer !== undefined || this.stopped) return;
+    this.partitionsTimer = setTimeout(() => {
+      this.partitionsTimer = undefined;
+      this.refreshPartitions();
+    }, PARTITIONS_DELAY_MS);
   }
 
-  /** Looks at all tenants if more of them are this daemon's now. */
-  private refreshParts(): void {
-    const before = this.parts;
-    this.parts = quotaPartitionsOf(this.options.self, this.options.membership.live());
-    if ([...this.parts].some((part) => !before.has(part))) this.checkAllSoon();
+  /** Recomputes this daemon's partitions, and checks all tenants if a partition was added. */
+  private refreshPartitions(): void {
+    const before = this.partitions;
+    this.partitions = quotaPartitionsOf(this.options.self, this.options.membership.live());
+    if ([...this.partitions].some((partition) => !before.has(partition))) this.checkAllSoon();
   }
 
-  /** Looks at all tenants a little later, once for many changes. */
+  /** Schedules a check of all tenants; one check covers all calls until then. */
   checkAllSoon(): void {
-    if (this.allTimer !== undefined || this.stopped) return;
-    this.allTimer = setTimeout(() => {
-      this.allTimer = undefined;
+    if (this.checkAllTimer !== undefined || this.stopped) return;
+    this.checkAllTimer = setTimeout(() => {
+      this.checkAllTimer = undefined;
       this.checkAll();
     }, CHECK_ALL_DELAY_MS);
   }
@@ -103,31 +103,31 @@
     for (const name of directory.names('quota')) this.check(name);
   }
 
-  private isOurs(tenant: string): boolean {
-    return this.parts.has(quotaPartition(tenant));
+  private isResponsibleFor(tenant: string): boolean {
+    return this.partitions.has(quotaPartition(tenant));
   }
 
   private async reconcile(tenant: string): Promise<void> {
     this.queued.delete(tenant);
     if (this.stopped) return;
     const { directory, platform, logger } = this.options;
-    if (!this.isOurs(tenant)) return;
+    if (!this.isResponsibleFor(tenant)) return;
     if (!this.options.mayWrite()) {
       setTimeout(() => this.check(tenant), RETRY_MS).unref();
       return;
     }
     const spec = directory.tenant(tenant);
     const record = directory.quota(tenant);
-    const wish = {
+    const desired = {
       tenant,
       maxReplicas: spec?.maxReplicas ?? 0,
       sites: spec?.sites ?? [],
     };
-    const next = reconcileQuota(wish, this.places(), record);
-    const isLeftOver = spec === undefined && record?.shares.length === 0;
-    if (next === undefined && !isLeftOver) return;
+    const next = reconcileQuota(desired, this.quotaPools(), record);
+    const isObsolete = spec === undefined && record?.shares.length === 0;
+    if (next === undefined && !isObsolete) return;
     const expectedVersion = directory.version('quota', tenant);
-    const value = isLeftOver ? undefined : next;
+    const value = isObsolete ? undefined : next;
     const written = await platform.write({ kind: 'quota', name: tenant, expectedVersion, value });
     if (written.isErr) {
       logger.warn('quota_write_failed', { tenant, kind: written.error.kind });
@@ -136,7 +136,7 @@
     await sleep(WRITE_PAUSE_MS);
   }
 
-  private places(): QuotaPool[] {
+  private quotaPools(): QuotaPool[] {
     return this.options.directory.pools().map(({ pool, site }) => ({ pool, site }));
   }
 }
--- a/src/daemon/request-service.ts
+++ b/src/daemon/request-service.ts
@@ -1,6 +1,7 @@
 /**
- * Runs the router: owns its state in one process, sends requests to engines,
- * feeds what engines and owners say back in, and answers callers.
+ * Runs the router of one daemon: handles its events one at a time, sends requests to
+ * engines, passes messages from engines and pool owners to the router, and responds to
+ * callers.
  */
 import type { Clock } from '../common/clock.js';
 import { answerFor, serviceError, type ErrorKind } from '../common/errors.js';
@@ -17,10 +18,10 @@
 import type { KeyClaims } from './key-claims.js';
 import type { DaemonMetrics } from './metrics.js';
 
-/** Milliseconds between two looks at queues and renewals. */
+/** Milliseconds between two ticks of the router, which check queues and renewals. */
 const TICK_MS = 100;
 
-/** What the service needs around it. */
+/** Dependencies of {@link RequestService}. */
 export interface RequestServiceOptions {
   readonly self: string;
   readonly clock: Clock;
@@ -32,7 +33,7 @@
   readonly sendWake: (owner: string, pool: string, wake: WakeRequest) => void;
 }
 
-/** A request with its caller. */
+/** A request and the exchange with its caller. */
 export interface CallerRequest {
   readonly request: RoutedRequest;
   readonly exchange: CallerExchange;
@@ -40,43 +41,43 @@
   readonly maxTokens: number;
 }
 
-interface Running extends CallerRequest {
+interface RunningRequest extends CallerRequest {
   readonly arrivedAt: number;
   readonly deadlineTimer: NodeJS.Timeout;
   stream: RequestStream | undefined;
-  /** Connections opened so far; what an older one says is ignored. */
+  /** Number of connections opened so far; events of older connections are ignored. */
   connection: number;
   sentAt: number;
   waitedForLoad: boolean;
 }
 
-/** Routes requests of one daemon. */
+/** Routes the requests received by one daemon. */
 export class RequestService {
   private readonly router: Router;
   private readonly events = new Mailbox<RouterEvent>(65_536);
-  private readonly running = new Map<string, Running>();
+  private readonly running = new Map<string, RunningRequest>();
   private readonly ticker: { stop(): void };
   private onIdle: (() => void) | undefined;
 
   constructor(private readonly options: RequestServiceOptions) {
     const { self, directory, clock } = options;
     this.router = new Router({ self, directory, choice: new LeastLoadedChoice() }, clock.now());
-    const onFault = this.onFault.bind(this);
-    startConsumer(this.events, (event) => this.handle(event), onFault);
-    this.ticker = startTicker(TICK_MS, () => this.tick(), onFault);
+    const onError = this.onError.bind(this);
+    startConsumer(this.events, (event) => this.handle(event), onError);
+    this.ticker = startTicker(TICK_MS, () => this.tick(), onError);
   }
 
-  /** Requests that have not ended. */
+  /** Number of unfinished requests. */
   get unfinished(): number {
     return this.running.size;
   }
 
-  /** The router's state, for the status page. */
+  /** The router's state, for the status report. */
   get state(): Router {
     return this.router;
   }
 
-  /** Takes a request; its exchange gets the answer. False if the id is in use. */
+  /** Accepts a request and writes the response to its exchange. Returns false if the id is in use. */
   submit(caller: CallerRequest): boolean {
     const { request } = caller;
     if (this.running.has(request.id)) return false;
@@ -102,36 +103,36 @@
     return true;
   }
 
-  /** The caller has closed its connection. */
+  /** Ends a request whose caller has closed the connection. */
   callerGone(id: string): void {
     const running = this.running.get(id);
     if (running === undefined) return;
     this.events.offer({ type: 'caller_gone', id });
     this.options.claims.keep(id);
-    this.forget(running);
+    this.removeRequest(running);
   }
 
-  /** An owner says where a tenant runs. */
+  /** Handles a pool owner's message about a tenant's location. */
   locationChanged(from: string, location: TenantLocation): void {
     this.events.offer({ type: 'location', from, location });
   }
 
-  /** An engine is leaving; it gets nothing new. */
+  /** Stops sending new requests to an engine that is leaving. */
   engineLeaving(engine: string): void {
     this.events.offer({ type: 'engine_leaving', engine });
   }
 
-  /** An engine is listed as live again. */
+  /** Sends requests again to an engine that is listed as live again. */
   engineReturned(engine: string): void {
     this.router.engineReturned(engine);
   }
 
-  /** The configuration has changed. */
+  /** Notifies the router that the configuration has changed. */
   configurationChanged(): void {
     this.events.offer({ type: 'configuration_changed' });
   }
 
-  /** Takes nothing new; resolves when the last request has ended. */
+  /** Refuses new requests; resolves when the last running request has ended. */
   drain(): Promise<void> {
     this.events.offer({ type: 'drain' });
     return new Promise((resolve) => {
@@ -140,14 +141,14 @@
     });
   }
 
-  /** Ends the process. */
+  /** Stops the service without waiting for requests. */
   stop(): void {
     this.ticker.stop();
     this.events.close();
     for (const running of this.running.values()) clearTimeout(running.deadlineTimer);
   }
 
-  private onFault(fault: unknown): void {
+  private onError(fault: unknown): void {
     this.options.logger.error('router_fault', { reason: faultText(fault) });
   }
 
@@ -201,7 +202,7 @@
     running.stream = this.options.engines.run(engine, request, this.handlerFor(running));
   }
 
-  private observeWait(running: Running): void {
+  private observeWait(running: RunningRequest): void {
     const seconds = (running.sentAt - running.arrivedAt) / 1000;
     const priority = priorityName(running.request.priority);
     if (running.waitedForLoad) this.options.metrics.coldStarts.observe({ priority }, seconds);
@@ -220,15 +221,15 @@
   }
 
   private cancel(id: string, engine: string, incarnation: string): void {
-    void this.options.engines.cancel(engine, id).then((answer) => {
-      const known = answer.isOk && answer.value.incarnation === incarnation;
-      const ran = known ? answer.value.ran : 'unknown';
+    void this.options.engines.cancel(engine, id).then((reply) => {
+      const isSameProcess = reply.isOk && reply.value.incarnation === incarnation;
+      const ran = isSameProcess ? reply.value.ran : 'unknown';
       this.events.offer({ type: 'cancelled', id, ran });
     });
   }
 
-  /** Events of one connection; those of an older connection of the same request are dropped. */
-  private handlerFor(running: Running): RequestHandler {
+  /** Handles events of a new connection; events of older connections of the same request are dropped. */
+  private handlerFor(running: RunningRequest): RequestHandler {
     const { id } = running.request;
     running.connection += 1;
     const connection = running.connection;
@@ -244,14 +245,14 @@
       },
       onDone: (tokens, reason) => {
         if (running.connection !== connection) return;
-        this.answerEnded(running, tokens, reason);
+        this.responseEnded(running, tokens, reason);
       },
       onBroken: (failure) => post({ type: 'broken', id, sent: failure.reason !== 'not_sent' }),
     };
   }
 
-  /** An answer counts as whole only if every token of it was received. */
-  private answerEnded(running: Running, tokens: number, reason: 'stop' | 'length'): void {
+  /** Completes a response if all its tokens were received; otherwise treats the connection as broken. */
+  private responseEnded(running: RunningRequest, tokens: number, reason: 'stop' | 'length'): void {
     const { id, tenant } = running.request;
     if (running.exchange.tokens !== tokens) {
       this.events.offer({ type: 'broken', id, sent: true });
@@ -269,7 +270,7 @@
       waitedMs,
     });
     this.handle({ type: 'done', id });
-    this.forget(running);
+    this.removeRequest(running);
   }
 
   private refuse(id: string, kind: ErrorKind, reason: string, retryAfterMs?: number): void {
@@ -282,10 +283,10 @@
     const { tenant } = running.request;
     const milliseconds = this.options.clock.now() - running.arrivedAt;
     this.options.logger.info('request_refused', { request: id, tenant, kind, milliseconds });
-    this.forget(running);
+    this.removeRequest(running);
   }
 
-  /** A key is given back only if its request has not run and never will. */
+  /** Releases the idempotency key of a refused request only if the request has not run and never will. */
   private settleKey(request: RoutedRequest, kind: ErrorKind): void {
     const { id, tenant, idempotencyKey } = request;
     if (idempotencyKey === undefined) return;
@@ -294,7 +295,7 @@
     else this.options.claims.keep(id);
   }
 
-  private forget(running: Running): void {
+  private removeRequest(running: RunningRequest): void {
     clearTimeout(running.deadlineTimer);
     running.connection += 1;
     running.stream?.close();
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of a daemon: one YAML file and flags, checked by a schema. */
+/** Settings of a daemon, read from a YAML file and command-line flags and validated against a schema. */
 import { readFileSync } from 'node:fs';
 import { isIP } from 'node:net';
 import { Result } from 'true-myth';
@@ -7,17 +7,19 @@
 import { serviceError, type ServiceError } from '../common/errors.js';
 import { describeIssues } from '../core/documents.js';
 
-const ipSchema = z.string().refine((text) => isIP(text) === 4, 'expected an IPv4 number');
+const ipSchema = z.string().refine((text) => isIP(text) === 4, 'expected an IPv4 address');
 const portSchema = z.number().int().min(1).max(65_535);
 const addressSchema = z
   .string()
   .refine((text) => /^\d+\.\d+\.\d+\.\d+:\d+$/.test(text), 'expected "ip:port"');
-const hashSchema = z.string().regex(/^[0-9a-f]{64}$/, 'expected a SHA-256 in hexadecimal');
+const hashSchema = z
+  .string()
+  .regex(/^[0-9a-f]{64}$/, 'expected a SHA-256 hash of 64 lower-case hexadecimal digits');
 
 const settingsSchema = z.strictObject({
-  /** Name in logs. */
+  /** Name of the daemon in logs. */
   name: z.string().min(1),
-  /** IP number that callers, operators and peers reach. */
+  /** IPv4 address at which callers, operators and other daemons reach this daemon. */
   address: ipSchema,
   /** Port for callers and operators. */
   callerPort: portSchema,
@@ -25,21 +27,21 @@
   peerPort: portSchema,
   zone: z.string().min(1),
   site: z.string().min(1),
-  /** The platform's service. */
+  /** Address of the platform's service. */
   platform: addressSchema,
-  /** Peer addresses to start from, besides the platform's list. */
+  /** Addresses of daemons to contact at the start, in addition to the platform's list. */
   seeds: z.array(addressSchema).default([]),
-  /** SHA-256 of the bearer keys for administration. */
+  /** SHA-256 hashes of the bearer keys of the administration API. */
   adminKeyHashes: z.array(hashSchema).default([]),
-  /** Daemons that read the platform's object API in each zone. */
+  /** Number of daemons per zone that read the platform's object API. */
   readersPerZone: z.number().int().min(1).max(8).default(2),
   weightStore: z
     .strictObject({
-      /** Loads at once at full speed, over all pools. */
+      /** Number of concurrent loads that the weight store serves at full speed, over all pools. */
       fullSpeedLoads: z.number().int().positive().default(8),
     })
     .prefault({}),
-  /** Idle seconds that one avoided cold start is worth, by priority class. */
+  /** Seconds of idle time of a replica that are worth one avoided cold start, by priority class. */
   coldStartWorthSeconds: z
     .strictObject({
       live: z.number().min(0).default(900),
@@ -47,21 +49,21 @@
       batch: z.number().min(0).default(30),
     })
     .prefault({}),
-  /** Largest request body in bytes. */
+  /** Maximum size of a request body in bytes. */
   bodyLimitBytes: z
     .number()
     .int()
     .positive()
     .default(4 * 1024 * 1024),
   logLevel: z.enum(['info', 'warn', 'error']).default('info'),
-  /** Opens the switches for link faults on the callers' port. For tests only. */
+  /** Serves the endpoint for link faults on the caller port. For tests only. */
   faultInjection: z.boolean().default(false),
 });
 
 /** Settings of one daemon. */
 export type DaemonSettings = z.infer<typeof settingsSchema>;
 
-/** Checks settings. Fails with `settings_invalid`, naming the place, the key and what was expected. */
+/** Validates settings. The error `settings_invalid` names the file, the key and the expected value. */
 export function parseSettings(value: unknown, where: string): Result<DaemonSettings, ServiceError> {
   const parsed = settingsSchema.safeParse(value);
   if (parsed.success) return Result.ok(parsed.data);
@@ -69,7 +71,7 @@
   return Result.err(serviceError('settings_invalid', message));
 }
 
-/** Reads a settings file; `overrides` from flags go before it. */
+/** Reads a settings file; `overrides` from flags take precedence over it. */
 export function loadSettings(
   file: string,
   overrides: Readonly<Record<string, unknown>>,
@@ -82,7 +84,7 @@
   return parseSettings(isObject ? { ...(value.value as object), ...overrides } : value.value, file);
 }
 
-/** Reads a text file. Fails with `settings_invalid`. */
+/** Reads a UTF-8 text file. Returns the error `settings_invalid` if it cannot be read. */
 export function readText(file: string): Result<string, ServiceError> {
   try {
     return Result.ok(readFileSync(file, 'utf8'));
--- a/src/daemon/status.ts
+++ b/src/daemon/status.ts
@@ -1,4 +1,4 @@
-/** What operators see of the system's state, from one daemon's point of view. */
+/** The status report for operators: the state of the system as known to one daemon. */
 import type { MemberView } from '../core/membership-messages.js';
 import type { Directory } from './directory.js';
 import type { PoolOwnerProcess } from './pool-owner-process.js';
@@ -7,16 +7,17 @@
 /** A tenant in the status report. */
 export interface TenantStatus {
   readonly name: string;
-  /** Replicas that were decided at most. */
+  /** Maximum number of replicas in the tenant's document. */
   readonly decided: number;
-  /** Replicas of them that pools have been granted. */
+  /** Number of replicas granted to pools. */
   readonly granted: number;
-  /** Replicas loaded, and on their way, in the pools that this daemon owns. */
+  /** Number of loaded replicas in the pools that this daemon owns. */
   readonly loaded: number;
+  /** Number of replicas ordered or loading in the pools that this daemon owns. */
   readonly loading: number;
-  /** Requests waiting at all routers, as the owners here know it. */
+  /** Number of requests waiting at all routers, as known to the pool owners at this daemon. */
   readonly waiting: number;
-  /** Requests of the tenant in flight at this router. */
+  /** Number of the tenant's requests in flight at this router. */
   readonly inFlightHere: number;
 }
 
@@ -39,7 +40,7 @@
   readonly tenants: readonly TenantStatus[];
 }
 
-/** What the report is made from. */
+/** Data sources of the status report. */
 export interface StatusSources {
   readonly daemon: string;
   readonly ready: boolean;
@@ -51,7 +52,7 @@
   readonly now: number;
 }
 
-/** Makes the report. */
+/** Builds the status report. */
 export function makeStatus(sources: StatusSources): StatusReport {
   const { daemon, ready, configurationRevision, members, directory } = sources;
   const pools = directory.pools().map((record): PoolStatus => ({
