--- a/src/cli/daemon-command.ts
+++ b/src/cli/daemon-command.ts
@@ -1,4 +1,4 @@
-/** `scaleslip daemon`: runs one daemon until it is told to stop. */
+/** `scaleslip daemon`: runs one daemon until it receives SIGTERM or SIGINT. */
 import type { Command } from 'commander';
 import { LinkFaults } from '../common/link-faults.js';
 import { createLogger, faultText } from '../common/logger.js';
@@ -19,31 +19,31 @@
   readonly platform?: string;
 }
 
-/** Adds the command. */
+/** Adds the `daemon` command. */
 export function addDaemonCommand(program: Command): void {
   program
     .command('daemon')
-    .description('run a daemon: router, member, and by rank owner and reader')
+    .description('run a daemon, which routes requests and may own pools and read the platform')
     .requiredOption('-c, --settings <file>', 'settings file (YAML)')
-    .option('--name <name>', 'name in logs')
-    .option('--address <ip>', 'IP number to listen on and to present')
+    .option('--name <name>', 'name of the daemon in logs')
+    .option('--address <ip>', 'IPv4 address to listen on and to announce to other daemons')
     .option('--caller-port <port>', 'port for callers and operators')
     .option('--peer-port <port>', 'port for other daemons')
     .option('--zone <zone>', 'zone of this machine')
     .option('--site <site>', 'site of this machine')
-    .option('--platform <ip:port>', 'the platform’s service')
+    .option('--platform <ip:port>', 'address of the platform’s service')
     .action(runDaemon);
 }
 
 function overridesOf(flags: DaemonFlags): Record<string, unknown> {
   const { name, address, zone, site, platform, callerPort, peerPort } = flags;
   const given = Object.entries({ name, address, zone, site, platform });
-  const texts = Object.fromEntries(given.filter(([, value]) => value !== undefined));
+  const stringOverrides = Object.fromEntries(given.filter(([, value]) => value !== undefined));
   const ports = {
     ...(callerPort === undefined ? {} : { callerPort: Number(callerPort) }),
     ...(peerPort === undefined ? {} : { peerPort: Number(peerPort) }),
   };
-  return { ...texts, ...ports };
+  return { ...stringOverrides, ...ports };
 }
 
 async function runDaemon(flags: DaemonFlags): Promise<void> {
@@ -58,7 +58,8 @@
   const stop = (): void => {
     void daemon.drain().then(() => process.exit(0));
   };
-  // Not once: without a handler a second signal would end the process under requests that still run.
+  // Not `once`: without a handler, a second signal would end the process while requests are still
+  // running.
   process.on('SIGTERM', stop);
   process.on('SIGINT', stop);
   await daemon.start();
--- a/src/cli/losses-command.ts
+++ b/src/cli/losses-command.ts
@@ -1,4 +1,4 @@
-/** `scaleslip losses`: why the gateways' requests were not served at once, from their logs. */
+/** `scaleslip losses`: reports from gateway logs why requests were refused, delayed or lost. */
 import type { Command } from 'commander';
 import { open } from 'node:fs/promises';
 import { createInterface } from 'node:readline';
@@ -8,13 +8,14 @@
 import { lossReport, type Spread } from '../diagnosis/loss-report.js';
 import { fail } from './output.js';
 
+/** File name that stands for standard input. */
 const STANDARD_INPUT = '-';
 
-/** Adds the command. */
+/** Adds the `losses` command. */
 export function addLossesCommand(program: Command): void {
   program
     .command('losses')
-    .description('tell from gateway logs why requests were refused, late or lost')
+    .description('report from gateway logs why requests were refused, delayed or lost')
     .argument('<files...>', 'log files of one or more gateways; "-" for standard input')
     .action(async (files: string[]) => {
       const events: LogEvent[] = [];
@@ -23,14 +24,14 @@
         if (read.isErr) return fail(read.error);
         events.push(...read.value);
       }
-      print(events);
+      printReport(events);
     });
 }
 
 async function readEvents(file: string): Promise<Result<LogEvent[], ServiceError>> {
   const events: LogEvent[] = [];
   try {
-    const input = file === STANDARD_INPUT ? process.stdin : await openedFile(file);
+    const input = file === STANDARD_INPUT ? process.stdin : await openInput(file);
     for await (const line of createInterface({ input })) {
       const event = parseLogLine(line);
       if (event !== undefined) events.push(event);
@@ -41,23 +42,29 @@
     );
   }
   if (events.length > 0) return Result.ok(events);
-  return Result.err(serviceError('invalid_document', `${file}: holds no line of a gateway's log`));
+  return Result.err(serviceError('invalid_document', `${file}: contains no gateway log line`));
 }
 
-/** Its errors come before the first line is asked for, and so where they are caught. */
-async function openedFile(file: string): Promise<NodeJS.ReadableStream> {
+/**
+ * Opens a file before its first line is read, so that the caller's `try` block catches errors from
+ * opening it.
+ */
+async function openInput(file: string): Promise<NodeJS.ReadableStream> {
   const handle = await open(file);
   return handle.createReadStream();
 }
 
-function print(events: readonly LogEvent[]): void {
+function printReport(events: readonly LogEvent[]): void {
   const report = lossReport(events);
   printCounts('requests by end', report.ends);
   printCounts('refusals by cause', report.refusals);
   printCounts('served streams by timing', report.streams);
   printSpreads('time to the first part of served requests, ms', report.firstPart);
   printSpreads('time of loads by place of the copy, ms', report.loads);
-  printSpreads('model loaded later than told, by place of the copy, ms', report.forecastErrors);
+  printSpreads(
+    'model loaded later than announced, by place of the copy, ms',
+    report.forecastErrors,
+  );
 }
 
 function printCounts(
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,4 +1,4 @@
-/** The command line of scaleslip. */
+/** Entry point of the `scaleslip` command line. */
 import { Command } from 'commander';
 import { addDaemonCommand } from './daemon-command.js';
 import { addLossesCommand } from './losses-command.js';
--- a/src/cli/operator-commands.ts
+++ b/src/cli/operator-commands.ts
@@ -1,4 +1,4 @@
-/** Commands for operators: they declare templates and tenants, and never place replicas. */
+/** Commands for operators, who declare templates and tenants but never place replicas. */
 import { Command, Option } from 'commander';
 import { stringify } from 'yaml';
 import { AdminClient, collectionOf, type Collection } from '../client/admin-client.js';
@@ -21,14 +21,14 @@
 function withConnection(command: Command): Command {
   return command
     .addOption(
-      new Option('-s, --server <ip:port>', 'callers’ port of any daemon')
+      new Option('-s, --server <ip:port>', 'IPv4 address and caller port of any daemon')
         .env('SCALESLIP_SERVER')
         .default('127.0.0.1:7080'),
     )
     .addOption(new Option('--key <key>', 'administration key').env('SCALESLIP_ADMIN_KEY'))
-    .option('--key-file <file>', 'file that holds the administration key')
+    .option('--key-file <file>', 'file that contains the administration key')
     .addOption(
-      new Option('-o, --output <form>', 'form of the output')
+      new Option('-o, --output <form>', 'output format')
         .choices(['table', 'json'])
         .default('table'),
     );
@@ -52,8 +52,8 @@
   return undefined;
 }
 
-/** Templates go first, because tenants refer to them. */
-function inOrder(documents: readonly OperatorDocument[]): OperatorDocument[] {
+/** Puts templates first, because tenants refer to them. */
+function templatesFirst(documents: readonly OperatorDocument[]): OperatorDocument[] {
   const templates = documents.filter((document) => document.kind === 'Template');
   const tenants = documents.filter((document) => document.kind === 'Tenant');
   return [...templates, ...tenants];
@@ -68,7 +68,7 @@
   const version = flags.ifVersion === undefined ? undefined : Number(flags.ifVersion);
   await withClient(flags, async (client) => {
     const applied: { kind: string; name: string; version: number }[] = [];
-    for (const document of inOrder(documents.value)) {
+    for (const document of templatesFirst(documents.value)) {
       const { kind, name } = document;
       const written = await client.put(collectionOf(document), name, document, version);
       if (written.isErr) return fail(written.error);
@@ -114,7 +114,10 @@
   });
 }
 
-/** Lines that go with "-", lines that come with "+"; the documents are small. */
+/**
+ * Prints removed lines with "-" and added lines with "+". The line-by-line search is quadratic, but
+ * documents are small.
+ */
 function printDifference(title: string, before: string, after: string): void {
   if (before === after) {
     process.stdout.write(`${title}: no difference\n`);
@@ -159,9 +162,9 @@
     if (found.isErr) return fail(found.error);
     const status = collection === 'tenants' ? await client.status() : undefined;
     const state = status?.isOk ? status.value.tenants.find((t) => t.name === name) : undefined;
-    const whole = { ...found.value, ...(state === undefined ? {} : { state }) };
-    if (flags.output === 'json') return printJson(whole);
-    process.stdout.write(stringify(whole));
+    const description = { ...found.value, ...(state === undefined ? {} : { state }) };
+    if (flags.output === 'json') return printJson(description);
+    process.stdout.write(stringify(description));
   });
 }
 
@@ -223,12 +226,12 @@
   );
 }
 
-/** Adds the operators' commands. */
+/** Adds the commands for operators. */
 export function addOperatorCommands(program: Command): void {
   withConnection(program.command('apply'))
     .description('apply the templates and tenants of a file')
     .requiredOption('-f, --file <file>', 'YAML or JSON file')
-    .option('--if-version <n>', 'only if the document still stands at this version')
+    .option('--if-version <n>', 'write only if the document still has this version')
     .action((flags: ConnectionFlags & { file: string; ifVersion?: string }) =>
       applyFile(flags.file, flags),
     );
@@ -240,24 +243,24 @@
       checkFile(flags.file, flags),
     );
   withConnection(program.command('diff'))
-    .description('compare a file with what is applied')
+    .description('compare the documents of a file with the applied ones')
     .requiredOption('-f, --file <file>', 'YAML or JSON file')
     .action((flags: ConnectionFlags & { file: string }) => diffFile(flags.file, flags));
   withConnection(program.command('get'))
     .description('list templates or tenants')
     .argument('<kind>', 'template or tenant')
-    .argument('[name]', 'one of them')
+    .argument('[name]', 'name of the template or tenant; all are listed without it')
     .action(getDocuments);
   withConnection(program.command('describe'))
-    .description('show one template or tenant whole')
+    .description('show one template or tenant in full')
     .argument('<kind>', 'template or tenant')
-    .argument('<name>', 'its name')
+    .argument('<name>', 'name of the template or tenant')
     .action(describe);
   withConnection(program.command('delete'))
     .description('delete a template or tenant')
     .argument('<kind>', 'template or tenant')
-    .argument('<name>', 'its name')
-    .option('--if-version <n>', 'only if it still stands at this version')
+    .argument('<name>', 'name of the template or tenant')
+    .option('--if-version <n>', 'delete only if it still has this version')
     .action(remove);
   withConnection(program.command('status'))
     .description('show members, pools and tenants')
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,13 +1,13 @@
-/** What the command line prints: tables, JSON, and errors with their exit codes. */
+/** Output of the command line: tables, JSON, and errors with their exit codes. */
 import type { ServiceError } from '../common/errors.js';
 
-/** Forms of output. */
+/** Output formats. */
 export type OutputForm = 'table' | 'json';
 
-/** Exit codes, so that scripts can tell races and outages from mistakes. */
+/** Exit codes, which let scripts distinguish version conflicts and outages from other errors. */
 export const EXIT_CODES = { ok: 0, failed: 1, conflict: 3, unavailable: 4 } as const;
 
-/** Prints rows under a heading; columns are as wide as their widest cell. */
+/** Prints rows below a heading, with columns as wide as their widest cells. */
 export function printTable(heading: readonly string[], rows: readonly (readonly string[])[]): void {
   const widths = heading.map((cell, column) =>
     Math.max(cell.length, ...rows.map((row) => row[column]?.length ?? 0)),
@@ -18,12 +18,12 @@
   }
 }
 
-/** Prints a value as JSON. */
+/** Prints a value as indented JSON. */
 export function printJson(value: unknown): void {
   process.stdout.write(`${JSON.stringify(value, null, 2)}\n`);
 }
 
-/** Prints an error and sets the exit code. */
+/** Prints an error to standard error and sets the exit code. */
 export function fail(error: ServiceError): void {
   const retry =
     error.retryAfterSeconds === undefined ? '' : ` (retry after ${error.retryAfterSeconds} s)`;
--- a/src/daemon/admin-api.ts
+++ b/src/daemon/admin-api.ts
@@ -163,7 +163,9 @@
     return directory.names('tenant').some((tenant) => directory.templateOf(tenant) === template);
   }
 
-  /** The version in If-Match; 0 for `If-None-Match: *`; without these headers, the current version. */
+  /**
+   * The version in If-Match; 0 for `If-None-Match: *`; without these headers, the current version.
+   */
   private async expectedVersion(
     kind: DocumentKind,
     name: string,
--- a/src/daemon/caller-exchange.ts
+++ b/src/daemon/caller-exchange.ts
@@ -41,7 +41,9 @@
     return this.texts.length;
   }
 
-  /** Adds a token. Returns false for one that is ignored, such as a repeated token after a resume. */
+  /**
+   * Adds a token. Returns false for one that is ignored, such as a repeated token after a resume.
+   */
   addToken(offset: number, text: string): boolean {
     if (this.ended || offset !== this.texts.length) return false;
     this.texts.push(text);
@@ -66,7 +68,9 @@
     this.response.end('data: [DONE]\n\n');
   }
 
-  /** Ends the response with an error; a stream that has started gets the error as its last event. */
+  /**
+   * Ends the response with an error; a stream that has started gets the error as its last event.
+   */
   fail(error: ServiceError): void {
     if (this.ended) return;
     this.ended = true;
--- a/src/daemon/configuration-service.ts
+++ b/src/daemon/configuration-service.ts
@@ -24,7 +24,10 @@
 export const RELAY_HEARTBEAT_MS = 2_000;
 /** Number of upstream daemons that each daemon subscribes to. */
 const UPSTREAM_COUNT = 2;
-/** Milliseconds after the start without a confirmation by the platform before the other daemons are queried. */
+/**
+ * Milliseconds after the start without a confirmation by the platform before the other daemons are
+ * queried.
+ */
 const QUERY_PEERS_AFTER_MS = 3_000;
 /** Milliseconds between two queries to the other daemons. */
 const QUERY_PERIOD_MS = 1_000;
@@ -86,7 +89,8 @@
     this.machines.setUpstreams(upstreams);
     for (const relay of [this.configuration, this.machines]) {
       for (const subscriber of relay.subscriberList()) {
-        // A subscriber considered dead may only be paused, so it is kept while it is a known member.
+        // A subscriber considered dead may only be paused, so it is kept while it is a known
+        // member.
         if (!membership.isKnown(subscriber)) relay.dropSubscriber(subscriber);
       }
     }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -52,7 +52,10 @@
  * before it closes its port, so that no caller sends a request on a closing connection.
  */
 const DRAIN_REFUSAL_MS = 800;
-/** Milliseconds for the announcement that this daemon leaves to spread before it closes the peer port. */
+/**
+ * Milliseconds for the announcement that this daemon leaves to spread before it closes the peer
+ * port.
+ */
 const LEAVE_ANNOUNCEMENT_MS = 300;
 
 /** External systems, and components that tests replace. */
@@ -299,7 +302,10 @@
     });
   }
 
-  /** This pool's share of the concurrent loads that the weight store serves at full speed; at least 1. */
+  /**
+   * This pool's share of the concurrent loads that the weight store serves at full speed; at least
+   * 1.
+   */
   private remoteLoadsFor(record: PoolRecord): number {
     const pools = this.directory.pools().filter((other) => other.site === record.site);
     const { fullSpeedLoads } = this.settings.weightStore;
--- a/src/daemon/directory.ts
+++ b/src/daemon/directory.ts
@@ -1,4 +1,7 @@
-/** Decoded, cached access to the configuration and the list of machines for the other parts of a daemon. */
+/**
+ * Decoded, cached access to the configuration and the list of machines for the other parts of a
+ * daemon.
+ */
 import { parseJson } from '../common/http-client.js';
 import {
   parseDocument,
@@ -33,7 +36,10 @@
 export class Directory implements RoutingDirectory {
   private readonly tenantCache = new Map<string, CachedTenant>();
   private readonly recordCache = new Map<string, CachedRecord>();
-  /** The decoded list of machines; it is read several times a second and changes a few times an hour. */
+  /**
+   * The decoded list of machines; it is read several times a second and changes a few times an
+   * hour.
+   */
   private machineCache: { readonly revision: number; readonly machines: readonly Machine[] } = {
     revision: -1,
     machines: [],
@@ -96,7 +102,9 @@
     return this.configuration.revisionOf(objectKey(kind, name));
   }
 
-  /** A tenant from the point of view of one pool; undefined if the pool has no share of its quota. */
+  /**
+   * A tenant from the point of view of one pool; undefined if the pool has no share of its quota.
+   */
   pooledTenant(pool: string, tenant: string): PooledTenant | undefined {
     const share = this.quota(tenant)?.shares.find((entry) => entry.pool === pool);
     if (share === undefined) return undefined;
--- a/src/daemon/feed-relay.ts
+++ b/src/daemon/feed-relay.ts
@@ -23,7 +23,10 @@
 const DELTA_LOG_LIMIT = 256;
 /** Maximum number of objects in one part of a snapshot. */
 const SNAPSHOT_PART_ENTRIES = 500;
-/** Milliseconds without a message after which an upstream is subscribed to again; slightly more than its heartbeat period. */
+/**
+ * Milliseconds without a message after which an upstream is subscribed to again; slightly more than
+ * its heartbeat period.
+ */
 const UPSTREAM_TIMEOUT_MS = 2_500;
 /** Largest value of the message field, a signed 32-bit integer. */
 const MAX_AGE_MS = 2 ** 31 - 1;
@@ -50,7 +53,10 @@
 export interface FeedRelayOptions {
   readonly feed: FeedName;
   readonly clock: Clock;
-  /** Start of this process in Unix milliseconds; distinguishes it from an earlier process at the same address. */
+  /**
+   * Start of this process in Unix milliseconds; distinguishes it from an earlier process at the
+   * same address.
+   */
   readonly token: number;
   readonly send: (to: string, body: PeerBody) => void;
   /** Called with the key of every object that has changed. */
@@ -60,7 +66,10 @@
 /** The state of one feed and its subscribers. */
 export class FeedRelay {
   readonly state = new Feed();
-  /** Time at which the platform last confirmed the state, directly or through a relay, in Unix milliseconds; 0 for never. */
+  /**
+   * Time at which the platform last confirmed the state, directly or through a relay, in Unix
+   * milliseconds; 0 for never.
+   */
   confirmedAt = 0;
   /**
    * Whether the platform has confirmed the state since this process started, either
@@ -70,12 +79,18 @@
    */
   isConfirmed = false;
   private readonly subscribers = new Map<string, Subscription>();
-  /** Time at which the platform last confirmed the state to this daemon directly, in Unix milliseconds. */
+  /**
+   * Time at which the platform last confirmed the state to this daemon directly, in Unix
+   * milliseconds.
+   */
   private directlyConfirmedAt = 0;
   private readonly log: LoggedDelta[] = [];
   private readonly pendingSnapshots = new Map<string, PendingSnapshot>();
   private upstreams: readonly string[] = [];
-  /** Time of the last message from each upstream, or of the last subscription to it, in Unix milliseconds. */
+  /**
+   * Time of the last message from each upstream, or of the last subscription to it, in Unix
+   * milliseconds.
+   */
   private readonly lastContactAt = new Map<string, number>();
 
   constructor(private readonly options: FeedRelayOptions) {}
@@ -162,7 +177,10 @@
     }
   }
 
-  /** Handles the position of an upstream: subscribes again after a gap and records the age of the state. */
+  /**
+   * Handles the position of an upstream: subscribes again after a gap and records the age of the
+   * state.
+   */
   handlePosition(from: string, position: FeedPosition): void {
     this.recordContact(from);
     if (position.revision > this.state.revision) {
--- a/src/daemon/front-door.ts
+++ b/src/daemon/front-door.ts
@@ -1,4 +1,7 @@
-/** The daemon's HTTP server: serves the caller API, the administration API, health checks and metrics on one port. */
+/**
+ * The daemon's HTTP server: serves the caller API, the administration API, health checks and
+ * metrics on one port.
+ */
 import http from 'node:http';
 import { serviceError, type ServiceError } from '../common/errors.js';
 import { listen, readJson, sendError, sendJson } from '../common/http-server.js';
--- a/src/daemon/key-claims.ts
+++ b/src/daemon/key-claims.ts
@@ -36,7 +36,10 @@
 const MAX_PULL_PERIOD_MS = 60_000;
 /** Milliseconds to wait for the first voter's vote before the claim is sent to the other voters. */
 const FIRST_VOTER_TIMEOUT_MS = 100;
-/** Milliseconds that a round with a quorum of grants waits for the remaining voter, which may refuse. */
+/**
+ * Milliseconds that a round with a quorum of grants waits for the remaining voter, which may
+ * refuse.
+ */
 const REFUSAL_WAIT_MS = 60;
 
 /** Final outcome of a claim. */
@@ -135,7 +138,10 @@
     for (const voter of voters) this.options.send(voter, { case: 'claimRelease', value });
   }
 
-  /** Keeps the key of an ended request claimed until it expires, because the request has run or may have run. */
+  /**
+   * Keeps the key of an ended request claimed until it expires, because the request has run or may
+   * have run.
+   */
   keep(request: string): void {
     this.voters.delete(request);
   }
@@ -175,7 +181,9 @@
     }, REFUSAL_WAIT_MS);
   }
 
-  /** Merges the claims that a draining daemon hands over, or that a voter sends in reply to a pull. */
+  /**
+   * Merges the claims that a draining daemon hands over, or that a voter sends in reply to a pull.
+   */
   handleTransfer(from: string, message: ClaimTransfer): void {
     const claims = message.claims.map(({ tenant, key, request, expiresAt }): KeyClaim => ({
       tenant,
--- a/src/daemon/peer-transport.ts
+++ b/src/daemon/peer-transport.ts
@@ -19,7 +19,9 @@
 const CONNECT_TIMEOUT_MS = 2_000;
 /** Milliseconds without traffic after which a connection is closed. */
 const IDLE_TIMEOUT_MS = 60_000;
-/** Milliseconds after which a receiver acknowledges, with one byte, all data received until then. */
+/**
+ * Milliseconds after which a receiver acknowledges, with one byte, all data received until then.
+ */
 const ACKNOWLEDGEMENT_DELAY_MS = 500;
 /**
  * Milliseconds without an acknowledgement of sent data after which a connection is closed; the
@@ -212,7 +214,9 @@
     });
   }
 
-  /** Handles all complete messages at the start of `bytes`. Returns the number of bytes consumed. */
+  /**
+   * Handles all complete messages at the start of `bytes`. Returns the number of bytes consumed.
+   */
   private consumeMessages(bytes: Uint8Array, socket: net.Socket): number {
     let position = 0;
     for (;;) {
--- a/src/daemon/platform-reader.ts
+++ b/src/daemon/platform-reader.ts
@@ -83,7 +83,8 @@
             this.configuration.applyLocalDelta(reached, event.revision, [changeEntry(event)]);
             reached = event.revision;
           }
-          // The watch delivers events in order, so this event confirms all changes up to its revision.
+          // The watch delivers events in order, so this event confirms all changes up to its
+          // revision.
           if (this.configuration.state.revision >= event.revision) this.configuration.confirm();
         },
         onEnd: resolve,
--- a/src/daemon/pool-claims.ts
+++ b/src/daemon/pool-claims.ts
@@ -49,7 +49,10 @@
 
   constructor(private readonly options: PoolClaimsOptions) {}
 
-  /** Claims all pools that this daemon should own. Called periodically and when the members have changed. */
+  /**
+   * Claims all pools that this daemon should own. Called periodically and when the members have
+   * changed.
+   */
   evaluate(): void {
     if (this.stopped) return;
     for (const pool of this.knownPools()) {
@@ -145,7 +148,8 @@
       epoch: (current?.epoch ?? 0) + 1,
       writeId: randomUUID(),
       configurationFloor: current?.configurationFloor ?? 0,
-      // An engine that did not reply stays registered and counted until it replies or is unregistered.
+      // An engine that did not reply stays registered and counted until it replies or is
+      // unregistered.
       engines: [...found, ...unresponsive],
     };
   }
@@ -168,7 +172,10 @@
     return results.flat();
   }
 
-  /** Starts the owner process if the configuration has reached the pool's configuration floor; retries later otherwise. */
+  /**
+   * Starts the owner process if the configuration has reached the pool's configuration floor;
+   * retries later otherwise.
+   */
   private startWhenCurrent(record: PoolRecord): void {
     const { logger, clock } = this.options;
     if (this.options.configurationRevision() < record.configurationFloor) {
--- a/src/daemon/pool-owner-process.ts
+++ b/src/daemon/pool-owner-process.ts
@@ -31,7 +31,10 @@
 const ORDER_MAX_BACKOFF_MS = 1_000;
 /** Milliseconds before a broken report stream is reopened. */
 const REPORT_RETRY_MS = 300;
-/** Milliseconds for which an engine must be missing from the platform's list before it is considered removed. */
+/**
+ * Milliseconds for which an engine must be missing from the platform's list before it is considered
+ * removed.
+ */
 const MISSING_ENGINE_TIMEOUT_MS = 10_000;
 /** Milliseconds before a failed change of a record is retried. */
 const RECORD_RETRY_MS = 500;
@@ -237,7 +240,10 @@
     return mailbox;
   }
 
-  /** Sends an order until the engine replies. Engines apply an order with the same sequence number only once. */
+  /**
+   * Sends an order until the engine replies. Repeating an order with the same sequence number is
+   * harmless.
+   */
   private async sendOrder(effect: SendOrder): Promise<void> {
     const { engine, fence, order } = effect;
     let backoffMs = ORDER_INITIAL_BACKOFF_MS;
@@ -253,7 +259,10 @@
     }
   }
 
-  /** Whether an order is still valid: its engine belongs to the pool and its process has not restarted. */
+  /**
+   * Whether an order is still valid: its engine belongs to the pool and its process has not
+   * restarted.
+   */
   private isOrderCurrent(effect: SendOrder): boolean {
     if (this.stopped) return false;
     return this.owner.engines.get(effect.engine)?.incarnation === effect.fence.incarnation;
@@ -288,7 +297,9 @@
     this.options.metrics.idleSeconds.inc((idle * TICK_MS) / 1000);
   }
 
-  /** Compares this pool's engines with the platform's list, which is only a hint and may be wrong. */
+  /**
+   * Compares this pool's engines with the platform's list, which is only a hint and may be wrong.
+   */
   private compareWithMachineList(): void {
     const now = this.options.clock.now();
     const listed = this.options.directory
@@ -331,7 +342,9 @@
     this.registeringEngines.delete(engine);
   }
 
-  /** Writes an engine's incarnation into the pool's record; the engine is sealed only after that. */
+  /**
+   * Writes an engine's incarnation into the pool's record; the engine is sealed only after that.
+   */
   private async registerEngine(engine: RegisteredEngine): Promise<void> {
     const done = await this.updateRecord((record) => ({
       ...record,
@@ -388,7 +401,10 @@
     this.owner.retryAcknowledgement(tenant);
   }
 
-  /** Changes the pool's record while this owner holds it. Returns false after a stop or the loss of the pool. */
+  /**
+   * Changes the pool's record while this owner holds it. Returns false after a stop or the loss of
+   * the pool.
+   */
   private async updateRecord(change: (record: PoolRecord) => PoolRecord): Promise<boolean> {
     while (!this.stopped) {
       let isOwnedElsewhere = false;
--- a/src/daemon/quota-reconciler.ts
+++ b/src/daemon/quota-reconciler.ts
@@ -21,7 +21,9 @@
 const PARTITIONS_DELAY_MS = 1_000;
 /** Milliseconds for which requests to check all tenants are collected. */
 const CHECK_ALL_DELAY_MS = 50;
-/** Milliseconds before a tenant is checked again after a failed or forbidden write. */
+/**
+ * Milliseconds before a tenant is checked again if a write has failed or this daemon may not write.
+ */
 const RETRY_MS = 500;
 
 /** Dependencies of {@link QuotaReconciler}. */
--- a/src/daemon/request-service.ts
+++ b/src/daemon/request-service.ts
@@ -77,7 +77,9 @@
     return this.router;
   }
 
-  /** Accepts a request and writes the response to its exchange. Returns false if the id is in use. */
+  /**
+   * Accepts a request and writes the response to its exchange. Returns false if the id is in use.
+   */
   submit(caller: CallerRequest): boolean {
     const { request } = caller;
     if (this.running.has(request.id)) return false;
@@ -228,7 +230,10 @@
     });
   }
 
-  /** Handles events of a new connection; events of older connections of the same request are dropped. */
+  /**
+   * Handles events of a new connection; events of older connections of the same request are
+   * dropped.
+   */
   private handlerFor(running: RunningRequest): RequestHandler {
     const { id } = running.request;
     running.connection += 1;
@@ -251,7 +256,10 @@
     };
   }
 
-  /** Completes a response if all its tokens were received; otherwise treats the connection as broken. */
+  /**
+   * Completes a response if all its tokens were received; otherwise treats the connection as
+   * broken.
+   */
   private responseEnded(running: RunningRequest, tokens: number, reason: 'stop' | 'length'): void {
     const { id, tenant } = running.request;
     if (running.exchange.tokens !== tokens) {
@@ -286,7 +294,10 @@
     this.removeRequest(running);
   }
 
-  /** Releases the idempotency key of a refused request only if the request has not run and never will. */
+  /**
+   * Releases the idempotency key of a refused request only if the request has not run and never
+   * will.
+   */
   private settleKey(request: RoutedRequest, kind: ErrorKind): void {
     const { id, tenant, idempotencyKey } = request;
     if (idempotencyKey === undefined) return;
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -1,4 +1,7 @@
-/** Settings of a daemon, read from a YAML file and command-line flags and validated against a schema. */
+/**
+ * Settings of a daemon, read from a YAML file and command-line flags and validated against a
+ * schema.
+ */
 import { readFileSync } from 'node:fs';
 import { isIP } from 'node:net';
 import { Result } from 'true-myth';
@@ -63,7 +66,9 @@
 /** Settings of one daemon. */
 export type DaemonSettings = z.infer<typeof settingsSchema>;
 
-/** Validates settings. The error `settings_invalid` names the file, the key and the expected value. */
+/**
+ * Validates settings. The error `settings_invalid` names the file, the key and the expected value.
+ */
 export function parseSettings(value: unknown, where: string): Result<DaemonSettings, ServiceError> {
   const parsed = settingsSchema.safeParse(value);
   if (parsed.success) return Result.ok(parsed.data);
--- a/test/daemon/feed-relay.test.ts
+++ b/test/daemon/feed-relay.test.ts
@@ -3,7 +3,9 @@
 import type { PeerBody } from '../../src/daemon/peer-transport.js';
 import { Feed } from '../../src/proto/gen/internal_pb.js';
 
-/** Relays that hear each other at once, on a simulated clock. */
+/**
+ * A simulated network of relays: messages are delivered immediately, and the clock is simulated.
+ */
 class Network {
   now = 1_000;
   readonly relays = new Map<string, FeedRelay>();
@@ -47,7 +49,7 @@
 });
 
 describe('FeedRelay', () => {
-  it('passes steps on, and a snapshot to one that starts late', () => {
+  it('forwards deltas to subscribers, and sends a snapshot to a late subscriber', () => {
     const network = new Network();
     const reader = network.add('reader', 1);
     const early = network.add('early', 2);
@@ -59,7 +61,7 @@
     expect(late.state.get('tenant/till')).toEqual(entry(1).value);
   });
 
-  it('closes a gap by the next heartbeat', () => {
+  it('recovers a missed delta after the next heartbeat', () => {
     const network = new Network();
     const reader = network.add('reader', 1);
     const member = network.add('member', 2);
@@ -72,7 +74,7 @@
     expect(member.state.revision).toBe(1);
   });
 
-  it('subscribes again when the upstream has forgotten it', () => {
+  it('subscribes again after the upstream has dropped its subscription', () => {
     const network = new Network();
     const reader = network.add('reader', 1);
     const member = network.add('member', 2);
@@ -86,7 +88,7 @@
     expect(member.state.revision).toBe(1);
   });
 
-  it('is confirmed only by a word of the platform since its own subscription', () => {
+  it('is confirmed only after the platform has confirmed the upstream since the subscription', () => {
     const network = new Network();
     const reader = network.add('reader', 1);
     reader.applyLocalDelta(0, 1, [entry(1)]);
@@ -102,7 +104,7 @@
     expect(member.isConfirmed).toBe(true);
   });
 
-  it('is not confirmed by a heartbeat meant for an earlier process', () => {
+  it('is not confirmed by a heartbeat addressed to an earlier process', () => {
     const network = new Network();
     const reader = network.add('reader', 1);
     const member = network.add('member', 2);
--- a/test/daemon/peer-transport.test.ts
+++ b/test/daemon/peer-transport.test.ts
@@ -8,7 +8,7 @@
 import { PlacementRequestSchema } from '../../src/proto/gen/internal_pb.js';
 import { findFreePorts } from '../../src/testbed/free-ports.js';
 
-/** Passes connections on; those that are open may be made to say nothing more. */
+/** A TCP proxy that can stop delivering data on its open connections. */
 class SilencingProxy {
   private readonly pairs: [net.Socket, net.Socket][] = [];
   private readonly server: net.Server;
@@ -30,7 +30,7 @@
     await new Promise<void>((resolve) => this.server.listen(this.port, '127.0.0.1', resolve));
   }
 
-  /** Nothing passes on the open connections any more, and nobody is told. */
+  /** Stops delivering data on the open connections, without closing or resetting them. */
   silence(): void {
     for (const [client, upstream] of this.pairs) {
       client.unpipe();
@@ -49,7 +49,7 @@
   }
 }
 
-describe('a connection between daemons that goes silent', () => {
+describe('a connection between daemons that stops delivering data', () => {
   const stops: (() => void)[] = [];
 
   afterEach(() => {
@@ -80,15 +80,15 @@
     return { case: 'placementRequest', value: create(PlacementRequestSchema, { service }) };
   }
 
-  it('is replaced within 2 s, and messages arrive again', async () => {
-    const [first = 0, second = 0, between = 0] = await findFreePorts(3);
+  it('is replaced within 2 s, after which messages arrive again', async () => {
+    const [senderPort = 0, receiverPort = 0, proxyPort = 0] = await findFreePorts(3);
     const received: string[] = [];
-    const sender = await transportOn(first);
-    await transportOn(second, received);
-    const proxy = new SilencingProxy(between, second);
+    const sender = await transportOn(senderPort);
+    await transportOn(receiverPort, received);
+    const proxy = new SilencingProxy(proxyPort, receiverPort);
     await proxy.start();
     stops.push(() => proxy.stop());
-    const to = `127.0.0.1:${between}`;
+    const to = `127.0.0.1:${proxyPort}`;
     sender.send(to, message('before'));
     await sleep(700);
     proxy.silence();
@@ -99,14 +99,14 @@
     expect(received).toEqual(['before', 'after']);
   });
 
-  it('is kept while the peer acknowledges, however rarely it is used', async () => {
-    const [first = 0, second = 0] = await findFreePorts(2);
+  it('is kept while the peer acknowledges, even if messages are rare', async () => {
+    const [senderPort = 0, receiverPort = 0] = await findFreePorts(2);
     const received: string[] = [];
     const lost: string[] = [];
-    const sender = await transportOn(first, [], lost);
-    await transportOn(second, received);
+    const sender = await transportOn(senderPort, [], lost);
+    await transportOn(receiverPort, received);
     for (const service of ['1', '2', '3']) {
-      sender.send(`127.0.0.1:${second}`, message(service));
+      sender.send(`127.0.0.1:${receiverPort}`, message(service));
       await sleep(900);
     }
     expect(received).toEqual(['1', '2', '3']);
--- a/test/processes/bad-input.test.ts
+++ b/test/processes/bad-input.test.ts
@@ -82,19 +82,19 @@
     expect(await post('x'.repeat(30_000))).toEqual({ status: 413, kind: 'body_too_large' });
   });
 
-  it('tells a wrong key, a foreign key and an unknown model apart', async () => {
+  it('reports a wrong key, a key of another tenant and an unknown model as different errors', async () => {
     expect((await ask({ key: 'nobody' })).errorKind).toBe('unauthorized');
     expect((await ask({ model: 'other' })).errorKind).toBe('forbidden');
     expect((await ask({ model: 'nothing' })).errorKind).toBe('unknown_tenant');
   });
 
-  it('refuses a header that it does not understand', async () => {
+  it('refuses a header with an invalid value', async () => {
     const answer = await ask({ headers: { 'x-priority': 'urgent' } });
     expect(answer.errorKind).toBe('malformed_request');
     expect(answer.ran).toBe('no');
   });
 
-  it('lists the models that a key opens', async () => {
+  it('lists the models that a key is valid for', async () => {
     const headers = { authorization: `Bearer ${KEY}` };
     const request = { address: server, path: '/v1/models', headers, timeoutMs: 5_000 };
     const answer = await http.send({ method: 'GET', ...request });
@@ -102,14 +102,14 @@
     expect((body as { data: { id: string }[] }).data.map((model) => model.id)).toEqual(['till']);
   });
 
-  it('refuses administration without its key', async () => {
+  it('refuses administration requests with a wrong key', async () => {
     const client = new AdminClient(server, 'wrong');
     const answer = await client.status();
     client.close();
     expect(answer.isErr && answer.error.kind).toBe('unauthorized');
   });
 
-  it('lets one of two operators through and tells the other the newer version', async () => {
+  it('accepts one of two concurrent writes and reports the newer version to the other', async () => {
     const client = new AdminClient(server, ADMIN_KEY);
     const found = await client.get('tenants', 'other');
     const version = found.isOk ? found.value.version : 0;
@@ -135,7 +135,7 @@
     expect(answer.isErr && answer.error.message).toContain('"unknown"');
   });
 
-  it('names the file and the place of broken YAML', async () => {
+  it('names the file and the document of malformed YAML', async () => {
     const file = path.join(cluster.directory, 'broken.yaml');
     writeFileSync(file, 'kind: Tenant\nname: [till\n');
     const program = path.resolve('bin/scaleslip.js');
@@ -145,7 +145,7 @@
     expect((failure as { code: number }).code).toBe(1);
   });
 
-  it('names the key of a wrong setting', async () => {
+  it('names the key of an unknown setting', async () => {
     const file = path.join(cluster.directory, 'wrong.yaml');
     writeFileSync(file, 'name: d\nadress: 127.0.0.1\n');
     const program = path.resolve('bin/scaleslip.js');
@@ -155,7 +155,7 @@
     expect((failure as { code: number }).code).toBe(1);
   });
 
-  it('lives on after garbage on its internal port', async () => {
+  it('keeps serving after malformed data on its peer port', async () => {
     const [host, port] = splitAddress(cluster.daemons[0]?.peers ?? '');
     for (const garbage of [Buffer.alloc(64, 0xff), Buffer.from('GET / HTTP/1.1\r\n\r\n')]) {
       await new Promise<void>((resolve) => {
@@ -168,7 +168,7 @@
     await expectAlive();
   });
 
-  it('gives an end to requests of an engine that speaks nonsense, and recovers', async () => {
+  it('refuses requests while the engine sends malformed replies, and recovers', async () => {
     const [engine] = cluster.engines;
     if (engine === undefined) throw new Error('an engine');
     await cluster.setEngineFaults(engine, { nonsense: true });
--- a/test/processes/chaos.test.ts
+++ b/test/processes/chaos.test.ts
@@ -2,11 +2,13 @@
 import { runScenario } from '../../src/chaos/chaos-run.js';
 import { SCENARIOS } from '../../src/chaos/scenarios.js';
 
-/** A short part of `npm run chaos`; what depends on the machine's speed is left to that. */
-const SHORT = ['owner-killed', 'streams-cut'];
+/**
+ * A short subset of `npm run chaos`; scenarios that depend on the machine's speed run only there.
+ */
+const SHORT_SCENARIOS = ['owner-killed', 'streams-cut'];
 
-describe.each(SHORT)('scenario %s on real processes', (name) => {
-  it('breaks no promise', async () => {
+describe.each(SHORT_SCENARIOS)('scenario %s on real processes', (name) => {
+  it('violates no guarantee of the service', async () => {
     const scenario = SCENARIOS.find((candidate) => candidate.name === name);
     if (scenario === undefined) throw new Error(`no scenario ${name}`);
     const { findings, served } = await runScenario(scenario, 3);
--- a/test/processes/daemon-stop.test.ts
+++ b/test/processes/daemon-stop.test.ts
@@ -1,12 +1,12 @@
 /*
- * A daemon of our own interface that was asked to stop twice ended at the second signal, by its default action: the
- * handler took the first one only. Requests in flight were cut, as at the gateway.
+ * Guards against a daemon that ends at the second stop signal and cuts the requests in flight: its handler handled
+ * only the first signal, so the second one ended the process by the default action. The gateway had the same fault.
  */
 import { afterAll, beforeAll, describe, expect, it } from 'vitest';
 import { sleep } from '../../src/common/process.js';
 import { LocalCluster } from '../../src/testbed/local-cluster.js';
 
-describe('a daemon that is asked to stop twice', () => {
+describe('a daemon that receives several stop signals', () => {
   let cluster: LocalCluster;
 
   beforeAll(async () => {
@@ -19,7 +19,7 @@
 
   afterAll(() => cluster.stop());
 
-  it('ends by itself, when all is done', async () => {
+  it('finishes its drain and exits with code 0', async () => {
     const daemon = cluster.daemons[0]?.process;
     daemon?.signal('SIGTERM');
     await sleep(200);
--- a/test/processes/signals-at-start.test.ts
+++ b/test/processes/signals-at-start.test.ts
@@ -1,37 +1,38 @@
 /*
- * A process of the gateway ended when its settings changed just after its start (soak seed 32: two exits by
- * SIGHUP at an age of 36 and 343 ms; seed 9709: 461, 473 and 262 ms while twelve processes started at once): it
- * had no handler yet, and the default of SIGHUP ends a process. A handler was the program's first statement, but
- * Node read and compiled all 1.3 MB of the program before it ran the first one. One start after the
- * other, a signal was caught after 99 ms (median of 12), with a program of one line after 70 ms; twelve at once after
- * 228 and 125 ms (36 starts).
+ * Guards against a gateway process that ends on SIGHUP when its settings change just after its start: the default
+ * action of SIGHUP ends a process that has no handler yet. Seen with soak seed 32 (two exits, 36 and 343 ms after the
+ * start) and seed 9709 (461, 473 and 262 ms, while twelve processes started at once).
+ * The handler was installed by the program's first statement, but Node reads and compiles all 1.3 MB of the program
+ * before it runs that statement. Started one at a time, the program handled a signal after 99 ms (median of 12), a
+ * one-line program after 70 ms; with twelve starting at once, after 228 and 125 ms (36 starts).
  */
 import { execFileSync, spawnSync } from 'node:child_process';
 import { readFileSync } from 'node:fs';
 import { beforeAll, describe, expect, it } from 'vitest';
 
 const DEPLOYMENT = 'deploy/system.toml';
-/** What Node compiles within a millisecond. */
+/** An amount of source code that Node compiles within a millisecond. */
 const FEW_BYTES = 4_096;
 
-/** The value of a line of the file that tells how the gateway is built and run. */
-function deployed(key: string): string {
+/** Reads a value from the deployment file, which defines how the gateway is built and run. */
+function deploymentValue(key: string): string {
   const line = readFileSync(DEPLOYMENT, 'utf8')
     .split('\n')
-    .find((each) => each.startsWith(`${key} = `));
+    .find((entry) => entry.startsWith(`${key} = `));
   const [, value] = /= "(.*)"$/.exec(line ?? '') ?? [];
   if (value === undefined) throw new Error(`${DEPLOYMENT} has no ${key}`);
   return value;
 }
 
-describe('a signal just after the start', () => {
+describe('a signal just after the start of the gateway', () => {
   const handledAfter = new Map<string, number>();
 
   beforeAll(() => {
-    // The packages are there; what follows builds the program.
-    const build = deployed('build').split(';').at(-1) ?? '';
+    // The packages are already installed, so only the last command, which builds the program, is
+    // run.
+    const build = deploymentValue('build').split(';').at(-1) ?? '';
     execFileSync('sh', ['-c', build]);
-    const [program = '', ...args] = deployed('run').split(' ');
+    const [program = '', ...args] = deploymentValue('run').split(' ');
     const probe = ['--import', './test/processes/first-handler-probe.mjs'];
     const env = { ...process.env, SCALESLIP_SETTINGS: '/dev/null' };
     const { stderr } = spawnSync(program, [...probe, ...args], { env, encoding: 'utf8' });
@@ -40,7 +41,10 @@
     }
   });
 
-  it.each(['SIGHUP', 'SIGTERM'])('finds a handler before the program is read (%s)', (signal) => {
-    expect(handledAfter.get(signal)).toBeLessThan(FEW_BYTES);
-  });
+  it.each(['SIGHUP', 'SIGTERM'])(
+    'finds a handler that was installed before the program is compiled (%s)',
+    (signal) => {
+      expect(handledAfter.get(signal)).toBeLessThan(FEW_BYTES);
+    },
+  );
 });
--- a/test/processes/signals-in-series.test.ts
+++ b/test/processes/signals-in-series.test.ts
@@ -1,7 +1,7 @@
 /*
- * A caller's stream was cut when its gateway was asked to stop twice: the second signal found the stop under way,
- * took that for its end, and ended the process at once with all requests in flight. A supervisor that repeats its
- * signal, or an operator beside it, is enough.
+ * Guards against a gateway that cuts streams when it receives a second stop signal: the handler mistook the running
+ * drain for a finished one and ended the process immediately, with all requests in flight. A supervisor that repeats
+ * its signal, or an operator who sends another, is enough to cause this.
  */
 import { mkdirSync, rmSync } from 'node:fs';
 import { afterAll, beforeAll, describe, expect, it } from 'vitest';
@@ -15,10 +15,10 @@
 import { configurationOf } from '../soak/soak-configuration.js';
 import { findSoakPorts } from '../soak/soak-ports.js';
 
-const FOLDER = 'results/signals-in-series';
-const STEADY = { tenant: 'steady', key: 'steady-key' };
-/** A stream of these takes 1.5 s. */
-const EVENTS = 100;
+const RESULTS_FOLDER = 'results/signals-in-series';
+const STEADY_CALLER = { tenant: 'steady', key: 'steady-key' };
+/** Number of events in a stream that takes 1.5 s. */
+const STREAM_EVENTS = 100;
 
 describe('signals in series', () => {
   const random = new SeededRandom(1);
@@ -29,8 +29,8 @@
 
   beforeAll(async () => {
     buildGateway();
-    rmSync(FOLDER, { recursive: true, force: true });
-    mkdirSync(FOLDER, { recursive: true });
+    rmSync(RESULTS_FOLDER, { recursive: true, force: true });
+    mkdirSync(RESULTS_FOLDER, { recursive: true });
     const place = { name: 'r', service: 'models', models: ['m1'], hasModels: true };
     replica = new ReplicaStandIn({ ...place, store, log: new RunLog(), random });
     await replica.start();
@@ -38,12 +38,12 @@
     const [peers = 0, callers = 0, readiness = 0] = await findSoakPorts(3);
     gateway = new GatewayProcess({
       name: 'gateway',
-      folder: FOLDER,
+      folder: RESULTS_FOLDER,
       store: await store.listenFor('gateway'),
       ports: { peers, callers, readiness, metrics: 0 },
     });
     gateway.start();
-    await served();
+    await waitUntilServing();
   });
 
   afterAll(async () => {
@@ -62,21 +62,21 @@
       model: 'm1',
       body: JSON.stringify({ events, attemptId }),
       deadlineMs: 6_000,
-      caller: STEADY,
+      caller: STEADY_CALLER,
     };
     return call(request, gateway.name, gateway.callers);
   }
 
-  async function served(): Promise<void> {
+  async function waitUntilServing(): Promise<void> {
     for (let tries = 0; tries < 100; tries++) {
       if ((await stream(1)).status === 200) return;
       await sleep(100);
     }
-    throw new Error('the gateway serves nobody');
+    throw new Error('the gateway has served no request');
   }
 
-  it('cut no stream that began before them', async () => {
-    const running = stream(EVENTS);
+  it('do not cut a stream that started before them', async () => {
+    const running = stream(STREAM_EVENTS);
     await sleep(300);
     gateway.stopInTurn();
     await sleep(200);
@@ -87,14 +87,14 @@
     expect(gateway.unaskedExits).toBe(0);
   });
 
-  it('end the process once, by itself', async () => {
+  it('end the process only once, after its drain', async () => {
     const { pid } = gateway;
     gateway.stopInTurn();
     gateway.signal('SIGTERM');
     await sleep(200);
     if (gateway.pid === pid) gateway.signal('SIGHUP');
     while (gateway.pid === pid) await sleep(20);
-    await served();
+    await waitUntilServing();
     expect(gateway.unaskedExits).toBe(0);
   });
 });
