--- a/src/cli/losses-command.ts
+++ b/src/cli/losses-command.ts
@@ -1,4 +1,4 @@
-/** `scaleslip losses`: reports from gateway logs why requests were refused, delayed or lost. */
+/** `scaleslip losses`: reports from gateway logs why requests were refused, late or lost. */
 import type { Command } from 'commander';
 import { open } from 'node:fs/promises';
 import { createInterface } from 'node:readline';
@@ -15,7 +15,7 @@
 export function addLossesCommand(program: Command): void {
   program
     .command('losses')
-    .description('report from gateway logs why requests were refused, delayed or lost')
+    .description('report from gateway logs why requests were refused, late or lost')
     .argument('<files...>', 'log files of one or more gateways; "-" for standard input')
     .action(async (files: string[]) => {
       const events: LogEvent[] = [];
--- a/src/daemon/key-claims.ts
+++ b/src/daemon/key-claims.ts
@@ -156,8 +156,14 @@
     const now = this.options.clock.now();
     const { tenant, key, request } = message;
     const granted = this.table.claim(tenant, key, request, now);
-    const young = this.table.mayLackClaims(now);
-    const value = create(ClaimKeyAnswerSchema, { tenant, key, request, granted, young });
+    const mayLackClaims = this.table.mayLackClaims(now);
+    const value = create(ClaimKeyAnswerSchema, {
+      tenant,
+      key,
+      request,
+      granted,
+      young: mayLackClaims,
+    });
     this.options.send(from, { case: 'claimKeyAnswer', value });
   }
 
@@ -204,8 +210,12 @@
   handlePull(from: string, message: ClaimPull): void {
     const now = this.options.clock.now();
     const claims = this.table.all().map((claim) => ({ ...claim }));
-    const young = this.table.mayLackClaims(now);
-    const value = create(ClaimTransferSchema, { claims, token: message.token, young });
+    const mayLackClaims = this.table.mayLackClaims(now);
+    const value = create(ClaimTransferSchema, {
+      claims,
+      token: message.token,
+      young: mayLackClaims,
+    });
     this.options.send(from, { case: 'claimTransfer', value });
   }
 
--- a/src/daemon/pool-claims.ts
+++ b/src/daemon/pool-claims.ts
@@ -174,7 +174,7 @@
 
   /**
    * Starts the owner process if the configuration has reached the pool's configuration floor;
-   * retries later otherwise.
+   * retries later otherwise, because an owner must not act on an older configuration.
    */
   private startWhenCurrent(record: PoolRecord): void {
     const { logger, clock } = this.options;
--- a/src/daemon/pool-owner-process.ts
+++ b/src/daemon/pool-owner-process.ts
@@ -261,7 +261,7 @@
 
   /**
    * Whether an order is still valid: its engine belongs to the pool and its process has not
-   * restarted.
+   * restarted. Other orders are dropped.
    */
   private isOrderCurrent(effect: SendOrder): boolean {
     if (this.stopped) return false;
--- a/test/processes/bad-input.test.ts
+++ b/test/processes/bad-input.test.ts
@@ -41,7 +41,7 @@
     await client.put('tenants', 'till', tenant('till', KEY));
     await client.put('tenants', 'other', tenant('other', 'other-key'));
     client.close();
-    await waitFor('the tenants', 10_000, async () => (await ask({})).outcome === 'whole');
+    await waitFor('the tenants', 10_000, async () => (await callTill({})).outcome === 'whole');
   });
 
   afterAll(async () => {
@@ -49,25 +49,25 @@
     await cluster.stop();
   });
 
-  function ask(part: Partial<ModelCall>): ReturnType<typeof callModel> {
+  function callTill(part: Partial<ModelCall>): ReturnType<typeof callModel> {
     const call = { server, key: KEY, model: 'till', prompt: 'hello', maxTokens: 8, stream: false };
     return callModel({ ...call, timeoutMs: 10_000, ...part });
   }
 
   async function post(body: string): Promise<{ status: number; kind: string }> {
     const [host, port] = splitAddress(server);
-    const answer = await fetch(`http://${host}:${port}/v1/chat/completions`, {
+    const response = await fetch(`http://${host}:${port}/v1/chat/completions`, {
       method: 'POST',
       headers: { authorization: `Bearer ${KEY}` },
       body,
     });
-    return { status: answer.status, kind: answer.headers.get('x-error-kind') ?? '' };
+    return { status: response.status, kind: response.headers.get('x-error-kind') ?? '' };
   }
 
   async function expectAlive(): Promise<void> {
-    const answer = await ask({});
-    expect(answer.outcome).toBe('whole');
-    expect(answer.text).toBe(expectedAnswer(promptAtEngine('hello'), 8));
+    const response = await callTill({});
+    expect(response.outcome).toBe('whole');
+    expect(response.text).toBe(expectedAnswer(promptAtEngine('hello'), 8));
   }
 
   it('answers malformed JSON with 400', async () => {
@@ -83,30 +83,30 @@
   });
 
   it('reports a wrong key, a key of another tenant and an unknown model as different errors', async () => {
-    expect((await ask({ key: 'nobody' })).errorKind).toBe('unauthorized');
-    expect((await ask({ model: 'other' })).errorKind).toBe('forbidden');
-    expect((await ask({ model: 'nothing' })).errorKind).toBe('unknown_tenant');
+    expect((await callTill({ key: 'nobody' })).errorKind).toBe('unauthorized');
+    expect((await callTill({ model: 'other' })).errorKind).toBe('forbidden');
+    expect((await callTill({ model: 'nothing' })).errorKind).toBe('unknown_tenant');
   });
 
   it('refuses a header with an invalid value', async () => {
-    const answer = await ask({ headers: { 'x-priority': 'urgent' } });
-    expect(answer.errorKind).toBe('malformed_request');
-    expect(answer.ran).toBe('no');
+    const response = await callTill({ headers: { 'x-priority': 'urgent' } });
+    expect(response.errorKind).toBe('malformed_request');
+    expect(response.ran).toBe('no');
   });
 
   it('lists the models that a key is valid for', async () => {
     const headers = { authorization: `Bearer ${KEY}` };
     const request = { address: server, path: '/v1/models', headers, timeoutMs: 5_000 };
-    const answer = await http.send({ method: 'GET', ...request });
-    const body = answer.isOk ? parseJson(answer.value.body).unwrapOr({}) : {};
+    const response = await http.send({ method: 'GET', ...request });
+    const body = response.isOk ? parseJson(response.value.body).unwrapOr({}) : {};
     expect((body as { data: { id: string }[] }).data.map((model) => model.id)).toEqual(['till']);
   });
 
   it('refuses administration requests with a wrong key', async () => {
     const client = new AdminClient(server, 'wrong');
-    const answer = await client.status();
+    const response = await client.status();
     client.close();
-    expect(answer.isErr && answer.error.kind).toBe('unauthorized');
+    expect(response.isErr && response.error.kind).toBe('unauthorized');
   });
 
   it('accepts one of two concurrent writes and reports the newer version to the other', async () => {
@@ -119,8 +119,8 @@
       client.put('tenants', 'other', document, version),
     ]);
     client.close();
-    const winner = both.find((answer) => answer.isOk);
-    const loser = both.find((answer) => answer.isErr);
+    const winner = both.find((response) => response.isOk);
+    const loser = both.find((response) => response.isErr);
     expect(winner?.isOk).toBe(true);
     expect(loser?.isErr && loser.error.kind).toBe('version_conflict');
     expect(loser?.isErr && loser.error.currentVersion).toBe(winner?.isOk && winner.value.version);
@@ -129,10 +129,10 @@
   it('refuses a tenant that does not fit its template', async () => {
     const client = new AdminClient(server, ADMIN_KEY);
     const document = { ...tenant('new', 'k'), parameters: { unknown: 1 } };
-    const answer = await client.put('tenants', 'new', document);
+    const response = await client.put('tenants', 'new', document);
     client.close();
-    expect(answer.isErr && answer.error.kind).toBe('invalid_document');
-    expect(answer.isErr && answer.error.message).toContain('"unknown"');
+    expect(response.isErr && response.error.kind).toBe('invalid_document');
+    expect(response.isErr && response.error.message).toContain('"unknown"');
   });
 
   it('names the file and the document of malformed YAML', async () => {
@@ -172,10 +172,10 @@
     const [engine] = cluster.engines;
     if (engine === undefined) throw new Error('an engine');
     await cluster.setEngineFaults(engine, { nonsense: true });
-    const answer = await ask({ headers: { 'x-deadline-ms': '3000' } });
-    expect(answer.outcome).toBe('refused');
+    const response = await callTill({ headers: { 'x-deadline-ms': '3000' } });
+    expect(response.outcome).toBe('refused');
     await cluster.setEngineFaults(engine, { nonsense: false });
-    await waitFor('recovery', 10_000, async () => (await ask({})).outcome === 'whole');
+    await waitFor('recovery', 10_000, async () => (await callTill({})).outcome === 'whole');
     await expectAlive();
   });
 });
