--- a/src/daemon/key-claims.ts
+++ b/src/daemon/key-claims.ts
@@ -29,8 +29,8 @@
 /** Milliseconds that a restarted voter waits before it pulls claims; longer than any round. */
 const PULL_DELAY_MS = 1_500;
 /**
- * Milliseconds between the first two pulls; the period doubles up to the maximum. In a
- * newly started group, the tables of all voters stay incomplete for a long time.
+ * Milliseconds between the first two pulls; the period doubles up to the maximum, because
+ * in a newly started group the tables of all voters stay incomplete for a long time.
  */
 const INITIAL_PULL_PERIOD_MS = 1_000;
 const MAX_PULL_PERIOD_MS = 60_000;
