--- a/src/bench/main.ts
+++ b/src/bench/main.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run bench`: what a router adds to the time to the first token and between
- * tokens, compared with asking the engine directly, in the same run; and the
- * highest rate that one daemon holds. Load on loopback, bounded in count and time.
+ * `npm run bench`: measures the latency that a router adds to the first token and
+ * between tokens, compared with direct calls to the engine in the same run, and the
+ * highest request rate of one daemon. The load runs on loopback, bounded in count and time.
  */
 import http from 'node:http';
 import { build as buildHistogram, type Histogram } from 'hdr-histogram-js';
@@ -13,72 +13,73 @@
 import { HttpEngineClient } from '../engines/http-engine-client.js';
 import { ADMIN_KEY, LocalCluster, waitFor, type ClusterEngine } from '../testbed/local-cluster.js';
 
-/** The share of one daemon at the target. */
+/** Request rate and answer length of one daemon's share of the system's target load. */
 const REQUESTS_PER_SECOND = 7;
 const TOKENS_PER_REQUEST = 486;
-const SECONDS = 20;
-const TOKEN_MS = 10;
+const LATENCY_SECONDS = 20;
+const TOKEN_INTERVAL_MS = 10;
 const TENANT = 'bench';
-const KEY = 'bench-key';
-/** Callers at once and seconds for the highest rate. */
-const CALLERS = [8, 32, 64] as const;
+const TENANT_KEY = 'bench-key';
+/** Numbers of concurrent callers with which the highest rate is measured. */
+const CONCURRENT_CALLERS = [8, 32, 64] as const;
 const RATE_SECONDS = 4;
-const RATE_TOKENS = 20;
-const MICROSECONDS = 1_000;
+const RATE_TOKENS_PER_REQUEST = 20;
+const MICROSECONDS_PER_MILLISECOND = 1_000;
 
-/** Connections are kept, as the engine client keeps its own. */
+/** Keeps connections open, as the engine client does, so that both paths are comparable. */
 const agent = new http.Agent({ keepAlive: true });
 
-interface Measured {
+interface Measurements {
   readonly firstToken: Histogram;
   readonly betweenTokens: Histogram;
   tokens: number;
   failures: number;
 }
 
-function newMeasure(): Measured {
+function newMeasurements(): Measurements {
   const firstToken = buildHistogram({ highestTrackableValue: 60_000_000 });
   const betweenTokens = buildHistogram({ highestTrackableValue: 60_000_000 });
   return { firstToken, betweenTokens, tokens: 0, failures: 0 };
 }
 
-/** Records the moments of tokens, in microseconds. */
-class TokenClock {
+/** Records the times to the first token and between tokens, in microseconds. */
+class TokenTimer {
   private readonly startedAt = performance.now();
   private lastAt: number | undefined;
 
-  constructor(private readonly measure: Measured) {}
+  constructor(private readonly measurements: Measurements) {}
 
-  token(): void {
+  recordToken(): void {
     const now = performance.now();
     const since = this.lastAt ?? this.startedAt;
-    const target = this.lastAt === undefined ? this.measure.firstToken : this.measure.betweenTokens;
-    target.recordValue(Math.max(1, Math.round((now - since) * MICROSECONDS)));
+    const target =
+      this.lastAt === undefined ? this.measurements.firstToken : this.measurements.betweenTokens;
+    target.recordValue(Math.max(1, Math.round((now - since) * MICROSECONDS_PER_MILLISECOND)));
     this.lastAt = now;
-    this.measure.tokens += 1;
+    this.measurements.tokens += 1;
   }
 }
 
-interface Bench {
+interface BenchContext {
   readonly cluster: LocalCluster;
   readonly engines: HttpEngineClient;
   readonly engine: ClusterEngine;
   readonly incarnation: string;
 }
 
-function askEngine(bench: Bench, index: number, measure: Measured): Promise<void> {
-  const clock = new TokenClock(measure);
+function callEngine(bench: BenchContext, index: number, measurements: Measurements): Promise<void> {
+  const timer = new TokenTimer(measurements);
   const prompt = `direct ${index} tokens=${TOKENS_PER_REQUEST}`;
   const request = { id: `direct-${index}`, tenant: TENANT, incarnation: bench.incarnation };
   return new Promise((resolve) => {
     const fail = (): void => {
-      measure.failures += 1;
+      measurements.failures += 1;
       resolve();
     };
-    const whole = { ...request, priority: 1, prompt, maxTokens: TOKENS_PER_REQUEST };
-    bench.engines.run(bench.engine.address, whole, {
+    const engineRequest = { ...request, priority: 1, prompt, maxTokens: TOKENS_PER_REQUEST };
+    bench.engines.run(bench.engine.address, engineRequest, {
       onAccepted: () => {},
-      onToken: () => clock.token(),
+      onToken: () => timer.recordToken(),
       onDone: () => resolve(),
       onRefused: fail,
       onBroken: fail,
@@ -86,46 +87,58 @@
   });
 }
 
-async function askDaemon(bench: Bench, index: number, measure: Measured): Promise<void> {
-  const clock = new TokenClock(measure);
+async function callDaemon(
+  bench: BenchContext,
+  index: number,
+  measurements: Measurements,
+): Promise<void> {
+  const timer = new TokenTimer(measurements);
   const answer = await callModel({
     server: bench.cluster.daemons[0]?.callers ?? '',
-    key: KEY,
+    key: TENANT_KEY,
     model: TENANT,
     prompt: `routed ${index} tokens=${TOKENS_PER_REQUEST}`,
     maxTokens: TOKENS_PER_REQUEST,
     stream: true,
     timeoutMs: 60_000,
     agent,
-    onToken: () => clock.token(),
+    onToken: () => timer.recordToken(),
   });
-  if (answer.outcome !== 'whole') measure.failures += 1;
+  if (answer.outcome !== 'whole') measurements.failures += 1;
 }
 
-/** Sends requests by turns directly and through the daemon, so that both meet the same machine. */
-async function measureAddedTime(bench: Bench): Promise<readonly [Measured, Measured]> {
-  const direct = newMeasure();
-  const routed = newMeasure();
+/** Interleaves direct and routed requests, so that both run under the same machine load. */
+async function measureAddedLatency(
+  bench: BenchContext,
+): Promise<readonly [Measurements, Measurements]> {
+  const direct = newMeasurements();
+  const routed = newMeasurements();
   const calls: Promise<void>[] = [];
-  const total = REQUESTS_PER_SECOND * SECONDS;
+  const total = REQUESTS_PER_SECOND * LATENCY_SECONDS;
   for (let index = 0; index < total; index++) {
-    calls.push(askDaemon(bench, index, routed), askEngine(bench, index, direct));
+    calls.push(callDaemon(bench, index, routed), callEngine(bench, index, direct));
     await sleep(1000 / REQUESTS_PER_SECOND);
   }
   await Promise.all(calls);
   return [direct, routed];
 }
 
-async function measureRate(bench: Bench, callers: number): Promise<readonly string[]> {
-  const until = Date.now() + RATE_SECONDS * 1000;
+async function measureRate(bench: BenchContext, callers: number): Promise<readonly string[]> {
+  const endAt = Date.now() + RATE_SECONDS * 1000;
   let requests = 0;
   let tokens = 0;
   let refused = 0;
   const caller = async (name: number): Promise<void> => {
-    for (let index = 0; Date.now() < until; index++) {
-      const prompt = `rate ${name} ${index} tokens=${RATE_TOKENS}`;
+    for (let index = 0; Date.now() < endAt; index++) {
+      const prompt = `rate ${name} ${index} tokens=${RATE_TOKENS_PER_REQUEST}`;
       const server = bench.cluster.daemons[0]?.callers ?? '';
-      const call = { server, key: KEY, model: TENANT, prompt, maxTokens: RATE_TOKENS };
+      const call = {
+        server,
+        key: TENANT_KEY,
+        model: TENANT,
+        prompt,
+        maxTokens: RATE_TOKENS_PER_REQUEST,
+      };
       const answer = await callModel({ ...call, stream: true, timeoutMs: 20_000, agent });
       if (answer.outcome !== 'whole') refused += 1;
       else requests += 1;
@@ -137,28 +150,28 @@
   return [String(callers), perSecond(requests), perSecond(tokens), String(refused)];
 }
 
-function milliseconds(histogram: Histogram, percentile: number): number {
-  return histogram.getValueAtPercentile(percentile) / MICROSECONDS;
+function percentileMs(histogram: Histogram, percentile: number): number {
+  return histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MILLISECOND;
 }
 
-function printAddedTime(direct: Measured, routed: Measured): void {
+function printAddedLatency(direct: Measurements, routed: Measurements): void {
   const rows = (['firstToken', 'betweenTokens'] as const).flatMap((part) =>
     [50, 95, 99].map((percentile) => {
-      const without = milliseconds(direct[part], percentile);
-      const through = milliseconds(routed[part], percentile);
-      const cells = [without, through, through - without].map((value) => value.toFixed(2));
+      const directMs = percentileMs(direct[part], percentile);
+      const routedMs = percentileMs(routed[part], percentile);
+      const cells = [directMs, routedMs, routedMs - directMs].map((value) => value.toFixed(2));
       return [`${part} p${percentile}`, ...cells];
     }),
   );
   printTable(['MEASURE', 'DIRECT MS', 'ROUTED MS', 'ADDED MS'], rows);
-  const perSecond = (routed.tokens / SECONDS).toFixed(0);
+  const perSecond = (routed.tokens / LATENCY_SECONDS).toFixed(0);
   const failures = direct.failures + routed.failures;
   process.stdout.write(
-    `${REQUESTS_PER_SECOND} requests and ${perSecond} tokens a second through one daemon for ${SECONDS} s, ${failures} failures\n\n`,
+    `${REQUESTS_PER_SECOND} requests and ${perSecond} tokens a second through one daemon for ${LATENCY_SECONDS} s, ${failures} failures\n\n`,
   );
 }
 
-async function declare(cluster: LocalCluster): Promise<void> {
+async function declareTenant(cluster: LocalCluster): Promise<void> {
   const client = new AdminClient(cluster.daemons[0]?.callers ?? '', ADMIN_KEY);
   const service = {
     model: { name: 'bench-model', gigabytes: 2 },
@@ -168,7 +181,12 @@
     deadlineSeconds: 60,
   };
   const template = { kind: 'Template', name: 'bench', service };
-  const tenant = { kind: 'Tenant', name: TENANT, template: 'bench', keyHashes: [hashKey(KEY)] };
+  const tenant = {
+    kind: 'Tenant',
+    name: TENANT,
+    template: 'bench',
+    keyHashes: [hashKey(TENANT_KEY)],
+  };
   const results = [
     await client.put('templates', 'bench', template),
     await client.put('tenants', TENANT, tenant),
@@ -178,9 +196,16 @@
 }
 
 async function warmUp(cluster: LocalCluster): Promise<void> {
-  await waitFor('a first answer', 20_000, async () => {
+  await waitFor('the first complete answer', 20_000, async () => {
     const server = cluster.daemons[0]?.callers ?? '';
-    const call = { server, key: KEY, model: TENANT, prompt: 'warm', maxTokens: 2, stream: true };
+    const call = {
+      server,
+      key: TENANT_KEY,
+      model: TENANT,
+      prompt: 'warm',
+      maxTokens: 2,
+      stream: true,
+    };
     return (await callModel({ ...call, timeoutMs: 10_000 })).outcome === 'whole';
   });
 }
@@ -190,26 +215,26 @@
     zones: [{ zone: 'a', site: 'old' }],
     daemonsPerZone: 1,
     enginesPerZone: 1,
-    engineFlags: ['--token-ms', String(TOKEN_MS), '--overhead-ms', '10'],
+    engineFlags: ['--token-ms', String(TOKEN_INTERVAL_MS), '--overhead-ms', '10'],
   });
   const engines = new HttpEngineClient();
   try {
-    await declare(cluster);
+    await declareTenant(cluster);
     await warmUp(cluster);
     const [engine] = cluster.engines;
-    if (engine === undefined) throw new Error('a cluster has an engine');
+    if (engine === undefined) throw new Error('the cluster has no engine');
     const { incarnation } = await cluster.engineStatus(engine);
     const bench = { cluster, engines, engine, incarnation };
     const daemon = cluster.daemons[0]?.process;
     const idleMegabytes = daemon?.residentMegabytes() ?? 0;
-    const [direct, routed] = await measureAddedTime(bench);
-    printAddedTime(direct, routed);
+    const [direct, routed] = await measureAddedLatency(bench);
+    printAddedLatency(direct, routed);
     const busyMegabytes = daemon?.residentMegabytes() ?? 0;
     process.stdout.write(
       `resident memory of the daemon: ${idleMegabytes.toFixed(0)} MB before, ${busyMegabytes.toFixed(0)} MB after\n\n`,
     );
     const rates: (readonly string[])[] = [];
-    for (const callers of CALLERS) rates.push(await measureRate(bench, callers));
+    for (const callers of CONCURRENT_CALLERS) rates.push(await measureRate(bench, callers));
     printTable(['CALLERS', 'REQUESTS/S', 'TOKENS/S', 'REFUSED'], rates);
   } finally {
     engines.close();
--- a/src/chaos/auditor.ts
+++ b/src/chaos/auditor.ts
@@ -1,20 +1,20 @@
 /**
- * Counts broken promises from the engines' own logs and the callers' own
- * records; never from what the daemons say of themselves.
+ * Counts violations of the service's guarantees. The evidence is the logs of the
+ * engines and the records of the callers; reports of the daemons are not used.
  */
 import type { ModelAnswer } from '../client/model-client.js';
 import type { EngineLogEvent } from '../standin/engine-stand-in-options.js';
 
-/** Milliseconds that an end may come after its deadline: timers and the loopback. */
+/** Milliseconds that a request may end after its deadline: delay of timers and of the loopback. */
 const DEADLINE_TOLERANCE_MS = 250;
-/** Milliseconds after its notice in which a leaving engine may still get work. */
+/** Milliseconds after its leaving notice in which an engine may still receive work. */
 const LEAVING_TOLERANCE_MS = 2_000;
-/** Milliseconds in which an accepted configuration must be in force everywhere. */
+/** Milliseconds within which an accepted configuration must be in force at every daemon. */
 const CONFIGURATION_LIMIT_MS = 4_000;
 
-/** One request as its caller saw it. */
+/** One request and its result, as recorded by its caller. */
 export interface CallerRecord {
-  /** The caller's own id; engines log it before a "~". */
+  /** The id that the caller chose. In engine logs, it is the part of the request id before "~". */
   readonly id: string;
   readonly daemon: string;
   readonly tenant: string;
@@ -26,32 +26,33 @@
   readonly answer: ModelAnswer;
 }
 
-/** A daemon that was stopped, and how. */
+/** A daemon that a scenario stopped. */
 export interface StoppedDaemon {
-  /** Callers' address. */
+  /** The address at which the daemon serves callers. */
   readonly daemon: string;
+  /** True for SIGTERM, false for SIGKILL. */
   readonly planned: boolean;
 }
 
-/** When one accepted change was in force. */
+/** How long one accepted change took to be in force. */
 export interface ConfigurationTrial {
-  /** Milliseconds until all daemons that could be reached had it; undefined if some never did. */
+  /** Milliseconds until all reachable daemons had applied the change; undefined on timeout. */
   readonly inForceMs: number | undefined;
 }
 
-/** What one scenario has left behind. */
+/** The logs and records of one scenario. */
 export interface Evidence {
   readonly engineEvents: readonly EngineLogEvent[];
   readonly callers: readonly CallerRecord[];
-  /** The most replicas that were ever decided for a tenant. */
+  /** The highest number of replicas that was ever decided, by tenant. */
   readonly caps: ReadonlyMap<string, number>;
   readonly stopped: readonly StoppedDaemon[];
   readonly trials: readonly ConfigurationTrial[];
-  /** Steps of a daemon to a lower revision while it was ready. */
+  /** How often a ready daemon went back to a lower configuration revision. */
   readonly reversions: number;
 }
 
-/** The counts; all must be 0. */
+/** The number of violations of each kind; all must be 0. */
 export interface Findings {
   readonly replicasBeyondDecided: number;
   readonly memoryBeyondCapacity: number;
@@ -66,64 +67,65 @@
   readonly reversions: number;
 }
 
-/** Counts every kind of broken promise. */
+/** Counts the violations of each kind. */
 export function audit(evidence: Evidence): Findings {
   return {
-    replicasBeyondDecided: countReplicasBeyond(evidence),
+    replicasBeyondDecided: countReplicasBeyondDecided(evidence),
     memoryBeyondCapacity: evidence.engineEvents.filter(isOverCapacity).length,
     requestsWithoutEnd: evidence.callers.filter((call) => hasNoEnd(call, evidence)).length,
     endsPastDeadline: evidence.callers.filter(isPastDeadline).length,
-    wrongAnswers: evidence.callers.filter(isWrong).length,
+    wrongAnswers: evidence.callers.filter(isWrongAnswer).length,
     falseNotRun: countFalseNotRun(evidence),
     repeatedRuns: countRepeatedRuns(evidence),
     workForLeaving: countWorkForLeaving(evidence.engineEvents),
-    streamsCutByPlannedStop: evidence.callers.filter((call) => wasCutByPlan(call, evidence)).length,
-    configurationLate: evidence.trials.filter(isLate).length,
+    streamsCutByPlannedStop: evidence.callers.filter((call) => wasCutByPlannedStop(call, evidence))
+      .length,
+    configurationLate: evidence.trials.filter(isConfigurationLate).length,
     reversions: evidence.reversions,
   };
 }
 
-/** Whether nothing was found. */
+/** Whether no violation was found. */
 export function isClean(findings: Findings): boolean {
   return Object.values(findings).every((count) => count === 0);
 }
 
-/** Whether the call never reached a daemon: the connection was refused. */
+/** Whether the call never reached a daemon because the connection was refused. */
 export function wasNotTaken(call: CallerRecord): boolean {
   return call.answer.outcome === 'lost' && call.answer.reason.includes('ECONNREFUSED');
 }
 
-function countReplicasBeyond(evidence: Evidence): number {
-  const holders = new Map<string, Set<string>>();
-  let beyond = 0;
+function countReplicasBeyondDecided(evidence: Evidence): number {
+  const enginesByTenant = new Map<string, Set<string>>();
+  let violations = 0;
   for (const event of evidence.engineEvents) {
     if (event.event === 'start') {
-      // A new process: what the one before held is gone.
-      for (const engines of holders.values()) engines.delete(event.engine);
+      // A new engine process starts without replicas.
+      for (const engines of enginesByTenant.values()) engines.delete(event.engine);
       continue;
     }
     if (event.tenant === undefined) continue;
-    const engines = holders.get(event.tenant) ?? new Set<string>();
-    holders.set(event.tenant, engines);
+    const engines = enginesByTenant.get(event.tenant) ?? new Set<string>();
+    enginesByTenant.set(event.tenant, engines);
     if (event.event === 'release') engines.delete(event.engine);
     if (event.event !== 'hold') continue;
     engines.add(event.engine);
-    if (engines.size > (evidence.caps.get(event.tenant) ?? 0)) beyond += 1;
+    if (engines.size > (evidence.caps.get(event.tenant) ?? 0)) violations += 1;
   }
-  return beyond;
+  return violations;
 }
 
 function isOverCapacity(event: EngineLogEvent): boolean {
   return event.event === 'hold' && (event.usedBytes ?? 0) > (event.capacityBytes ?? 0);
 }
 
-/** A caller whose daemon was killed loses its connection; nobody can end its request. */
+/** A caller whose daemon was killed loses its connection, so its lost request is not counted. */
 function hasNoEnd(call: CallerRecord, evidence: Evidence): boolean {
   if (call.answer.outcome !== 'lost' || wasNotTaken(call)) return false;
   return !evidence.stopped.some((stop) => stop.daemon === call.daemon);
 }
 
-function wasCutByPlan(call: CallerRecord, evidence: Evidence): boolean {
+function wasCutByPlannedStop(call: CallerRecord, evidence: Evidence): boolean {
   if (call.answer.outcome !== 'lost' || wasNotTaken(call)) return false;
   const stops = evidence.stopped.filter((stop) => stop.daemon === call.daemon);
   return stops.length > 0 && stops.every((stop) => stop.planned);
@@ -133,10 +135,10 @@
   return call.answer.endedAt > call.deadlineAt + DEADLINE_TOLERANCE_MS;
 }
 
-function isWrong(call: CallerRecord): boolean {
+function isWrongAnswer(call: CallerRecord): boolean {
   const { outcome, text } = call.answer;
   if (outcome === 'whole') return text !== call.expectedText;
-  // A partial answer must at least be the start of the right one.
+  // A partial answer must be a prefix of the expected one.
   return !call.expectedText.startsWith(text);
 }
 
@@ -175,17 +177,17 @@
 
 function countWorkForLeaving(events: readonly EngineLogEvent[]): number {
   const leavingSince = new Map<string, number>();
-  let late = 0;
+  let violations = 0;
   for (const event of events) {
     if (event.event === 'start') leavingSince.delete(event.engine);
     if (event.event === 'leaving') leavingSince.set(event.engine, event.at);
     const since = leavingSince.get(event.engine);
     const isWork = event.event === 'received' || event.event === 'hold';
-    if (isWork && since !== undefined && event.at > since + LEAVING_TOLERANCE_MS) late += 1;
+    if (isWork && since !== undefined && event.at > since + LEAVING_TOLERANCE_MS) violations += 1;
   }
-  return late;
+  return violations;
 }
 
-function isLate(trial: ConfigurationTrial): boolean {
+function isConfigurationLate(trial: ConfigurationTrial): boolean {
   return trial.inForceMs === undefined || trial.inForceMs > CONFIGURATION_LIMIT_MS;
 }
--- a/src/chaos/chaos-run.ts
+++ b/src/chaos/chaos-run.ts
@@ -1,4 +1,4 @@
-/** One scenario: a cluster under load, a fault, and what the auditor finds after it. */
+/** Runs one scenario: loads a cluster, injects a fault, and audits the logs and records. */
 import { AdminClient } from '../client/admin-client.js';
 import { sleep } from '../common/process.js';
 import { hashKey } from '../core/admission/api-keys.js';
@@ -21,12 +21,12 @@
 ];
 const TENANT_KEY = 'chaos-key';
 const DEADLINE_MS = 5_000;
-const REVISION_LOOK_MS = 200;
-const OWNER_TIMEOUT_MS = 15_000;
-/** Milliseconds after the load in which engines end what still runs. */
+const REVISION_POLL_MS = 200;
+const STARTUP_TIMEOUT_MS = 15_000;
+/** Milliseconds after the load in which the engines finish their running requests. */
 const SETTLE_MS = 300;
 
-/** Tenants of every scenario: name, priority class and cap. */
+/** Tenants of every scenario: name, priority class and replica limit. */
 const TENANTS = [
   { name: 'shifts', priority: 'live', maxReplicas: 2 },
   { name: 'payments', priority: 'live', maxReplicas: 1 },
@@ -41,51 +41,55 @@
     maxReplicas: 1,
   })),
 ] as const;
-/** Tenants of the steady load: the first ones. */
-const STEADY_TENANTS = 6;
-const RARE_TENANT = 6;
-/** Milliseconds between two requests for a seldom used tenant after the loss of an owner. */
-const SELDOM_PERIOD_MS = 200;
+/** The steady load uses this many tenants from the start of the list. */
+const STEADY_TENANT_COUNT = 6;
+const RARE_TENANT_INDEX = 6;
+/** Milliseconds between the requests for cold tenants after the loss of an owner. */
+const COLD_REQUEST_INTERVAL_MS = 200;
 
-/** What a scenario may do. */
+/** The operations that a scenario may use to inject its fault. */
 export interface ChaosContext {
   readonly cluster: LocalCluster;
   readonly probe: ConfigurationProbe;
   readonly load: LoadGenerator;
-  /** A tenant that is cold until a scenario asks for it. */
+  /** A tenant whose model is cold until the scenario sends requests for it. */
   readonly rare: LoadTenant;
-  /** Applies a change and measures it at the given daemons; by default at all that run. */
-  change(through?: ClusterDaemon, everywhere?: readonly ClusterDaemon[]): Promise<boolean>;
-  /** The daemon that owns the pool of a zone now. */
+  /**
+   * Applies a configuration change and measures when it is in force at `targets`, by default
+   * at all running daemons. Resolves with false if the change was not accepted.
+   */
+  change(via?: ClusterDaemon, targets?: readonly ClusterDaemon[]): Promise<boolean>;
+  /** Returns the daemon that currently owns the pool of a zone. */
   ownerOf(zone: string): Promise<ClusterDaemon>;
-  /** Ends a daemon by SIGKILL; its callers lose their connections. */
+  /** Kills a daemon with SIGKILL; its callers lose their connections. */
   killDaemon(daemon: ClusterDaemon): Promise<void>;
-  /** Ends a daemon by SIGTERM and waits for it. Fails if it does not exit with 0. */
+  /** Stops a daemon with SIGTERM and waits for its exit. Throws if the exit code is not 0. */
   stopDaemon(daemon: ClusterDaemon): Promise<void>;
   /** Starts a daemon again and waits until it is ready. */
   startDaemon(daemon: ClusterDaemon): Promise<void>;
-  /** Notes the moment from which a pool has no owner. */
+  /** Records that a pool loses its owner now, and schedules requests for cold tenants. */
   ownerLost(zone: string): void;
 }
 
-/** One scenario of the fixed list. */
+/** One failure scenario. */
 export interface Scenario {
   readonly name: string;
-  /** Seconds of load; the fault begins with it. */
+  /** Seconds of load; `injectFault` starts at the same time. */
   readonly seconds: number;
+  /** Injects the fault. */
   readonly act: (context: ChaosContext) => Promise<void>;
 }
 
-/** The result of one scenario. */
+/** The audit and the measurements of one scenario. */
 export interface ScenarioResult {
   readonly name: string;
   readonly findings: Findings;
   readonly requests: number;
   readonly served: number;
   readonly refused: number;
-  /** Slowest change until it was in force everywhere, in milliseconds. */
+  /** Longest time until a change was in force at all its targets, in milliseconds. */
   readonly slowestChangeMs: number | undefined;
-  /** Longest time from the loss of an owner to the next load in its pool, in milliseconds. */
+  /** Longest time from the loss of an owner to the next model load in its pool, in milliseconds. */
   readonly placementGapMs: number | undefined;
   readonly records: readonly CallerRecord[];
 }
@@ -114,7 +118,7 @@
 
 async function declareTenants(cluster: LocalCluster, probe: ConfigurationProbe): Promise<void> {
   const [first] = cluster.daemons;
-  if (first === undefined) throw new Error('a cluster has daemons');
+  if (first === undefined) throw new Error('the cluster has no daemon');
   const client = new AdminClient(first.callers, ADMIN_KEY);
   const template = await client.put('templates', 'service', templateDocument());
   if (template.isErr) throw new Error(template.error.message);
@@ -126,7 +130,7 @@
   }
 }
 
-/** Runs a scenario on a cluster of its own. */
+/** Starts a cluster, runs the scenario on it with a seeded load, and stops the cluster. */
 export async function runScenario(scenario: Scenario, seed: number): Promise<ScenarioResult> {
   const cluster = await LocalCluster.start({
     zones: ZONES,
@@ -137,14 +141,14 @@
   });
   const probe = new ConfigurationProbe();
   try {
-    return await runOn(cluster, probe, scenario, seed);
+    return await runOnCluster(cluster, probe, scenario, seed);
   } finally {
     probe.close();
     await cluster.stop();
   }
 }
 
-async function runOn(
+async function runOnCluster(
   cluster: LocalCluster,
   probe: ConfigurationProbe,
   scenario: Scenario,
@@ -156,20 +160,20 @@
   const tenants = TENANTS.map(({ name }) => ({ name, key: TENANT_KEY }));
   const load = new LoadGenerator({
     daemons: cluster.daemons.map((daemon) => daemon.callers),
-    tenants: tenants.slice(0, STEADY_TENANTS),
+    tenants: tenants.slice(0, STEADY_TENANT_COUNT),
     requestsPerSecond: 30,
     seconds: scenario.seconds,
     deadlineMs: DEADLINE_MS,
     seed,
   });
   const stopped: StoppedDaemon[] = [];
-  const losses: { zone: string; at: number }[] = [];
-  const context = makeContext({ cluster, probe, load, tenants, stopped, losses });
-  const looker = lookAtRevisions(cluster, probe);
-  const loading = load.run();
+  const ownerLosses: { zone: string; at: number }[] = [];
+  const context = makeContext({ cluster, probe, load, tenants, stopped, ownerLosses });
+  const revisionPoller = pollRevisions(cluster, probe);
+  const loadDone = load.run();
   await scenario.act(context);
-  const records = await loading;
-  await looker.stop();
+  const records = await loadDone;
+  await revisionPoller.stop();
   await sleep(SETTLE_MS);
   const caps = new Map<string, number>(TENANTS.map(({ name, maxReplicas }) => [name, maxReplicas]));
   const evidence: Evidence = {
@@ -180,26 +184,26 @@
     trials: probe.trials,
     reversions: probe.reversions,
   };
-  return summarize(scenario.name, evidence, placementGap(cluster, losses));
+  return summarize(scenario.name, evidence, placementGap(cluster, ownerLosses));
 }
 
-function lookAtRevisions(
+function pollRevisions(
   cluster: LocalCluster,
   probe: ConfigurationProbe,
 ): { stop(): Promise<void> } {
-  let running = true;
+  let polling = true;
   const done = (async () => {
-    while (running) {
+    while (polling) {
       await Promise.race([
         Promise.all(cluster.daemons.map((daemon) => probe.look(daemon))),
-        sleep(REVISION_LOOK_MS * 2),
+        sleep(REVISION_POLL_MS * 2),
       ]);
-      await sleep(REVISION_LOOK_MS);
+      await sleep(REVISION_POLL_MS);
     }
   })();
   return {
     stop: () => {
-      running = false;
+      polling = false;
       return done;
     },
   };
@@ -211,27 +215,27 @@
   readonly load: LoadGenerator;
   readonly tenants: readonly LoadTenant[];
   readonly stopped: StoppedDaemon[];
-  readonly losses: { zone: string; at: number }[];
+  readonly ownerLosses: { zone: string; at: number }[];
 }
 
 function makeContext(parts: ContextParts): ChaosContext {
-  const { cluster, probe, load, tenants, stopped, losses } = parts;
-  let changes = 0;
+  const { cluster, probe, load, tenants, stopped, ownerLosses } = parts;
+  let changeCount = 0;
   return {
     cluster,
     probe,
     load,
-    rare: tenants[RARE_TENANT] ?? { name: 'rare', key: TENANT_KEY },
-    change: (through, everywhere) => {
-      const daemon = through ?? cluster.daemons[0];
+    rare: tenants[RARE_TENANT_INDEX] ?? { name: 'rare', key: TENANT_KEY },
+    change: (via, targets) => {
+      const daemon = via ?? cluster.daemons[0];
       if (daemon === undefined) return Promise.resolve(false);
-      changes += 1;
-      const running = cluster.daemons.filter((candidate) => candidate.process.isRunning);
+      changeCount += 1;
+      const runningDaemons = cluster.daemons.filter((candidate) => candidate.process.isRunning);
       const document = tenantDocument(
-        TENANTS[changes % TENANTS.length] ?? TENANTS[0],
-        `k${changes}`,
+        TENANTS[changeCount % TENANTS.length] ?? TENANTS[0],
+        `k${changeCount}`,
       );
-      return probe.tryChange(daemon, everywhere ?? running, document);
+      return probe.tryChange(daemon, targets ?? runningDaemons, document);
     },
     ownerOf: (zone) => findOwner(cluster, zone),
     killDaemon: async (daemon) => {
@@ -242,26 +246,30 @@
       stopped.push({ daemon: daemon.callers, planned: true });
       daemon.process.signal('SIGTERM');
       const status = await daemon.process.waitForExit();
-      if (status.code !== 0) throw new Error(`${daemon.name} ended with code ${status.code}`);
+      if (status.code !== 0)
+        throw new Error(`${daemon.name} exited with code ${status.code} after SIGTERM`);
     },
     startDaemon: async (daemon) => {
       cluster.restartDaemon(daemon);
       await cluster.waitUntilDaemonReady(daemon);
     },
     ownerLost: (zone) => {
-      losses.push({ zone, at: Date.now() });
-      // Cold models are asked for from now on, so that the next load shows when placement is back.
-      tenants.slice(RARE_TENANT + 1).forEach((tenant, index) => {
-        setTimeout(() => load.single(tenant), (index + 1) * SELDOM_PERIOD_MS);
+      ownerLosses.push({ zone, at: Date.now() });
+      // Requests for cold tenants require model loads, which show when placement works again.
+      tenants.slice(RARE_TENANT_INDEX + 1).forEach((tenant, index) => {
+        setTimeout(() => load.single(tenant), (index + 1) * COLD_REQUEST_INTERVAL_MS);
       });
     },
   };
 }
 
-/** Asks daemons until one names a living owner; claims take a moment after a start. */
+/**
+ * Queries the daemons until one reports an owner that is running. After a start, it takes
+ * some time until a daemon has claimed the pool.
+ */
 async function findOwner(cluster: LocalCluster, zone: string): Promise<ClusterDaemon> {
   let found: ClusterDaemon | undefined;
-  await waitFor(`an owner of pool ${zone}`, OWNER_TIMEOUT_MS, async () => {
+  await waitFor(`an owner of pool ${zone}`, STARTUP_TIMEOUT_MS, async () => {
     for (const daemon of cluster.daemons) {
       const client = new AdminClient(daemon.callers, ADMIN_KEY);
       const status = await client.status();
@@ -277,11 +285,11 @@
   return found;
 }
 
-/** Waits until every tenant has its replicas granted at every daemon. */
+/** Waits until every daemon reports all decided replicas of every tenant as granted. */
 async function waitForGrants(cluster: LocalCluster): Promise<void> {
   for (const daemon of cluster.daemons) {
     const client = new AdminClient(daemon.callers, ADMIN_KEY);
-    await waitFor('all grants', OWNER_TIMEOUT_MS, async () => {
+    await waitFor('all replicas to be granted', STARTUP_TIMEOUT_MS, async () => {
       const status = await client.status();
       return (
         status.isOk && status.value.tenants.every((tenant) => tenant.granted === tenant.decided)
@@ -291,23 +299,29 @@
   }
 }
 
-/** From the engines' logs: the next load in the pool under a higher epoch. */
+/**
+ * Returns the longest time in milliseconds from the loss of an owner to the next model load
+ * in its pool under a higher epoch, from the engine logs; undefined if there was none.
+ */
 function placementGap(
   cluster: LocalCluster,
-  losses: readonly { zone: string; at: number }[],
+  ownerLosses: readonly { zone: string; at: number }[],
 ): number | undefined {
-  const gaps = losses.map(({ zone, at }) => {
+  const gaps = ownerLosses.map(({ zone, at }) => {
     const engines = cluster.engines.filter((engine) => engine.zone === zone);
     const addresses = new Set(engines.map((engine) => engine.address));
     const holds = cluster
       .engineEvents()
       .filter((event) => event.event === 'hold' && addresses.has(event.engine));
-    const before = Math.max(0, ...holds.filter((h) => h.at <= at).map((h) => h.epoch ?? 0));
-    const next = holds.find((hold) => hold.at > at && (hold.epoch ?? 0) > before);
+    const epochBeforeLoss = Math.max(
+      0,
+      ...holds.filter((hold) => hold.at <= at).map((hold) => hold.epoch ?? 0),
+    );
+    const next = holds.find((hold) => hold.at > at && (hold.epoch ?? 0) > epochBeforeLoss);
     return next === undefined ? undefined : next.at - at;
   });
-  const known = gaps.filter((gap) => gap !== undefined);
-  return known.length === 0 ? undefined : Math.max(...known);
+  const measuredGaps = gaps.filter((gap) => gap !== undefined);
+  return measuredGaps.length === 0 ? undefined : Math.max(...measuredGaps);
 }
 
 function summarize(
@@ -315,15 +329,15 @@
   evidence: Evidence,
   placementGapMs: number | undefined,
 ): ScenarioResult {
-  const taken = evidence.callers.filter((call) => !wasNotTaken(call));
-  const changes = evidence.trials.map((trial) => trial.inForceMs ?? Infinity);
+  const accepted = evidence.callers.filter((call) => !wasNotTaken(call));
+  const changeDurationsMs = evidence.trials.map((trial) => trial.inForceMs ?? Infinity);
   return {
     name,
     findings: audit(evidence),
-    requests: taken.length,
-    served: taken.filter((call) => call.answer.outcome === 'whole').length,
-    refused: taken.filter((call) => call.answer.outcome === 'refused').length,
-    slowestChangeMs: changes.length === 0 ? undefined : Math.max(...changes),
+    requests: accepted.length,
+    served: accepted.filter((call) => call.answer.outcome === 'whole').length,
+    refused: accepted.filter((call) => call.answer.outcome === 'refused').length,
+    slowestChangeMs: changeDurationsMs.length === 0 ? undefined : Math.max(...changeDurationsMs),
     placementGapMs,
     records: evidence.callers,
   };
--- a/src/chaos/configuration-probe.ts
+++ b/src/chaos/configuration-probe.ts
@@ -1,64 +1,67 @@
-/** Watches when accepted changes are in force, and whether a daemon ever steps back. */
+/**
+ * Measures how long accepted changes take to be in force, and counts the daemons'
+ * steps back to a lower configuration revision.
+ */
 import { AdminClient } from '../client/admin-client.js';
 import { sleep } from '../common/process.js';
 import { ADMIN_KEY, type ClusterDaemon } from '../testbed/local-cluster.js';
 import type { ConfigurationTrial } from './auditor.js';
 
 const POLL_MS = 40;
-const GIVE_UP_MS = 8_000;
+const POLL_TIMEOUT_MS = 8_000;
 
-/** Asks daemons for their revisions. */
+/** Polls the configuration revisions of daemons through their administration interface. */
 export class ConfigurationProbe {
   readonly trials: ConfigurationTrial[] = [];
-  /** Steps to a lower revision that were seen while the daemon was ready. */
+  /** How often a ready daemon reported a lower revision than before. */
   reversions = 0;
   private readonly clients = new Map<string, AdminClient>();
-  private readonly highest = new Map<string, number>();
+  private readonly highestRevisions = new Map<string, number>();
 
-  /** Ends the connections. */
+  /** Closes the connections to the daemons. */
   close(): void {
     for (const client of this.clients.values()) client.close();
   }
 
   /**
-   * Applies a change through one daemon and measures until all of `everywhere`
-   * are at its revision. Resolves with false if the change was not accepted.
+   * Applies a change through one daemon and measures the time until all of `targets`
+   * have reached its revision. Resolves with false if the change was not accepted.
    */
   async tryChange(
-    through: ClusterDaemon,
-    everywhere: readonly ClusterDaemon[],
+    via: ClusterDaemon,
+    targets: readonly ClusterDaemon[],
     document: { readonly name: string },
   ): Promise<boolean> {
-    const applied = await this.clientOf(through).put('tenants', document.name, document);
+    const applied = await this.clientFor(via).put('tenants', document.name, document);
     if (applied.isErr) return false;
     const acceptedAt = Date.now();
-    const waits = everywhere.map((daemon) =>
-      this.waitFor(daemon, applied.value.version, acceptedAt),
+    const pendingDelays = targets.map((daemon) =>
+      this.waitForRevision(daemon, applied.value.version, acceptedAt),
     );
-    const reached = await Promise.all(waits);
-    const late = reached.some((milliseconds) => milliseconds === undefined);
-    const inForceMs = Math.max(...reached.map((milliseconds) => milliseconds ?? 0));
-    this.trials.push({ inForceMs: late ? undefined : inForceMs });
+    const delaysMs = await Promise.all(pendingDelays);
+    const timedOut = delaysMs.some((milliseconds) => milliseconds === undefined);
+    const inForceMs = Math.max(...delaysMs.map((milliseconds) => milliseconds ?? 0));
+    this.trials.push({ inForceMs: timedOut ? undefined : inForceMs });
     return true;
   }
 
-  /** Looks at a daemon's revision once. */
+  /** Reads a daemon's revision once; undefined if the daemon is not ready. */
   async look(daemon: ClusterDaemon): Promise<number | undefined> {
-    const status = await this.clientOf(daemon).status();
+    const status = await this.clientFor(daemon).status();
     if (status.isErr || !status.value.ready) return undefined;
     const revision = status.value.configurationRevision;
-    const before = this.highest.get(daemon.callers) ?? 0;
-    if (revision < before) this.reversions += 1;
-    this.highest.set(daemon.callers, Math.max(before, revision));
+    const highestSoFar = this.highestRevisions.get(daemon.callers) ?? 0;
+    if (revision < highestSoFar) this.reversions += 1;
+    this.highestRevisions.set(daemon.callers, Math.max(highestSoFar, revision));
     return revision;
   }
 
-  private async waitFor(
+  private async waitForRevision(
     daemon: ClusterDaemon,
     version: number,
     since: number,
   ): Promise<number | undefined> {
-    while (Date.now() - since < GIVE_UP_MS) {
+    while (Date.now() - since < POLL_TIMEOUT_MS) {
       const revision = await this.look(daemon);
       if (revision !== undefined && revision >= version) return Date.now() - since;
       await sleep(POLL_MS);
@@ -66,9 +69,9 @@
     return undefined;
   }
 
-  private clientOf(daemon: ClusterDaemon): AdminClient {
-    const known = this.clients.get(daemon.callers);
-    if (known !== undefined) return known;
+  private clientFor(daemon: ClusterDaemon): AdminClient {
+    const existing = this.clients.get(daemon.callers);
+    if (existing !== undefined) return existing;
     const client = new AdminClient(daemon.callers, ADMIN_KEY);
     this.clients.set(daemon.callers, client);
     return client;
--- a/src/chaos/load.ts
+++ b/src/chaos/load.ts
@@ -1,4 +1,7 @@
-/** Callers' load on a cluster: seeded, bounded in count and time, and remembered. */
+/**
+ * Generates the callers' load on a cluster. The load follows from a seed, is bounded in
+ * count and time, and every request is recorded.
+ */
 import http from 'node:http';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -8,20 +11,20 @@
 import type { CallerRecord } from './auditor.js';
 
 const MAX_TOKENS = 40;
-/** Milliseconds that a caller waits beyond the deadline before it gives up. */
-const CALLER_PATIENCE_MS = 3_000;
-/** Every so many requests carries an idempotency key and is sent through two routers. */
-const DOUBLED_EVERY = 9;
+/** Milliseconds after the deadline at which a caller abandons its request. */
+const CALLER_TIMEOUT_MARGIN_MS = 3_000;
+/** One in this many requests carries an idempotency key and is sent through two routers. */
+const DUPLICATE_EVERY_REQUESTS = 9;
 
-/** A tenant as callers use it. */
+/** The tenant's name and the API key with which callers use it. */
 export interface LoadTenant {
   readonly name: string;
   readonly key: string;
 }
 
-/** The load's shape. */
+/** Targets, rate and duration of the load. */
 export interface LoadOptions {
-  /** Callers' addresses of the daemons. */
+  /** The addresses at which the daemons serve callers. */
   readonly daemons: readonly string[];
   readonly tenants: readonly LoadTenant[];
   readonly requestsPerSecond: number;
@@ -30,33 +33,33 @@
   readonly seed: number;
 }
 
-/** Whole numbers from a seed, both ends included. */
+/** Returns a seeded generator of integers between `low` and `high`, both included. */
 export function seededIntegers(seed: number): (low: number, high: number) => number {
   const generator = xoroshiro128plus(seed);
   return (low, high) => uniformInt(generator, low, high);
 }
 
-/** Sends requests for a while; resolves with all records once the last has ended. */
+/** Sends requests at a fixed rate and records their results. */
 export class LoadGenerator {
   private readonly agent = new http.Agent({ keepAlive: true, maxSockets: 512 });
   private readonly records: CallerRecord[] = [];
   private readonly calls: Promise<void>[] = [];
-  private readonly next: (low: number, high: number) => number;
+  private readonly nextInteger: (low: number, high: number) => number;
   private count = 0;
   private stopped = false;
 
   constructor(private readonly options: LoadOptions) {
-    this.next = seededIntegers(options.seed);
+    this.nextInteger = seededIntegers(options.seed);
   }
 
-  /** Sends the whole load. */
+  /** Sends the whole load; resolves with all records when the last request has ended. */
   async run(): Promise<readonly CallerRecord[]> {
     const { requestsPerSecond, seconds } = this.options;
     const total = requestsPerSecond * seconds;
     const startedAt = Date.now();
     while (this.count < total && !this.stopped) {
-      const due = startedAt + (this.count * 1000) / requestsPerSecond;
-      if (due > Date.now()) await sleep(due - Date.now());
+      const dueAt = startedAt + (this.count * 1000) / requestsPerSecond;
+      if (dueAt > Date.now()) await sleep(dueAt - Date.now());
       this.sendNext();
     }
     await Promise.all(this.calls);
@@ -64,15 +67,15 @@
     return this.records;
   }
 
-  /** Sends one request for a tenant at every daemon at once. */
+  /** Sends one request for a tenant to each daemon at the same time. */
   burst(tenant: LoadTenant): void {
     for (const daemon of this.options.daemons) this.send(daemon, tenant, undefined);
   }
 
-  /** Sends one request for a tenant at the next daemon. */
+  /** Sends one request for a tenant to a daemon chosen by the seeded generator. */
   single(tenant: LoadTenant): void {
     const { daemons } = this.options;
-    this.send(daemons[this.next(0, daemons.length - 1)] ?? '', tenant, undefined);
+    this.send(daemons[this.nextInteger(0, daemons.length - 1)] ?? '', tenant, undefined);
   }
 
   /** Ends the load early. */
@@ -82,13 +85,13 @@
 
   private sendNext(): void {
     const { daemons, tenants } = this.options;
-    const daemon = daemons[this.next(0, daemons.length - 1)] ?? '';
-    const tenant = tenants[this.next(0, tenants.length - 1)];
+    const daemon = daemons[this.nextInteger(0, daemons.length - 1)] ?? '';
+    const tenant = tenants[this.nextInteger(0, tenants.length - 1)];
     if (tenant === undefined) return;
-    if (this.count % DOUBLED_EVERY !== 0) return this.send(daemon, tenant, undefined);
-    // A caller that is in doubt asks again elsewhere with the same key.
+    if (this.count % DUPLICATE_EVERY_REQUESTS !== 0) return this.send(daemon, tenant, undefined);
+    // Simulates a caller that retries through another daemon with the same idempotency key.
     const key = `key-${this.options.seed}-${this.count}`;
-    const other = daemons[this.next(0, daemons.length - 1)] ?? '';
+    const other = daemons[this.nextInteger(0, daemons.length - 1)] ?? '';
     this.send(daemon, tenant, key);
     this.send(other, tenant, key);
   }
@@ -114,7 +117,7 @@
       maxTokens: MAX_TOKENS,
       stream: this.count % 2 === 0,
       headers,
-      timeoutMs: deadlineMs + CALLER_PATIENCE_MS,
+      timeoutMs: deadlineMs + CALLER_TIMEOUT_MARGIN_MS,
       agent: this.agent,
     }).then((answer) => {
       const expectedText = expectedAnswer(promptAtEngine(prompt), MAX_TOKENS);
--- a/src/chaos/main.ts
+++ b/src/chaos/main.ts
@@ -1,4 +1,4 @@
-/** `npm run chaos`: runs the scenarios and prints what the auditor found. */
+/** `npm run chaos`: runs the scenarios and prints the violations that the auditor counted. */
 import { Command } from 'commander';
 import { isClean, type Findings } from './auditor.js';
 import { runScenario, type ScenarioResult } from './chaos-run.js';
@@ -20,12 +20,12 @@
 ];
 
 function rowOf(result: ScenarioResult): string[] {
-  const share = result.requests === 0 ? 0 : (100 * result.served) / result.requests;
+  const servedPercent = result.requests === 0 ? 0 : (100 * result.served) / result.requests;
   return [
     result.name,
     ...COLUMNS.map(([key]) => String(result.findings[key])),
     String(result.requests),
-    `${share.toFixed(1)}%`,
+    `${servedPercent.toFixed(1)}%`,
     result.slowestChangeMs === undefined ? '-' : `${result.slowestChangeMs}`,
     result.placementGapMs === undefined ? '-' : `${result.placementGapMs}`,
   ];
@@ -43,9 +43,11 @@
 }
 
 async function main(names: readonly string[], seed: number): Promise<void> {
-  const chosen = SCENARIOS.filter((item) => names.length === 0 || names.includes(item.name));
+  const selected = SCENARIOS.filter(
+    (scenario) => names.length === 0 || names.includes(scenario.name),
+  );
   const results: ScenarioResult[] = [];
-  for (const scenario of chosen) {
+  for (const scenario of selected) {
     const result = await runScenario(scenario, seed);
     results.push(result);
     printRefusals(result);
@@ -53,15 +55,15 @@
   process.stdout.write('\n');
   const heading = ['SCENARIO', ...COLUMNS.map(([, title]) => title)];
   printTable([...heading, 'REQUESTS', 'SERVED', 'CONF MS', 'GAP MS'], results.map(rowOf));
-  const clean = results.filter((result) => isClean(result.findings)).length;
-  process.stdout.write(`\n${clean} of ${results.length} scenarios are clean\n`);
-  if (clean < results.length) process.exitCode = 1;
+  const cleanCount = results.filter((result) => isClean(result.findings)).length;
+  process.stdout.write(`\n${cleanCount} of ${results.length} scenarios are clean\n`);
+  if (cleanCount < results.length) process.exitCode = 1;
 }
 
 const program = new Command('chaos')
-  .description('failure tests on real processes')
-  .argument('[scenarios...]', 'names; all by default')
-  .option('--seed <n>', 'seed of the load', '1')
+  .description('runs failure scenarios on a cluster of real processes')
+  .argument('[scenarios...]', 'names of the scenarios to run (default: all)')
+  .option('--seed <n>', 'seed of the generated load', '1')
   .action((names: string[], flags: { seed: string }) => main(names, Number(flags.seed)));
 
 await program.parseAsync();
--- a/src/chaos/scenarios.ts
+++ b/src/chaos/scenarios.ts
@@ -1,12 +1,12 @@
-/** The fixed list of scenarios. */
+/** The failure scenarios that `npm run chaos` runs. */
 import { sleep } from '../common/process.js';
 import type { ClusterDaemon, LocalCluster } from '../testbed/local-cluster.js';
 import type { ChaosContext, Scenario } from './chaos-run.js';
 
-/** Milliseconds from the start of the load until the fault: models are being loaded then. */
-const ONSET_MS = 700;
-/** Milliseconds that a paused owner is paused: past its takeover. */
-const PAUSE_MS = 4_000;
+/** Milliseconds from the start of the load to the fault, so that models are still loading. */
+const FAULT_DELAY_MS = 700;
+/** Milliseconds for which an owner is paused; long enough for another daemon to take over. */
+const OWNER_PAUSE_MS = 4_000;
 
 function othersThan(context: ChaosContext, daemon: ClusterDaemon): ClusterDaemon[] {
   return context.cluster.daemons.filter((other) => other !== daemon);
@@ -26,7 +26,7 @@
 
 async function killOwner(context: ChaosContext, zone: string): Promise<void> {
   const owner = await context.ownerOf(zone);
-  await sleep(ONSET_MS);
+  await sleep(FAULT_DELAY_MS);
   context.ownerLost(zone);
   await context.killDaemon(owner);
   const others = othersThan(context, owner);
@@ -35,20 +35,20 @@
 
 async function pauseOwner(context: ChaosContext): Promise<void> {
   const owner = await context.ownerOf('a');
-  await sleep(ONSET_MS);
+  await sleep(FAULT_DELAY_MS);
   context.ownerLost('a');
   owner.process.signal('SIGSTOP');
   const others = othersThan(context, owner);
   await context.change(others[0], others);
-  await sleep(PAUSE_MS);
+  await sleep(OWNER_PAUSE_MS);
   owner.process.signal('SIGCONT');
-  await sleep(ONSET_MS);
+  await sleep(FAULT_DELAY_MS);
   await context.change();
 }
 
 async function killRouter(context: ChaosContext): Promise<void> {
   const router = nonOwner(context, await context.ownerOf('b'));
-  await sleep(ONSET_MS * 2);
+  await sleep(FAULT_DELAY_MS * 2);
   await context.killDaemon(router);
   const others = othersThan(context, router);
   await context.change(others[0], others);
@@ -58,10 +58,10 @@
 
 async function restartEngines(context: ChaosContext): Promise<void> {
   for (const zone of ['a', 'b']) {
-    await sleep(ONSET_MS);
+    await sleep(FAULT_DELAY_MS);
     const engine = engineIn(context.cluster, zone);
     await engine.process.kill();
-    await sleep(ONSET_MS / 2);
+    await sleep(FAULT_DELAY_MS / 2);
     context.cluster.restartEngine(engine);
   }
   await context.change();
@@ -70,7 +70,7 @@
 async function cutOwnerFromEngine(context: ChaosContext): Promise<void> {
   const owner = await context.ownerOf('a');
   const engine = engineIn(context.cluster, 'a');
-  await sleep(ONSET_MS);
+  await sleep(FAULT_DELAY_MS);
   await context.cluster.setLinkFaults(owner, [engine.address], []);
   await sleep(3_000);
   await context.cluster.setLinkFaults(owner, [], [engine.address]);
@@ -83,7 +83,7 @@
   const owner = await context.ownerOf('b');
   const others = othersThan(context, owner);
   const peers = others.map((daemon) => daemon.peers);
-  await sleep(ONSET_MS);
+  await sleep(FAULT_DELAY_MS);
   context.ownerLost('b');
   await context.cluster.setLinkFaults(owner, peers, peers);
   await context.change(others[0], others);
@@ -94,7 +94,7 @@
 }
 
 async function platformDown(context: ChaosContext): Promise<void> {
-  await sleep(ONSET_MS);
+  await sleep(FAULT_DELAY_MS);
   await context.cluster.setPlatformFaults({ down: true });
   await context.change();
   await sleep(5_000);
@@ -120,7 +120,7 @@
 }
 
 async function weightStoreStalled(context: ChaosContext): Promise<void> {
-  await sleep(ONSET_MS);
+  await sleep(FAULT_DELAY_MS);
   await context.cluster.setWeightStoreStalled(true);
   await sleep(4_000);
   await context.cluster.setWeightStoreStalled(false);
@@ -129,13 +129,13 @@
 
 async function machineReclaimed(context: ChaosContext): Promise<void> {
   const engine = engineIn(context.cluster, 'a');
-  const listed = engineIn(context.cluster, 'b');
-  await sleep(ONSET_MS);
+  const markedLeaving = engineIn(context.cluster, 'b');
+  await sleep(FAULT_DELAY_MS);
   await context.cluster.announceLeaving(engine);
-  await context.cluster.setMachineStates([], [listed.address]);
+  await context.cluster.setMachineStates([], [markedLeaving.address]);
   await sleep(2_500);
   await engine.process.kill();
-  await context.cluster.setMachineStates([engine.address], [listed.address]);
+  await context.cluster.setMachineStates([engine.address], [markedLeaving.address]);
   await context.change();
 }
 
@@ -158,18 +158,20 @@
   const inside = context.cluster.daemons.filter((daemon) => daemon.zone === 'c');
   const outside = context.cluster.daemons.filter((daemon) => daemon.zone !== 'c');
   const engines = context.cluster.engines;
-  const far = [
+  const outsideAddresses = [
     ...outside.map((daemon) => daemon.peers),
     ...engines.filter((engine) => engine.zone !== 'c').map((engine) => engine.address),
     context.cluster.platformAddress,
   ];
-  const near = [
+  const insideAddresses = [
     ...inside.map((daemon) => daemon.peers),
     ...engines.filter((engine) => engine.zone === 'c').map((engine) => engine.address),
   ];
-  await sleep(ONSET_MS);
-  for (const daemon of inside) await context.cluster.setLinkFaults(daemon, far, far);
-  for (const daemon of outside) await context.cluster.setLinkFaults(daemon, near, near);
+  await sleep(FAULT_DELAY_MS);
+  for (const daemon of inside)
+    await context.cluster.setLinkFaults(daemon, outsideAddresses, outsideAddresses);
+  for (const daemon of outside)
+    await context.cluster.setLinkFaults(daemon, insideAddresses, insideAddresses);
   await context.change(outside[0], outside);
   await sleep(4_000);
   for (const daemon of context.cluster.daemons) await context.cluster.setLinkFaults(daemon, [], []);
@@ -205,7 +207,7 @@
 
 async function engineFrozen(context: ChaosContext): Promise<void> {
   const engine = engineIn(context.cluster, 'b');
-  await sleep(ONSET_MS);
+  await sleep(FAULT_DELAY_MS);
   engine.process.signal('SIGSTOP');
   await sleep(5_000);
   engine.process.signal('SIGCONT');
@@ -216,7 +218,7 @@
   const engine = engineIn(context.cluster, 'a');
   const owner = await context.ownerOf('a');
   const others = othersThan(context, owner);
-  await sleep(ONSET_MS);
+  await sleep(FAULT_DELAY_MS);
   await context.cluster.setPlatformFaults({ delayMs: 300, loseReplies: 2 });
   await Promise.all([engine.process.kill(), context.killDaemon(owner)]);
   await context.cluster.setWeightStoreStalled(true);
@@ -229,7 +231,7 @@
   await context.startDaemon(owner);
 }
 
-async function twice(context: ChaosContext): Promise<void> {
+async function severalAtOnceTwice(context: ChaosContext): Promise<void> {
   await severalAtOnce(context);
   await sleep(2_000);
   await severalAtOnce(context);
@@ -257,5 +259,5 @@
   { name: 'engine-loses-replies', seconds: 9, act: engineLosesReplies },
   { name: 'streams-cut', seconds: 6, act: streamsCut },
   { name: 'several-at-once', seconds: 9, act: severalAtOnce },
-  { name: 'several-twice', seconds: 16, act: twice },
+  { name: 'several-twice', seconds: 16, act: severalAtOnceTwice },
 ];
--- a/src/demo/main.ts
+++ b/src/demo/main.ts
@@ -1,6 +1,6 @@
 /**
  * The demonstration: starts a whole system as separate processes, declares a
- * template and two tenants, and serves a request of a cold model end to end.
+ * template and two tenants, and serves a request for a cold model end to end.
  */
 import { execFile } from 'node:child_process';
 import { writeFileSync } from 'node:fs';
@@ -12,7 +12,7 @@
 import { expectedAnswer } from '../standin/expected-answer.js';
 import { ADMIN_KEY, LocalCluster, waitFor, type ClusterDaemon } from '../testbed/local-cluster.js';
 
-const run = promisify(execFile);
+const execFileAsync = promisify(execFile);
 const TENANT_KEY = 'shift-key';
 const MAX_TOKENS = 64;
 const IDLE_SECONDS = 2;
@@ -46,25 +46,27 @@
 
 const startedAt = Date.now();
 
-function report(step: string, milliseconds: number): void {
+function printStep(step: string, milliseconds: number): void {
   const total = ((Date.now() - startedAt) / 1000).toFixed(1);
   process.stdout.write(`${total.padStart(5)} s  ${step.padEnd(58)} ${milliseconds} ms\n`);
 }
 
 async function timed<Value>(step: string, action: () => Promise<Value>): Promise<Value> {
-  const before = Date.now();
+  const stepStartedAt = Date.now();
   const value = await action();
-  report(step, Date.now() - before);
+  printStep(step, Date.now() - stepStartedAt);
   return value;
 }
 
-function expectWhole(answer: ModelAnswer, prompt: string): void {
+function expectCompleteAnswer(answer: ModelAnswer, prompt: string): void {
   const expected = expectedAnswer(promptAtEngine(prompt), MAX_TOKENS);
   if (answer.outcome === 'whole' && answer.text === expected) return;
-  throw new Error(`the answer is ${answer.outcome}, status ${answer.status}: ${answer.reason}`);
+  throw new Error(
+    `incomplete or unexpected answer: outcome ${answer.outcome}, status ${answer.status}: ${answer.reason}`,
+  );
 }
 
-function ask(daemon: ClusterDaemon, prompt: string): Promise<ModelAnswer> {
+function callTenant(daemon: ClusterDaemon, prompt: string): Promise<ModelAnswer> {
   return callModel({
     server: daemon.callers,
     key: TENANT_KEY,
@@ -82,15 +84,25 @@
 
 async function demonstrate(cluster: LocalCluster): Promise<void> {
   const [first, , third] = cluster.daemons;
-  if (first === undefined || third === undefined) throw new Error('three daemons are needed');
+  if (first === undefined || third === undefined)
+    throw new Error('the demonstration needs three daemons');
   const file = path.join(cluster.directory, 'tenants.yaml');
   writeFileSync(file, DOCUMENTS);
   const program = fileURLToPath(new URL('../cli/main.js', import.meta.url));
   await timed('a template and two tenants applied by the command line', () =>
-    run(process.execPath, [program, 'apply', '-f', file, '-s', first.callers, '--key', ADMIN_KEY]),
+    execFileAsync(process.execPath, [
+      program,
+      'apply',
+      '-f',
+      file,
+      '-s',
+      first.callers,
+      '--key',
+      ADMIN_KEY,
+    ]),
   );
-  await timed('the configuration is in force at a daemon that was not asked', () =>
-    waitFor('the tenant to be known', 5_000, async () => {
+  await timed('the configuration is in force at another daemon', () =>
+    waitFor('the tenant to be configured', 5_000, async () => {
       const answer = await callModel({
         server: third.callers,
         key: TENANT_KEY,
@@ -100,19 +112,19 @@
         stream: false,
         timeoutMs: 2_000,
       });
-      // The key is known and does not open this tenant: nothing has run.
+      // The key belongs to another tenant, so the daemon refuses the request without running it.
       return answer.errorKind === 'forbidden';
     }),
   );
-  const cold = await ask(third, 'who is on the night shift');
-  expectWhole(cold, 'who is on the night shift');
-  report('a cold model: time to the first token', firstTokenMs(cold));
-  report(`a cold model: the whole answer, ${cold.tokens} tokens`, cold.endedAt - cold.startedAt);
-  const warm = await ask(third, 'and who is on call');
-  expectWhole(warm, 'and who is on call');
-  report('the same model, warm: time to the first token', firstTokenMs(warm));
+  const cold = await callTenant(third, 'who is on the night shift');
+  expectCompleteAnswer(cold, 'who is on the night shift');
+  printStep('a cold model: time to the first token', firstTokenMs(cold));
+  printStep(`a cold model: the whole answer, ${cold.tokens} tokens`, cold.endedAt - cold.startedAt);
+  const warm = await callTenant(third, 'and who is on call');
+  expectCompleteAnswer(warm, 'and who is on call');
+  printStep('the same model, warm: time to the first token', firstTokenMs(warm));
   await timed(`the idle model is released (keep-alive ${IDLE_SECONDS} s)`, () =>
-    waitFor('the release', 15_000, async () => {
+    waitFor('the model to be released', 15_000, async () => {
       const reports = await Promise.all(cluster.engines.map((e) => cluster.engineStatus(e)));
       return reports.every((engine) => engine.holdings.length === 0);
     }),
@@ -120,7 +132,7 @@
   await timed('a daemon stops as planned', async () => {
     first.process.signal('SIGTERM');
     const status = await first.process.waitForExit();
-    if (status.code !== 0) throw new Error(`the daemon ended with code ${status.code}`);
+    if (status.code !== 0) throw new Error(`the daemon exited with code ${status.code}`);
   });
 }
 
@@ -137,7 +149,7 @@
   } finally {
     await cluster.stop();
   }
-  report('all processes ended', Date.now() - startedAt);
+  printStep('all processes have exited', Date.now() - startedAt);
 }
 
 main().catch((fault: unknown) => {
--- a/src/standin/engine-stand-in-options.ts
+++ b/src/standin/engine-stand-in-options.ts
@@ -1,21 +1,22 @@
-/** What can be set at a stand-in of an engine, and what it logs. */
+/** Options, fault switches and log events of the engine stand-in. */
 
-/** How fast and how large the engine is. */
+/** Capacity, speeds and initial caches of the engine. */
 export interface EngineStandInOptions {
   readonly name: string;
   readonly capacityBytes: number;
-  /** Bytes a second from this machine's memory and disk. */
+  /** Speed of loading a model from this machine's memory cache. */
   readonly memoryBytesPerSecond: number;
+  /** Speed of loading a model from this machine's disk cache. */
   readonly diskBytesPerSecond: number;
-  /** Milliseconds of every load besides the transfer. */
+  /** Milliseconds that each load takes in addition to the transfer. */
   readonly loadOverheadMs: number;
   readonly tokenIntervalMs: number;
-  /** Models that the caches hold at the start. */
+  /** Models in the caches at the start. */
   readonly memoryCache: readonly string[];
   readonly diskCache: readonly string[];
-  /** Models that the memory cache holds at most. */
+  /** Maximum number of models in the memory cache. */
   readonly memoryCacheSize: number;
-  /** Writes one event to the engine's log. */
+  /** Receives each event for the engine's log. */
   readonly log: (event: EngineLogEvent) => void;
 }
 
@@ -46,19 +47,20 @@
 
 /** Fault switches; all off by default. */
 export interface EngineFaults {
-  /** Swallow everything and make no progress. */
+  /** Leave calls unanswered and make no progress with loads and tokens. */
   frozen: boolean;
-  /** That many of the next orders take effect but lose their reply. */
+  /** This many of the next orders take effect, but their replies are dropped. */
   loseOrderReplies: number;
-  /** Milliseconds added to orders. */
+  /** Delay in milliseconds before an order is applied. */
   orderDelayMs: number;
-  /** Factor on the time of loads and tokens. */
+  /** Factor by which loads and tokens take longer. */
   slowFactor: number;
-  /** Cut all request streams once. */
+  /** Break all open request streams once; then switches itself off. */
   cutStreams: boolean;
-  /** Answer requests with nonsense. */
+  /** Answer calls with malformed data. */
   nonsense: boolean;
-  /** Seeded faults that the auditor must see. */
+  /** Apply orders without checking their fence; a deliberate fault that the auditor must detect. */
   ignoreFence: boolean;
+  /** Send wrong token texts; a deliberate fault that the auditor must detect. */
   corruptTokens: boolean;
 }
--- a/src/standin/engine-stand-in.ts
+++ b/src/standin/engine-stand-in.ts
@@ -1,7 +1,7 @@
 /**
- * A small stand-in of a model engine: sealed epochs, loads with caches and a
- * weight store, streams that can be resumed and cancelled, lagging reports, and
- * fault switches. It writes its own log, which the auditor reads. Not for production.
+ * A small stand-in for a model engine, not for production. It implements sealed epochs,
+ * loads from caches and a weight store, streams that can be resumed and cancelled,
+ * delayed reports, and fault switches. It writes its own log, which the auditor reads.
  */
 import { randomUUID } from 'node:crypto';
 import type http from 'node:http';
@@ -27,14 +27,14 @@
 import { answerLength, answerToken } from './expected-answer.js';
 
 const BODY_LIMIT_BYTES = 4 * 1024 * 1024;
-/** Least milliseconds between two reports: the engines report with a lag. */
+/** Minimum milliseconds between two reports, because real engines report with a lag. */
 const REPORT_LAG_MS = 50;
-const ALIVE_PERIOD_MS = 1000;
-/** Milliseconds that a finished request can still be resumed. */
-const FINISHED_KEPT_MS = 60_000;
+const HEARTBEAT_INTERVAL_MS = 1000;
+/** Milliseconds for which a finished request can still be resumed. */
+const FINISHED_RETENTION_MS = 60_000;
 const LOAD_TIMEOUT_MS = 120_000;
 
-interface HeldReplica {
+interface ReplicaEntry {
   replica: ReplicaSpec;
   state: ReplicaState;
   inFlight: number;
@@ -50,7 +50,7 @@
   readonly listeners: Set<http.ServerResponse>;
 }
 
-/** The stand-in; `handle` is a request listener for Node's `http`. */
+/** The engine stand-in; `handle` is a request listener for Node's `http`. */
 export class EngineStandIn {
   readonly faults: EngineFaults = {
     frozen: false,
@@ -69,14 +69,14 @@
   private lastAnswer: OrderAnswer | undefined;
   private reportNumber = 0;
   private leaving = false;
-  private readonly holdings = new Map<string, HeldReplica>();
+  private readonly holdings = new Map<string, ReplicaEntry>();
   private readonly memoryCache: string[];
   private readonly diskCache: Set<string>;
   private readonly requests = new Map<string, RunningRequest>();
-  private readonly tombstones = new Set<string>();
+  private readonly cancelledIds = new Set<string>();
   private readonly reportWatchers = new Set<http.ServerResponse>();
   private reportTimer: NodeJS.Timeout | undefined;
-  private readonly aliveTimer: NodeJS.Timeout;
+  private readonly heartbeatTimer: NodeJS.Timeout;
 
   constructor(
     private readonly options: EngineStandInOptions,
@@ -84,39 +84,39 @@
   ) {
     this.memoryCache = [...options.memoryCache];
     this.diskCache = new Set(options.diskCache);
-    this.aliveTimer = setInterval(() => this.sendAlive(), ALIVE_PERIOD_MS);
-    this.aliveTimer.unref();
+    this.heartbeatTimer = setInterval(() => this.sendHeartbeats(), HEARTBEAT_INTERVAL_MS);
+    this.heartbeatTimer.unref();
     this.log('start', { capacityBytes: options.capacityBytes });
   }
 
-  /** Ends the clockwork. */
+  /** Stops the timers of heartbeats and reports. */
   close(): void {
-    clearInterval(this.aliveTimer);
+    clearInterval(this.heartbeatTimer);
     clearTimeout(this.reportTimer);
   }
 
-  /** Serves one call. */
+  /** Serves one HTTP call. */
   async handle(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     const url = new URL(request.url ?? '/', 'http://engine');
-    const [head = '', tail = ''] = url.pathname.slice(1).split('/').map(decodeURIComponent);
-    if (head === 'control') return this.control(tail, request, response);
+    const [resource = '', argument = ''] = url.pathname.slice(1).split('/').map(decodeURIComponent);
+    if (resource === 'control') return this.handleControl(argument, request, response);
     if (this.faults.frozen) return;
     if (this.faults.nonsense) {
       response.end('{]garbage\n{"type":"token"}\n');
       return;
     }
-    if (head === 'status') return sendJson(response, 200, this.report());
-    if (head === 'reports') return this.watchReports(response);
-    if (head === 'orders') return this.takeOrder(request, response);
-    if (head !== 'requests') return sendJson(response, 404, {});
-    if (request.method === 'DELETE') return this.cancel(tail, response);
+    if (resource === 'status') return sendJson(response, 200, this.report());
+    if (resource === 'reports') return this.watchReports(response);
+    if (resource === 'orders') return this.handleOrder(request, response);
+    if (resource !== 'requests') return sendJson(response, 404, {});
+    if (request.method === 'DELETE') return this.cancel(argument, response);
     if (request.method === 'GET') {
-      return this.resume(tail, Number(url.searchParams.get('offset') ?? 0), response);
+      return this.resume(argument, Number(url.searchParams.get('offset') ?? 0), response);
     }
     return this.run(request, response);
   }
 
-  private async control(
+  private async handleControl(
     action: string,
     request: http.IncomingMessage,
     response: http.ServerResponse,
@@ -143,7 +143,7 @@
     }
   }
 
-  private async takeOrder(
+  private async handleOrder(
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): Promise<void> {
@@ -153,7 +153,7 @@
     if (this.faults.orderDelayMs > 0) {
       await new Promise((resolve) => setTimeout(resolve, this.faults.orderDelayMs));
     }
-    const answer = this.decideOrder(fence, order);
+    const answer = this.applyOrder(fence, order);
     if (this.faults.loseOrderReplies > 0) {
       this.faults.loseOrderReplies -= 1;
       response.destroy();
@@ -162,7 +162,7 @@
     sendJson(response, 200, answer);
   }
 
-  private decideOrder(fence: OrderFence, order: EngineOrder): OrderAnswer {
+  private applyOrder(fence: OrderFence, order: EngineOrder): OrderAnswer {
     const refusal = this.faults.ignoreFence ? undefined : this.checkFence(fence, order);
     if (refusal === 'repeated') return this.lastAnswer ?? this.refuse('stale_sequence');
     if (refusal !== undefined) return this.refuse(refusal);
@@ -191,17 +191,17 @@
 
   private load(replica: ReplicaSpec): void {
     if (this.holdings.has(replica.tenant)) return;
-    const held: HeldReplica = { replica, state: 'loading', inFlight: 0, lastUsedAt: Date.now() };
-    const resident = this.isResident(replica.model);
-    this.holdings.set(replica.tenant, held);
-    this.log('hold', { tenant: replica.tenant, ...this.memory(), epoch: this.fenceEpoch });
-    void this.transfer(replica, resident).then((ok) => this.finishLoad(held, ok));
+    const entry: ReplicaEntry = { replica, state: 'loading', inFlight: 0, lastUsedAt: Date.now() };
+    const resident = this.isModelResident(replica.model);
+    this.holdings.set(replica.tenant, entry);
+    this.log('hold', { tenant: replica.tenant, ...this.memoryUse(), epoch: this.fenceEpoch });
+    void this.transfer(replica, resident).then((ok) => this.finishLoad(entry, ok));
     this.scheduleReport();
   }
 
-  private isResident(model: string): boolean {
+  private isModelResident(model: string): boolean {
     return [...this.holdings.values()].some(
-      (held) => held.replica.model === model && held.state === 'loaded',
+      (entry) => entry.replica.model === model && entry.state === 'loaded',
     );
   }
 
@@ -222,11 +222,11 @@
     const milliseconds = loadOverheadMs + (bytes / speed) * 1000;
     await new Promise((resolve) => setTimeout(resolve, milliseconds * this.faults.slowFactor));
     while (this.faults.frozen) await new Promise((resolve) => setTimeout(resolve, 50));
-    this.remember(replica.model);
+    this.addToCaches(replica.model);
     return true;
   }
 
-  private remember(model: string): void {
+  private addToCaches(model: string): void {
     const index = this.memoryCache.indexOf(model);
     if (index >= 0) this.memoryCache.splice(index, 1);
     this.memoryCache.push(model);
@@ -234,52 +234,56 @@
     if (this.memoryCache.length > this.options.memoryCacheSize) this.memoryCache.shift();
   }
 
-  private finishLoad(held: HeldReplica, ok: boolean): void {
-    if (this.holdings.get(held.replica.tenant) !== held || held.state !== 'loading') return;
-    held.state = ok ? 'loaded' : 'failed';
-    held.lastUsedAt = Date.now();
-    if (ok) this.log('loaded', { tenant: held.replica.tenant });
+  private finishLoad(entry: ReplicaEntry, ok: boolean): void {
+    if (this.holdings.get(entry.replica.tenant) !== entry || entry.state !== 'loading') return;
+    entry.state = ok ? 'loaded' : 'failed';
+    entry.lastUsedAt = Date.now();
+    if (ok) this.log('loaded', { tenant: entry.replica.tenant });
     this.scheduleReport();
   }
 
   private unload(tenant: string): void {
-    const held = this.holdings.get(tenant);
-    if (held === undefined) return;
-    held.state = 'unloading';
-    this.releaseWhenDrained(held);
+    const entry = this.holdings.get(tenant);
+    if (entry === undefined) return;
+    entry.state = 'unloading';
+    this.releaseWhenDrained(entry);
     this.scheduleReport();
   }
 
-  private releaseWhenDrained(held: HeldReplica): void {
-    if (held.state !== 'unloading' || held.inFlight > 0) return;
-    if (this.holdings.get(held.replica.tenant) !== held) return;
-    this.holdings.delete(held.replica.tenant);
-    this.log('release', { tenant: held.replica.tenant, ...this.memory() });
+  private releaseWhenDrained(entry: ReplicaEntry): void {
+    if (entry.state !== 'unloading' || entry.inFlight > 0) return;
+    if (this.holdings.get(entry.replica.tenant) !== entry) return;
+    this.holdings.delete(entry.replica.tenant);
+    this.log('release', { tenant: entry.replica.tenant, ...this.memoryUse() });
     this.scheduleReport();
   }
 
   private async run(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     const body = await readJson(request, BODY_LIMIT_BYTES);
     if (body.isErr) return sendJson(response, 400, {});
-    const wanted = body.value as EngineRequest;
-    this.log('received', { tenant: wanted.tenant, request: wanted.id });
-    const known = this.requests.get(wanted.id);
-    if (known !== undefined) return this.attach(known, 0, response);
-    const refusal = this.checkRequest(wanted);
+    const engineRequest = body.value as EngineRequest;
+    this.log('received', { tenant: engineRequest.tenant, request: engineRequest.id });
+    const existing = this.requests.get(engineRequest.id);
+    if (existing !== undefined) return this.attach(existing, 0, response);
+    const refusal = this.checkRequest(engineRequest);
     if (refusal !== undefined) {
-      this.log('refused', { tenant: wanted.tenant, request: wanted.id, detail: refusal });
+      this.log('refused', {
+        tenant: engineRequest.tenant,
+        request: engineRequest.id,
+        detail: refusal,
+      });
       return sendJson(response, 409, {}, { 'x-refusal': refusal });
     }
-    this.attach(this.startRequest(wanted), 0, response);
+    this.attach(this.startRequest(engineRequest), 0, response);
   }
 
-  private checkRequest(wanted: EngineRequest): RequestRefusal | undefined {
-    if (this.tombstones.has(wanted.id)) return 'cancelled';
+  private checkRequest(engineRequest: EngineRequest): RequestRefusal | undefined {
+    if (this.cancelledIds.has(engineRequest.id)) return 'cancelled';
     if (this.leaving) return 'leaving';
-    if (wanted.incarnation !== this.incarnation) return 'wrong_incarnation';
-    const held = this.holdings.get(wanted.tenant);
-    if (held?.state !== 'loaded') return 'not_loaded';
-    return held.inFlight >= held.replica.slots ? 'busy' : undefined;
+    if (engineRequest.incarnation !== this.incarnation) return 'wrong_incarnation';
+    const entry = this.holdings.get(engineRequest.tenant);
+    if (entry?.state !== 'loaded') return 'not_loaded';
+    return entry.inFlight >= entry.replica.slots ? 'busy' : undefined;
   }
 
   private startRequest(request: EngineRequest): RunningRequest {
@@ -292,8 +296,8 @@
       listeners: new Set(),
     };
     this.requests.set(request.id, running);
-    const held = this.holdings.get(request.tenant);
-    if (held !== undefined) held.inFlight += 1;
+    const entry = this.holdings.get(request.tenant);
+    if (entry !== undefined) entry.inFlight += 1;
     this.log('run', { tenant: request.tenant, request: request.id });
     this.scheduleReport();
     this.scheduleToken(running);
@@ -326,14 +330,14 @@
     running.done = true;
     this.log(event, { tenant: running.request.tenant, request: running.request.id });
     for (const listener of running.listeners) this.sendDone(running, listener);
-    const held = this.holdings.get(running.request.tenant);
-    if (held !== undefined) {
-      held.inFlight -= 1;
-      held.lastUsedAt = Date.now();
-      this.releaseWhenDrained(held);
+    const entry = this.holdings.get(running.request.tenant);
+    if (entry !== undefined) {
+      entry.inFlight -= 1;
+      entry.lastUsedAt = Date.now();
+      this.releaseWhenDrained(entry);
     }
     this.scheduleReport();
-    setTimeout(() => this.requests.delete(running.request.id), FINISHED_KEPT_MS).unref();
+    setTimeout(() => this.requests.delete(running.request.id), FINISHED_RETENTION_MS).unref();
   }
 
   private sendDone(running: RunningRequest, listener: http.ServerResponse): void {
@@ -341,14 +345,14 @@
       listener.destroy();
       return;
     }
-    const natural = answerLength(running.request.prompt);
-    const finish = running.length < natural ? 'length' : 'stop';
+    const fullLength = answerLength(running.request.prompt);
+    const finish = running.length < fullLength ? 'length' : 'stop';
     listener.end(`${JSON.stringify({ type: 'done', tokens: running.length, finish })}\n`);
   }
 
   private attach(running: RunningRequest, offset: number, response: http.ServerResponse): void {
-    const held = this.holdings.get(running.request.tenant);
-    const load = { inFlight: held?.inFlight ?? 0, slots: held?.replica.slots ?? 0 };
+    const entry = this.holdings.get(running.request.tenant);
+    const load = { inFlight: entry?.inFlight ?? 0, slots: entry?.replica.slots ?? 0 };
     response.writeHead(200, { 'content-type': 'application/x-ndjson' });
     response.write(`${JSON.stringify({ type: 'accepted', load })}\n`);
     for (let next = offset; next < running.produced; next++) {
@@ -366,7 +370,7 @@
   }
 
   private cancel(id: string, response: http.ServerResponse): void {
-    this.tombstones.add(id);
+    this.cancelledIds.add(id);
     const running = this.requests.get(id);
     if (running !== undefined) running.cancelled = true;
     this.log('cancelled', { request: id, detail: running === undefined ? 'no' : 'yes' });
@@ -391,7 +395,7 @@
     }, REPORT_LAG_MS);
   }
 
-  private sendAlive(): void {
+  private sendHeartbeats(): void {
     if (this.faults.frozen) return;
     for (const watcher of this.reportWatchers) watcher.write('{"alive":true}\n');
     for (const running of this.requests.values()) {
@@ -401,15 +405,15 @@
 
   private report(): EngineReport {
     const now = Date.now();
-    const holdings = [...this.holdings.values()].map((held): Holding => ({
-      replica: held.replica,
-      state: held.state,
-      inFlight: held.inFlight,
-      idleMs: held.inFlight > 0 ? 0 : now - held.lastUsedAt,
+    const holdings = [...this.holdings.values()].map((entry): Holding => ({
+      replica: entry.replica,
+      state: entry.state,
+      inFlight: entry.inFlight,
+      idleMs: entry.inFlight > 0 ? 0 : now - entry.lastUsedAt,
     }));
     const memory = this.memoryCache.map((model) => ({ model, tier: 'memory' as const }));
-    const onDisk = [...this.diskCache].filter((model) => !this.memoryCache.includes(model));
-    const disk = onDisk.map((model) => ({ model, tier: 'disk' as const }));
+    const onlyOnDisk = [...this.diskCache].filter((model) => !this.memoryCache.includes(model));
+    const disk = onlyOnDisk.map((model) => ({ model, tier: 'disk' as const }));
     return {
       incarnation: this.incarnation,
       epoch: this.fenceEpoch,
@@ -422,7 +426,7 @@
     };
   }
 
-  private memory(): { usedBytes: number; capacityBytes: number } {
+  private memoryUse(): { usedBytes: number; capacityBytes: number } {
     const models = new Map<string, number>();
     let adapters = 0;
     for (const { replica } of this.holdings.values()) {
@@ -437,12 +441,12 @@
     event: EngineLogEvent['event'],
     fields: Partial<Omit<EngineLogEvent, 'at' | 'event'>> = {},
   ): void {
-    const head = {
+    const commonFields = {
       at: Date.now(),
       engine: this.options.name,
       incarnation: this.incarnation,
       event,
     };
-    this.options.log({ ...head, ...fields });
+    this.options.log({ ...commonFields, ...fields });
   }
 }
--- a/src/standin/main.ts
+++ b/src/standin/main.ts
@@ -1,4 +1,4 @@
-/** Runs one stand-in as a process; used by the demonstration and the failure tests only. */
+/** Runs one stand-in as a process; for the demonstration, the tests and the benchmarks only. */
 import { appendFileSync } from 'node:fs';
 import http from 'node:http';
 import { Command } from 'commander';
@@ -8,18 +8,18 @@
 import { PlatformStandIn } from './platform-stand-in.js';
 import { WeightStoreStandIn } from './weight-store-stand-in.js';
 
-/** Bytes of a gigabyte, as sizes in flags and documents count it. */
+/** Bytes in a gigabyte, as counted in flags and in operators' documents. */
 const GIGABYTE = 1e9;
 
-type Listener = (request: http.IncomingMessage, response: http.ServerResponse) => Promise<void>;
+type CallHandler = (request: http.IncomingMessage, response: http.ServerResponse) => Promise<void>;
 
-async function serve(host: string, port: number, listener: Listener): Promise<void> {
+async function serve(host: string, port: number, handler: CallHandler): Promise<void> {
   const server = http.createServer((request, response) => {
-    listener(request, response).catch(() => response.destroy());
+    handler(request, response).catch(() => response.destroy());
   });
   server.keepAliveTimeout = 65_000;
-  const bound = await listen(server, host, port);
-  process.stdout.write(`listening ${host}:${bound}\n`);
+  const boundPort = await listen(server, host, port);
+  process.stdout.write(`listening ${host}:${boundPort}\n`);
 }
 
 function splitList(text: string): string[] {
@@ -40,7 +40,7 @@
   diskCache: string;
 }
 
-function engineStandIn(flags: EngineFlags): EngineStandIn {
+function createEngineStandIn(flags: EngineFlags): EngineStandIn {
   return new EngineStandIn(
     {
       name: `${flags.host}:${flags.port}`,
@@ -60,12 +60,12 @@
   );
 }
 
-const program = new Command('stand-in').description('stand-ins of the outside systems');
+const program = new Command('stand-in').description('runs a stand-in for an external system');
 
 program
   .command('platform')
-  .option('--host <ip>', 'address', '127.0.0.1')
-  .option('--port <port>', 'port', '0')
+  .option('--host <ip>', 'address to listen on', '127.0.0.1')
+  .option('--port <port>', 'port to listen on; 0 for any free port', '0')
   .action(async (flags: { host: string; port: string }) => {
     const standIn = new PlatformStandIn();
     await serve(flags.host, Number(flags.port), (request, response) =>
@@ -75,11 +75,11 @@
 
 program
   .command('weight-store')
-  .option('--host <ip>', 'address', '127.0.0.1')
-  .option('--port <port>', 'port', '0')
-  .option('--loads-per-second <n>', 'starts a second', '2')
-  .option('--full-speed-loads <n>', 'transfers at once at full speed', '8')
-  .option('--gbps <n>', 'gigabytes a second of one transfer', '10')
+  .option('--host <ip>', 'address to listen on', '127.0.0.1')
+  .option('--port <port>', 'port to listen on; 0 for any free port', '0')
+  .option('--loads-per-second <n>', 'transfers that may start per second', '2')
+  .option('--full-speed-loads <n>', 'concurrent transfers that run at full speed', '8')
+  .option('--gbps <n>', 'speed of one transfer in gigabytes per second', '10')
   .action(async (flags: Record<string, string>) => {
     const standIn = new WeightStoreStandIn({
       loadsPerSecond: Number(flags['loadsPerSecond']),
@@ -94,18 +94,22 @@
 program
   .command('engine')
   .requiredOption('--weight-store <ip:port>', 'address of the weight store')
-  .requiredOption('--port <port>', 'port')
-  .option('--host <ip>', 'address', '127.0.0.1')
-  .option('--log <file>', 'file for the log of events', '')
-  .option('--capacity-gb <n>', 'accelerator memory', '80')
-  .option('--token-ms <n>', 'milliseconds a token', '10')
-  .option('--overhead-ms <n>', 'milliseconds of a load besides the transfer', '100')
-  .option('--disk-gbps <n>', 'gigabytes a second from disk', '20')
-  .option('--memory-gbps <n>', 'gigabytes a second from memory', '60')
-  .option('--memory-cache <models>', 'models cached in memory', '')
-  .option('--disk-cache <models>', 'models cached on disk', '')
+  .requiredOption('--port <port>', 'port to listen on')
+  .option('--host <ip>', 'address to listen on', '127.0.0.1')
+  .option('--log <file>', 'file for the event log; empty for none', '')
+  .option('--capacity-gb <n>', 'accelerator memory in gigabytes', '80')
+  .option('--token-ms <n>', 'milliseconds per token', '10')
+  .option('--overhead-ms <n>', 'milliseconds that a load takes in addition to the transfer', '100')
+  .option('--disk-gbps <n>', 'load speed from disk in gigabytes per second', '20')
+  .option('--memory-gbps <n>', 'load speed from memory in gigabytes per second', '60')
+  .option(
+    '--memory-cache <models>',
+    'models cached in memory at the start, separated by commas',
+    '',
+  )
+  .option('--disk-cache <models>', 'models cached on disk at the start, separated by commas', '')
   .action(async (flags: EngineFlags) => {
-    const standIn = engineStandIn(flags);
+    const standIn = createEngineStandIn(flags);
     await serve(flags.host, Number(flags.port), (request, response) =>
       standIn.handle(request, response),
     );
--- a/src/standin/platform-stand-in.ts
+++ b/src/standin/platform-stand-in.ts
@@ -1,25 +1,25 @@
 /**
- * A small stand-in of the platform: objects with versions, conditional writes,
- * watches, and a list of machines that lags. Its fault switches bring about the
- * outages that the failure tests need. Not for production.
+ * A small stand-in for the platform, not for production. It implements versioned objects,
+ * conditional writes, watches, and a list of machines that lags. Its fault switches
+ * cause the outages that the failure tests need.
  */
 import http from 'node:http';
 import { readJson, sendJson } from '../common/http-server.js';
 import type { Machine } from '../platform/platform-client.js';
 
-/** Milliseconds between two signs of life on a watch. */
-const BOOKMARK_PERIOD_MS = 500;
-/** Changes kept for watches that start late. */
+/** Milliseconds between two bookmarks, which show that a watch is alive and up to date. */
+const BOOKMARK_INTERVAL_MS = 500;
+/** Number of changes kept for watches that resume from an earlier revision. */
 const HISTORY_LIMIT = 20_000;
 const BODY_LIMIT_BYTES = 4 * 1024 * 1024;
 
 /** Fault switches; all off by default. */
 export interface PlatformFaults {
-  /** Every call is swallowed without an answer, and watches fall silent. */
+  /** Calls get no reply, and watches send nothing. */
   down: boolean;
-  /** Milliseconds added to every call. */
+  /** Delay in milliseconds before every call is processed. */
   delayMs: number;
-  /** That many of the next writes take effect but lose their reply. */
+  /** This many of the next writes take effect, but their replies are dropped. */
   loseReplies: number;
   /** Milliseconds by which the list of machines lags. */
   machineLagMs: number;
@@ -32,37 +32,37 @@
   readonly value: unknown;
 }
 
-interface MachineListAt {
+interface MachineListVersion {
   readonly at: number;
   readonly version: number;
   readonly machines: readonly Machine[];
 }
 
-/** The stand-in; `handle` is a request listener for Node's `http`. */
+/** The platform stand-in; `handle` is a request listener for Node's `http`. */
 export class PlatformStandIn {
   readonly faults: PlatformFaults = { down: false, delayMs: 0, loseReplies: 0, machineLagMs: 0 };
-  /** Calls since the start, by method, for measurements. */
+  /** Number of calls since the start, by HTTP method and first path segment, for measurements. */
   readonly calls = new Map<string, number>();
   private revision = 0;
-  private oldest = 0;
+  private lastDroppedRevision = 0;
   private readonly objects = new Map<string, { version: number; value: unknown }>();
   private readonly history: Change[] = [];
   private readonly watchers = new Set<http.ServerResponse>();
-  private readonly machineHistory: MachineListAt[] = [{ at: 0, version: 0, machines: [] }];
-  private readonly bookmarks: NodeJS.Timeout;
+  private readonly machineHistory: MachineListVersion[] = [{ at: 0, version: 0, machines: [] }];
+  private readonly bookmarkTimer: NodeJS.Timeout;
 
   constructor() {
-    this.bookmarks = setInterval(() => this.sendBookmarks(), BOOKMARK_PERIOD_MS);
-    this.bookmarks.unref();
+    this.bookmarkTimer = setInterval(() => this.sendBookmarks(), BOOKMARK_INTERVAL_MS);
+    this.bookmarkTimer.unref();
   }
 
-  /** Ends the watches. */
+  /** Stops the bookmarks and closes the watches. */
   close(): void {
-    clearInterval(this.bookmarks);
+    clearInterval(this.bookmarkTimer);
     for (const watcher of this.watchers) watcher.destroy();
   }
 
-  /** Serves one call. */
+  /** Serves one HTTP call. */
   async handle(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     const url = new URL(request.url ?? '/', 'http://platform');
     const parts = url.pathname
@@ -70,8 +70,8 @@
       .filter((part) => part !== '')
       .map(decodeURIComponent);
     if (parts[0] === 'control') return this.control(parts, request, response);
-    const method = `${request.method ?? 'GET'} ${parts[0] ?? ''}`;
-    this.calls.set(method, (this.calls.get(method) ?? 0) + 1);
+    const methodAndResource = `${request.method ?? 'GET'} ${parts[0] ?? ''}`;
+    this.calls.set(methodAndResource, (this.calls.get(methodAndResource) ?? 0) + 1);
     if (this.faults.down) return;
     if (this.faults.delayMs > 0) {
       await new Promise((resolve) => setTimeout(resolve, this.faults.delayMs));
@@ -128,14 +128,14 @@
     this.history.push(change);
     if (this.history.length > HISTORY_LIMIT) {
       const dropped = this.history.shift();
-      this.oldest = dropped?.revision ?? this.oldest;
+      this.lastDroppedRevision = dropped?.revision ?? this.lastDroppedRevision;
     }
     if (this.faults.down) return;
     for (const watcher of this.watchers) watcher.write(changeLine(change));
   }
 
   private watch(after: number, response: http.ServerResponse): void {
-    if (after < this.oldest) return sendJson(response, 410, {});
+    if (after < this.lastDroppedRevision) return sendJson(response, 410, {});
     response.writeHead(200, { 'content-type': 'application/x-ndjson' });
     response.flushHeaders();
     for (const change of this.history) {
@@ -154,9 +154,9 @@
   }
 
   private laggingMachines(): unknown {
-    const until = Date.now() - this.faults.machineLagMs;
-    const seen = this.machineHistory.filter((entry) => entry.at <= until).at(-1);
-    return { version: seen?.version ?? 0, machines: seen?.machines ?? [] };
+    const visibleBefore = Date.now() - this.faults.machineLagMs;
+    const visible = this.machineHistory.filter((entry) => entry.at <= visibleBefore).at(-1);
+    return { version: visible?.version ?? 0, machines: visible?.machines ?? [] };
   }
 
   private async control(
@@ -174,11 +174,11 @@
   private setFaults(faults: Partial<PlatformFaults>): void {
     const wasDown = this.faults.down;
     Object.assign(this.faults, faults);
-    // Watches that slept through an outage have gaps: they must start again.
+    // Watches missed the changes made during the outage, so their clients must reconnect.
     if (wasDown && !this.faults.down) for (const watcher of this.watchers) watcher.destroy();
   }
 
-  /** Replaces the list of machines. */
+  /** Replaces the list of machines; clients see it after the lag that is set. */
   setMachines(machines: readonly Machine[]): void {
     const version = (this.machineHistory.at(-1)?.version ?? 0) + 1;
     this.machineHistory.push({ at: Date.now(), version, machines });
--- a/src/testbed/local-cluster.ts
+++ b/src/testbed/local-cluster.ts
@@ -1,6 +1,6 @@
 /**
- * A whole system on loopback as separate processes: stand-ins of the platform,
- * the weight store and the engines, and real daemons. For the demonstration,
+ * Runs a whole system on loopback as separate processes: stand-ins of the platform,
+ * the weight store and the engines, and real daemons. Used by the demonstration,
  * the failure tests and the benchmarks.
  */
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -21,13 +21,13 @@
 const HOST = '127.0.0.1';
 const CALL_TIMEOUT_MS = 5_000;
 const READY_TIMEOUT_MS = 20_000;
-const POLL_MS = 25;
-/** The administration key of clusters on loopback. */
+const POLL_INTERVAL_MS = 25;
+/** The administration key of local clusters. */
 export const ADMIN_KEY = 'admin-key';
 
-/** The shape of a cluster. */
+/** The zones, process counts and flags of a cluster. */
 export interface ClusterShape {
-  /** A pool is named after its zone. */
+  /** Each zone has one pool, which has the zone's name. */
   readonly zones: readonly { readonly zone: string; readonly site: string }[];
   readonly daemonsPerZone: number;
   readonly enginesPerZone: number;
@@ -36,7 +36,7 @@
   readonly extraSettings?: object;
 }
 
-/** A daemon's places. */
+/** A daemon's location, addresses, settings file and process. */
 export interface ClusterDaemon {
   readonly name: string;
   readonly zone: string;
@@ -47,7 +47,7 @@
   process: ManagedProcess;
 }
 
-/** An engine's places. */
+/** An engine's location, address, event log and process. */
 export interface ClusterEngine {
   readonly address: string;
   readonly zone: string;
@@ -63,10 +63,10 @@
   readonly engines: ClusterEngine[] = [];
   platformAddress = '';
   weightStoreAddress = '';
-  private readonly others: ManagedProcess[] = [];
+  private readonly standIns: ManagedProcess[] = [];
   private readonly http = new HttpClient();
-  private readonly absent = new Set<string>();
-  private readonly leaving = new Set<string>();
+  private readonly unlistedMachines = new Set<string>();
+  private readonly leavingMachines = new Set<string>();
 
   private constructor(private readonly shape: ClusterShape) {}
 
@@ -74,7 +74,7 @@
   static async start(shape: ClusterShape): Promise<LocalCluster> {
     const cluster = new LocalCluster(shape);
     try {
-      await cluster.startOutside();
+      await cluster.startStandIns();
       await cluster.startDaemons();
       await cluster.waitUntilReady();
     } catch (fault) {
@@ -84,12 +84,12 @@
     return cluster;
   }
 
-  /** Ends every process that was started, and removes its files. */
+  /** Kills every process of the cluster and removes the cluster's files. */
   async stop(): Promise<void> {
     const all = [
       ...this.daemons.map((daemon) => daemon.process),
       ...this.engines.map((engine) => engine.process),
-      ...this.others,
+      ...this.standIns,
     ];
     for (const process of all) process.signal('SIGCONT');
     await Promise.all(all.map((process) => process.kill()));
@@ -97,48 +97,48 @@
     rmSync(this.directory, { recursive: true, force: true });
   }
 
-  /** Starts a daemon's process again after it has ended. */
+  /** Starts a daemon's process again after it has exited. */
   restartDaemon(daemon: ClusterDaemon): void {
     daemon.process = this.spawnDaemon(daemon.name, daemon.settingsFile);
   }
 
-  /** Starts an engine's process again after it has ended. */
+  /** Starts an engine's process again after it has exited. */
   restartEngine(engine: ClusterEngine): void {
     engine.process = this.spawnEngine(engine.address, engine.logFile);
   }
 
-  /** The text that a process has logged. */
+  /** The standard output and error of the process with this name. */
   logOf(name: string): string {
     return readFileSync(this.logFile(name), 'utf8');
   }
 
-  /** All events in the engines' own logs, in order of time. */
+  /** The events in the logs of all engines, sorted by time. */
   engineEvents(): EngineLogEvent[] {
     const events = this.engines.flatMap((engine) => readEvents(engine.logFile));
     return events.sort((a, b) => a.at - b.at);
   }
 
-  /** Switches faults of the platform. */
+  /** Sets the given fault switches of the platform; the others stay as they are. */
   async setPlatformFaults(faults: Partial<PlatformFaults>): Promise<void> {
     await this.post(this.platformAddress, '/control/faults', faults);
   }
 
-  /** Switches faults of the weight store. */
+  /** Stalls or resumes all transfers of the weight store. */
   async setWeightStoreStalled(stalled: boolean): Promise<void> {
     await this.post(this.weightStoreAddress, '/control/faults', { stalled });
   }
 
-  /** Switches faults of an engine. */
+  /** Sets the given fault switches of an engine; the others stay as they are. */
   async setEngineFaults(engine: ClusterEngine, faults: Partial<EngineFaults>): Promise<void> {
     await this.post(engine.address, '/control/faults', faults);
   }
 
-  /** Tells an engine that its machine is about to be reclaimed. */
+  /** Notifies an engine that its machine is about to be reclaimed. */
   async announceLeaving(engine: ClusterEngine): Promise<void> {
     await this.post(engine.address, '/control/leave', {});
   }
 
-  /** Cuts links of a daemon: what goes to, and what comes from, the addresses is lost. */
+  /** Drops a daemon's traffic to the `outbound` addresses and from the `inbound` addresses. */
   async setLinkFaults(
     daemon: ClusterDaemon,
     outbound: readonly string[],
@@ -147,16 +147,16 @@
     await this.post(daemon.callers, '/debug/links', { outbound, inbound });
   }
 
-  /** Takes machines out of the platform's list, or marks them as leaving. */
+  /** Removes the `absent` machines from the platform's list and marks others as leaving. */
   async setMachineStates(absent: readonly string[], leaving: readonly string[]): Promise<void> {
-    this.absent.clear();
-    this.leaving.clear();
-    for (const address of absent) this.absent.add(address);
-    for (const address of leaving) this.leaving.add(address);
+    this.unlistedMachines.clear();
+    this.leavingMachines.clear();
+    for (const address of absent) this.unlistedMachines.add(address);
+    for (const address of leaving) this.leavingMachines.add(address);
     await this.publishMachines();
   }
 
-  /** What an engine says of itself. */
+  /** Reads an engine's status report. */
   async engineStatus(engine: ClusterEngine): Promise<EngineReport> {
     const request = { address: engine.address, path: '/status', timeoutMs: CALL_TIMEOUT_MS };
     const answer = await this.http.send({ method: 'GET', ...request });
@@ -164,13 +164,13 @@
     return parseJson(answer.value.body).unwrapOr({}) as EngineReport;
   }
 
-  /** Calls that the platform has had, by method and path. */
+  /** Number of calls that the platform has received, by method and first path segment. */
   async platformCalls(): Promise<Readonly<Record<string, number>>> {
     const body = await this.post(this.platformAddress, '/control/counts', {});
     return (body as { calls: Record<string, number> }).calls;
   }
 
-  /** Waits until the daemon takes requests. */
+  /** Waits until the daemon reports that it is ready for requests. */
   async waitUntilDaemonReady(daemon: ClusterDaemon): Promise<void> {
     await waitFor(`${daemon.name} to be ready`, READY_TIMEOUT_MS, async () => {
       const request = { address: daemon.callers, path: '/readyz', timeoutMs: 500 };
@@ -183,13 +183,13 @@
     for (const daemon of this.daemons) await this.waitUntilDaemonReady(daemon);
   }
 
-  private async startOutside(): Promise<void> {
+  private async startStandIns(): Promise<void> {
     const { zones, enginesPerZone } = this.shape;
     const ports = await findFreePorts(2 + zones.length * enginesPerZone);
     const [platformPort = 0, storePort = 0, ...enginePorts] = ports;
     this.platformAddress = `${HOST}:${platformPort}`;
     this.weightStoreAddress = `${HOST}:${storePort}`;
-    this.others.push(
+    this.standIns.push(
       this.spawnStandIn('platform', ['platform', '--port', String(platformPort)]),
       this.spawnStandIn('weight-store', [
         'weight-store',
@@ -207,8 +207,8 @@
         this.engines.push({ address, zone, site, logFile, process });
       }
     }
-    await this.waitUntilUp(this.platformAddress);
-    for (const engine of this.engines) await this.waitUntilUp(engine.address);
+    await this.waitUntilReachable(this.platformAddress);
+    for (const engine of this.engines) await this.waitUntilReachable(engine.address);
   }
 
   private async startDaemons(): Promise<void> {
@@ -260,7 +260,9 @@
     const engines = this.engines.map((engine) =>
       this.machineOf(engine.address, 'engine', engine, engine.zone),
     );
-    const listed = [...daemons, ...engines].filter((machine) => !this.absent.has(machine.address));
+    const listed = [...daemons, ...engines].filter(
+      (machine) => !this.unlistedMachines.has(machine.address),
+    );
     await this.post(this.platformAddress, '/control/machines', listed);
   }
 
@@ -271,12 +273,12 @@
     pool: string,
   ): Machine {
     const { zone, site } = place;
-    const state = this.leaving.has(address) ? 'leaving' : 'live';
+    const state = this.leavingMachines.has(address) ? 'leaving' : 'live';
     return { address, kind, zone, site, pool, state };
   }
 
-  private async waitUntilUp(address: string): Promise<void> {
-    await waitFor(`${address} to answer`, READY_TIMEOUT_MS, async () => {
+  private async waitUntilReachable(address: string): Promise<void> {
+    await waitFor(`${address} to be reachable`, READY_TIMEOUT_MS, async () => {
       const request = { address, path: '/control/counts', timeoutMs: 500 };
       const answer = await this.http.send({ method: 'POST', ...request, body: {} });
       return answer.isOk;
@@ -314,21 +316,21 @@
   }
 }
 
-/** Waits until a condition holds; throws after `timeoutMs`. */
+/** Polls a condition until it is true; throws after `timeoutMs`. */
 export async function waitFor(
-  what: string,
+  description: string,
   timeoutMs: number,
   condition: () => Promise<boolean>,
 ): Promise<void> {
-  const until = Date.now() + timeoutMs;
-  while (Date.now() < until) {
+  const timeoutAt = Date.now() + timeoutMs;
+  while (Date.now() < timeoutAt) {
     if (await condition()) return;
-    await sleep(POLL_MS);
+    await sleep(POLL_INTERVAL_MS);
   }
-  throw new Error(`waited ${timeoutMs} ms in vain for ${what}`);
+  throw new Error(`timed out after ${timeoutMs} ms waiting for ${description}`);
 }
 
-/** Programs are run as built, also when this module is loaded from its source by a test. */
+/** Returns the path of a compiled program, also when a test loads this module from its source. */
 function scriptPath(relative: string): string {
   const built = import.meta.url.replace('/src/testbed/', '/dist/testbed/');
   return fileURLToPath(new URL(relative, built));
--- a/src/testbed/managed-process.ts
+++ b/src/testbed/managed-process.ts
@@ -1,14 +1,14 @@
-/** A child process that the demonstration or a test starts, signals by id, and ends. */
+/** Child processes that the demonstration and the tests start, signal by process id, and kill. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { closeSync, openSync, readFileSync } from 'node:fs';
 
-/** How a process has ended. */
+/** The exit code of a process, or the signal that killed it. */
 export interface ExitStatus {
   readonly code: number | null;
   readonly signal: NodeJS.Signals | null;
 }
 
-/** One Node.js program in a process of its own. */
+/** A Node.js program that runs in its own process. */
 export class ManagedProcess {
   private readonly child: ChildProcess;
   private readonly exited: Promise<ExitStatus>;
@@ -37,7 +37,7 @@
     return this.child.pid;
   }
 
-  /** Resident memory in megabytes, from the kernel's own count; 0 once it has ended. */
+  /** Resident memory in megabytes, read from /proc; 0 after the process has exited. */
   residentMegabytes(): number {
     if (!this.isRunning) return 0;
     const status = readFileSync(`/proc/${this.pid ?? 0}/status`, 'utf8');
@@ -45,22 +45,22 @@
     return Number(kilobytes ?? 0) / 1000;
   }
 
-  /** Whether the process still runs. */
+  /** Whether the process has not exited yet. */
   get isRunning(): boolean {
     return this.status === undefined;
   }
 
-  /** Sends a signal. */
+  /** Sends a signal; does nothing after the process has exited. */
   signal(signal: NodeJS.Signals): void {
     if (this.isRunning) this.child.kill(signal);
   }
 
-  /** Resolves when the process has ended. */
+  /** Resolves when the process has exited. */
   waitForExit(): Promise<ExitStatus> {
     return this.exited;
   }
 
-  /** Ends the process at once and waits until it is gone. */
+  /** Kills the process with SIGKILL and waits until it has exited. */
   async kill(): Promise<void> {
     this.signal('SIGKILL');
     await this.exited;
--- a/test/chaos/auditor.test.ts
+++ b/test/chaos/auditor.test.ts
@@ -36,16 +36,16 @@
   reversions: 0,
 };
 
-function event(part: Partial<EngineLogEvent>): EngineLogEvent {
-  return { at: 1, engine: 'e1', incarnation: 'i', event: 'hold', tenant: 'till', ...part };
+function event(overrides: Partial<EngineLogEvent>): EngineLogEvent {
+  return { at: 1, engine: 'e1', incarnation: 'i', event: 'hold', tenant: 'till', ...overrides };
 }
 
-function withAnswer(part: Partial<ModelAnswer>, call: Partial<CallerRecord> = {}): Evidence {
-  return { ...CLEAN, callers: [{ ...CALL, ...call, answer: { ...ANSWER, ...part } }] };
+function withAnswer(overrides: Partial<ModelAnswer>, call: Partial<CallerRecord> = {}): Evidence {
+  return { ...CLEAN, callers: [{ ...CALL, ...call, answer: { ...ANSWER, ...overrides } }] };
 }
 
 describe('the auditor', () => {
-  it('finds nothing where nothing is wrong', () => {
+  it('counts no violation in correct evidence', () => {
     expect(isClean(audit(CLEAN))).toBe(true);
   });
 
@@ -98,11 +98,11 @@
     ['configurationLate', { ...CLEAN, trials: [{ inForceMs: 4_100 }] }],
     ['configurationLate', { ...CLEAN, trials: [{ inForceMs: undefined }] }],
     ['reversions', { ...CLEAN, reversions: 1 }],
-  ])('sees %s', (count, evidence) => {
+  ])('counts a violation of the kind %s', (count, evidence) => {
     expect(audit(evidence)[count]).toBeGreaterThan(0);
   });
 
-  it('counts a restarted engine as empty', () => {
+  it('treats a restarted engine as having no replicas', () => {
     const engineEvents = [
       event({}),
       event({ event: 'start', at: 2 }),
