--- a/src/chaos/auditor.ts
+++ b/src/chaos/auditor.ts
@@ -56,11 +56,15 @@
 export interface Findings {
   readonly replicasBeyondDecided: number;
   readonly memoryBeyondCapacity: number;
+  /** Requests that lost their connection although their daemon was not stopped. */
   readonly requestsWithoutEnd: number;
   readonly endsPastDeadline: number;
   readonly wrongAnswers: number;
+  /** Requests reported as not run that an engine did run. */
   readonly falseNotRun: number;
+  /** Requests that are not repeatable, or idempotency keys, that ran more than once. */
   readonly repeatedRuns: number;
+  /** Requests and model loads sent to an engine that had announced its leaving. */
   readonly workForLeaving: number;
   readonly streamsCutByPlannedStop: number;
   readonly configurationLate: number;
--- a/src/standin/engine-stand-in-options.ts
+++ b/src/standin/engine-stand-in-options.ts
@@ -20,7 +20,10 @@
   readonly log: (event: EngineLogEvent) => void;
 }
 
-/** One line of the engine's log. Times are Unix milliseconds. */
+/**
+ * One line of the engine's log. Times are Unix milliseconds. `hold` and `release` mark the
+ * time in which a replica occupies memory; `run` marks the start of a request's execution.
+ */
 export interface EngineLogEvent {
   readonly at: number;
   readonly engine: string;
--- a/src/testbed/local-cluster.ts
+++ b/src/testbed/local-cluster.ts
@@ -41,7 +41,9 @@
   readonly name: string;
   readonly zone: string;
   readonly site: string;
+  /** The address for callers, as `ip:port`. */
   readonly callers: string;
+  /** The address for other daemons, as `ip:port`. */
   readonly peers: string;
   readonly settingsFile: string;
   process: ManagedProcess;
