--- a/test/simulation/admission-ways.test.ts
+++ b/test/simulation/admission-ways.test.ts
@@ -9,7 +9,7 @@
 } from './admission-ways.js';
 
 const SLOTS = 8;
-/** The first is that of the table in docs/design. */
+/** The table in docs/design uses the first seed. */
 const SEEDS = [37, 1];
 
 function line(way: Way, name: string, { inAim, late, refused }: Outcome): string {
@@ -23,7 +23,7 @@
   return [...rows, line(way, 'largest tenth of patient', play.largest)];
 }
 
-describe.each(SEEDS)('the same load, admitted in three ways (seed %i)', (seed) => {
+describe.each(SEEDS)('the same load under three admission policies (seed %i)', (seed) => {
   const load = recordLoad(seed);
   const plays = new Map<Way, AdmissionPlay>();
   const playOf = (way: Way): AdmissionPlay => {
@@ -32,7 +32,7 @@
     return play;
   };
 
-  it('accounts for every request', () => {
+  it('counts every request in exactly one result', () => {
     for (const way of ['alone', 'leases', 'queue'] as const) {
       const play = playOf(way);
       const ended = [...play.byKind.values()].reduce(
@@ -48,12 +48,12 @@
     }
   });
 
-  it('is never sent beyond the slots on a keeper’s word, and is by daemons alone', () => {
+  it('exceeds the slots when daemons decide alone, but not with one queue', () => {
     expect(playOf('queue').mostInFlight).toBe(SLOTS);
     expect(playOf('alone').mostInFlight).toBeGreaterThan(SLOTS);
   });
 
-  it('is served in aim more often with a queue, by kind and tenant', () => {
+  it('is served within the goal more often with a queue, by kind and tenant', () => {
     for (const name of ['urgent', 'patient']) {
       const alone = playOf('alone').byKind.get(name)!;
       const queue = playOf('queue').byKind.get(name)!;
@@ -64,7 +64,7 @@
     expect(shareInAim(usual('queue'))).toBeGreaterThan(shareInAim(usual('leases')));
   });
 
-  it('serves the largest of a kind at least half as often as the kind', () => {
+  it('serves the largest requests of a kind more than half as often as the kind on average', () => {
     const play = playOf('queue');
     expect(shareServed(play.largest)).toBeGreaterThan(shareServed(play.byKind.get('patient')!) / 2);
   });
--- a/test/simulation/backend-limit-ways.test.ts
+++ b/test/simulation/backend-limit-ways.test.ts
@@ -1,6 +1,6 @@
 /*
- * Two ways to keep a limit that a backend names over all daemons: one holder that grants permits, and an equal share for each
- * daemon with one request as its burst. Only the first one stays within what the limit allows.
+ * Compares two ways to enforce a backend's rate limit over all daemons: one holder that grants permits, and an equal share for
+ * each daemon with a burst of one request. Only the first stays within the limit.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -14,20 +14,20 @@
 
 const SECONDS = 16;
 const SEED = 7;
-/** Daemons run before callers come. */
-const LEAD_SECONDS = 9;
-/** Requests that callers want to send, for each that the limit allows. */
-const PRESSURE = 3;
-const LEAST_PER_SECOND = 2;
+/** Seconds that daemons run before the first request. */
+const WARM_UP_SECONDS = 9;
+/** Offered load as a multiple of the limit. */
+const OFFERED_LOAD_FACTOR = 3;
+const MIN_OFFERED_PER_SECOND = 2;
 
-/** What a way has shown. */
+/** Measurements of one way. */
 interface WayOutcome {
   readonly mostInWindow: number;
-  /** Requests sent, as a share of what the limit allows in the time. */
+  /** Requests sent, as a share of those that the limit allows in the same time. */
   readonly usedShare: number;
 }
 
-async function heldByOne(daemons: number, perSecond: number): Promise<WayOutcome> {
+async function playPermitHolder(daemons: number, perSecond: number): Promise<WayOutcome> {
   const limit = permitLimit(perSecond);
   const group = new SimulatedLimits({
     daemons,
@@ -36,19 +36,19 @@
     unitsPerRequest: 1,
     seed: SEED,
   });
-  const unitsPerSecond = wantedPerSecond(perSecond);
-  await group.play({ seconds: LEAD_SECONDS, unitsPerSecond });
+  const unitsPerSecond = offeredPerSecond(perSecond);
+  await group.play({ seconds: WARM_UP_SECONDS, unitsPerSecond });
   const before = group.outcome().admitted;
   await group.play({ seconds: SECONDS, unitsPerSecond });
   const { admitted, mostInWindow } = group.outcome();
   return { mostInWindow, usedShare: (admitted - before) / (perSecond * SECONDS) };
 }
 
-function inEqualShares(daemons: number, perSecond: number): WayOutcome {
+function playEqualShares(daemons: number, perSecond: number): WayOutcome {
   const random = xoroshiro128plus(SEED);
   const buckets = Array.from({ length: daemons }, () => new TokenBucket(perSecond / daemons, 1, 0));
   const inWindow = new SlidingSum(WINDOW_MS);
-  const gapMs = 1_000 / wantedPerSecond(perSecond);
+  const gapMs = 1_000 / offeredPerSecond(perSecond);
   let sent = 0;
   let mostInWindow = 0;
   for (let now = 0; now < SECONDS * 1_000; now += gapMs) {
@@ -60,8 +60,8 @@
   return { mostInWindow, usedShare: sent / (perSecond * SECONDS) };
 }
 
-function wantedPerSecond(perSecond: number): number {
-  return Math.max(LEAST_PER_SECOND, perSecond * PRESSURE);
+function offeredPerSecond(perSecond: number): number {
+  return Math.max(MIN_OFFERED_PER_SECOND, perSecond * OFFERED_LOAD_FACTOR);
 }
 
 function print(way: string, daemons: number, perSecond: number, outcome: WayOutcome): void {
@@ -71,7 +71,7 @@
   process.stdout.write(`${row.join('  ')}\n`);
 }
 
-describe.each([6, 90, 330])('a limit that a backend names, over %i daemons', (daemons) => {
+describe.each([6, 90, 330])('the rate limit of a backend, over %i daemons', (daemons) => {
   beforeEach(() =>
     vi.useFakeTimers({
       toFake: ['setTimeout', 'clearTimeout', 'setImmediate', 'performance', 'Date'],
@@ -80,13 +80,13 @@
   afterEach(() => vi.useRealTimers());
 
   it.each(LIMITS)(
-    'of %d a second is kept by a holder, and used',
+    'of %d a second is not exceeded and mostly used with one permit holder',
     async (perSecond) => {
-      const outcome = await heldByOne(daemons, perSecond);
+      const outcome = await playPermitHolder(daemons, perSecond);
       print('holder', daemons, perSecond, outcome);
-      print('equal shares', daemons, perSecond, inEqualShares(daemons, perSecond));
+      print('equal shares', daemons, perSecond, playEqualShares(daemons, perSecond));
       expect(outcome.mostInWindow).toBeLessThanOrEqual(allowedArrivals(perSecond));
-      // One request may come too late for the time that is looked at.
+      // One request may arrive after the end of the measured time.
       expect(outcome.usedShare + 1 / (perSecond * SECONDS)).toBeGreaterThan(0.7);
     },
     60_000,
--- a/test/simulation/currency-proofs.test.ts
+++ b/test/simulation/currency-proofs.test.ts
@@ -1,10 +1,10 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { SimulatedProofs, type ProofOutcome } from './simulated-proofs.js';
 
-/** The operators' 5,000 ms less the margin of a send. */
+/** The operators' setting of 5,000 ms minus the margin for a send. */
 const LEASE_MS = 4_500;
-/** Calls to the store a second that do not grow with the number of daemons. */
-const FEW_CALLS = 5;
+/** Upper bound of store calls a second; it does not grow with the number of daemons. */
+const MAX_CALLS_PER_SECOND = 5;
 
 function print(name: string, outcome: ProofOutcome): void {
   if (process.env.PROOFS_TABLE === undefined) return;
@@ -21,49 +21,49 @@
   );
   afterEach(() => vi.useRealTimers());
 
-  async function settled(count: number, asksPeers = true): Promise<SimulatedProofs> {
-    const group = new SimulatedProofs(count, asksPeers, LEASE_MS);
+  async function warmGroup(count: number, usesPeers = true): Promise<SimulatedProofs> {
+    const group = new SimulatedProofs(count, usesPeers, LEASE_MS);
     await group.play(4);
     group.resetCounts();
     return group;
   }
 
   it.each([30, 87, 300])('reach %i daemons with few calls to the store', async (count) => {
-    const group = await settled(count);
+    const group = await warmGroup(count);
     await group.play(6);
     print(`${count} calm`, group.outcome());
     expect(group.outcome().withoutLease).toBe(0);
     expect(group.outcome().greatestAgeMs).toBeLessThan(3_500);
-    expect(group.outcome().storeCallsPerSecond).toBeLessThan(FEW_CALLS);
+    expect(group.outcome().storeCallsPerSecond).toBeLessThan(MAX_CALLS_PER_SECOND);
   });
 
-  it('reach all when the store turns the readers away', async () => {
-    const group = await settled(87);
-    const away = new Set(group.readers());
-    group.answers = (daemon) => !away.has(daemon);
+  it('reach all daemons when the store refuses the readers', async () => {
+    const group = await warmGroup(87);
+    const refused = new Set(group.readers());
+    group.answers = (daemon) => !refused.has(daemon);
     await group.play(9);
     print('87, readers turned away', group.outcome());
     expect(group.outcome().withoutLease).toBe(0);
   });
 
-  it('reach all when the store turns a third of the daemons away', async () => {
-    const group = await settled(87);
+  it('reach all daemons when the store refuses a third of them', async () => {
+    const group = await warmGroup(87);
     group.answers = (daemon) => daemon % 3 !== 0;
     await group.play(9);
-    print('87, a third turned away', group.outcome());
+    print('87, a third turned refused', group.outcome());
     expect(group.outcome().withoutLease).toBe(0);
   });
 
-  it('reach all over links that lose a fifth of the datagrams', async () => {
-    const group = await settled(87);
+  it('reach nearly all daemons when a fifth of the datagrams is lost', async () => {
+    const group = await warmGroup(87);
     group.lossShare = 0.2;
     await group.play(9);
     print('87, a fifth of datagrams lost', group.outcome());
     expect(group.outcome().withoutLease).toBeLessThan(0.005);
   });
 
-  it('end with the store, and are back within a second of it, without a storm of calls', async () => {
-    const group = await settled(87);
+  it('stop during a store outage without a storm of calls, and reach all daemons again 4 s after it', async () => {
+    const group = await warmGroup(87);
     group.answers = () => false;
     await group.play(10);
     print('87, store away', group.outcome());
@@ -75,14 +75,14 @@
     expect(group.outcome().withoutLease).toBe(0);
   });
 
-  it('cost a call each without peers', async () => {
-    const group = await settled(87, false);
+  it('do not reach daemons that the store refuses when peers are not used', async () => {
+    const group = await warmGroup(87, false);
     await group.play(6);
     print('87 calm, each its own reader', group.outcome());
     group.resetCounts();
     group.answers = (daemon) => daemon % 3 !== 0;
     await group.play(9);
-    print('87, a third turned away, each its own reader', group.outcome());
+    print('87, a third turned refused, each its own reader', group.outcome());
     expect(group.outcome().withoutLease).toBeGreaterThan(0.1);
   });
 });
--- a/test/simulation/holder-failures.ts
+++ b/test/simulation/holder-failures.ts
@@ -1,50 +1,50 @@
-/** Failures of the daemon that counts under a limit, or around it. */
+/** Failures of the daemon that holds the count of a limit, and of daemons near it. */
 import type { SimulatedLimits } from './simulated-limits.js';
 
-/** As membership takes: the others probe the one that is cut off at once, it probes them in turn. */
-const SEEN_BY_OTHERS_MS = 1_600;
-const SEEN_BY_ITSELF_MS = 2_900;
+/** Times that membership takes: the others all probe the partitioned daemon, which probes them one after another. */
+const DETECTED_BY_OTHERS_MS = 1_600;
+const DETECTED_BY_ITSELF_MS = 2_900;
 
 function others(limits: SimulatedLimits): number[] {
   return [...Array(limits.size).keys()].filter((index) => index !== limits.holder());
 }
 
-/** What happens, and how it is played. */
+/** The end of a test title, and a function that triggers the failure. */
 export type HolderFailure = readonly [string, (limits: SimulatedLimits) => void];
 
-/** One failure each, of the daemon that holds the count or around it. */
 const FAILURES: readonly HolderFailure[] = [
   [
-    'is cut off',
-    (limits) => limits.cutOff([limits.holder()], SEEN_BY_OTHERS_MS, SEEN_BY_ITSELF_MS),
+    'is partitioned from the group',
+    (limits) => limits.cutOff([limits.holder()], DETECTED_BY_OTHERS_MS, DETECTED_BY_ITSELF_MS),
   ],
   [
-    'is in the lesser part of a group split in two',
+    'is in the smaller part of a partitioned group',
     (limits) => {
       const [first = 0] = others(limits);
-      limits.cutOff([limits.holder(), first], SEEN_BY_OTHERS_MS, SEEN_BY_OTHERS_MS);
+      limits.cutOff([limits.holder(), first], DETECTED_BY_OTHERS_MS, DETECTED_BY_OTHERS_MS);
     },
   ],
   [
-    'goes on while another is cut off',
-    (limits) => limits.cutOff(others(limits).slice(0, 1), SEEN_BY_OTHERS_MS, SEEN_BY_ITSELF_MS),
+    'continues while another daemon is partitioned',
+    (limits) =>
+      limits.cutOff(others(limits).slice(0, 1), DETECTED_BY_OTHERS_MS, DETECTED_BY_ITSELF_MS),
   ],
   [
-    'stands still, is replaced and goes on',
+    'freezes, is replaced and resumes',
     (limits) => {
       const holder = limits.holder();
-      limits.freeze(holder, SEEN_BY_OTHERS_MS, 3_000);
+      limits.freeze(holder, DETECTED_BY_OTHERS_MS, 3_000);
       setTimeout(() => limits.seeAgain(holder), 3_100);
     },
   ],
   [
-    'stands still for a moment that nobody sees',
-    (limits) => limits.freeze(limits.holder(), SEEN_BY_OTHERS_MS * 10, 1_400),
+    'freezes for a moment that no daemon detects',
+    (limits) => limits.freeze(limits.holder(), DETECTED_BY_OTHERS_MS * 10, 1_400),
   ],
-  ['starts again and remembers nothing', (limits) => limits.restart(limits.holder())],
+  ['restarts without its state', (limits) => limits.restart(limits.holder())],
 ];
 
-/** All of them. */
+/** Returns all failures. */
 export function holderFailures(): readonly HolderFailure[] {
   return FAILURES;
 }
--- a/test/simulation/joined-during-cut.test.ts
+++ b/test/simulation/joined-during-cut.test.ts
@@ -1,11 +1,11 @@
-/* Guards against shares that each side of a cut works out from its own view: daemons that join one side make it look larger. */
+/* Guards against limit shares that each side of a partition computes from its own view: daemons that join one side enlarge its view. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { boundOf, LIMIT, warmGroup } from './small-group.js';
 
 const DAEMONS = 4;
-const HOT = 6;
-/** As membership takes. */
-const CUT_SEEN_MS = 1_600;
+const OVERLOAD_FACTOR = 6;
+/** Time that membership takes to detect the partition. */
+const PARTITION_DETECTED_MS = 1_600;
 const BOUND = boundOf(LIMIT);
 
 beforeEach(() =>
@@ -13,8 +13,8 @@
 );
 afterEach(() => vi.useRealTimers());
 
-/** How many are cut off with the holder, and from the cut to the joining, in milliseconds. */
-const CUTS = [
+/** Number of daemons on the holder's side besides it, and milliseconds from the partition to the join. */
+const PARTITIONS = [
   { withHolder: 0, joinAfterMs: 300 },
   { withHolder: 0, joinAfterMs: 4_000 },
   { withHolder: 1, joinAfterMs: 300 },
@@ -32,18 +32,22 @@
   readonly seed: number;
 }
 
-const CASES: readonly Case[] = CUTS.flatMap((cut) =>
+const CASES: readonly Case[] = PARTITIONS.flatMap((cut) =>
   JOINERS.flatMap((joiners) => SEEDS.map((seed) => ({ ...cut, joiners, seed }))),
 );
 
-/** Most units in a window. */
+/** Returns the most units admitted in any window. */
 async function play({ withHolder, joinAfterMs, joiners, seed }: Case): Promise<number> {
   const group = await warmGroup(DAEMONS, seed);
   const holder = group.holder();
   const others = [...Array(DAEMONS).keys()].filter((index) => index !== holder);
-  group.cutOff([holder, ...others.slice(0, withHolder)], CUT_SEEN_MS, CUT_SEEN_MS);
+  group.cutOff(
+    [holder, ...others.slice(0, withHolder)],
+    PARTITION_DETECTED_MS,
+    PARTITION_DETECTED_MS,
+  );
   setTimeout(() => group.join(joiners, others.at(-1) ?? 0), joinAfterMs);
-  await group.play({ seconds: 14, unitsPerSecond: LIMIT.perSecond * HOT });
+  await group.play({ seconds: 14, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
   return group.outcome().mostInWindow;
 }
 
--- a/test/simulation/late-holder-lease.test.ts
+++ b/test/simulation/late-holder-lease.test.ts
@@ -1,15 +1,15 @@
-/* Guards against a holder that gets its lease late and grants what others have counted alone until then. */
+/* Guards against a holder that gets its lease late and grants units that other daemons have already admitted from their own shares. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { boundOf, LIMIT, warmGroup } from './small-group.js';
 
 const DAEMONS = 4;
-const HOT = 6;
-/** As membership takes. */
-const CUT_SEEN_MS = 1_600;
-/** Neither half of a split group has a holder with a lease before its keepers count their own side only. */
+const OVERLOAD_FACTOR = 6;
+/** Time that membership takes to detect the partition. */
+const PARTITION_DETECTED_MS = 1_600;
+/** No half has a holder with a lease until its voters count only their own side; the run covers this. */
 const SECONDS = 18;
 const SEEDS = [...Array(12).keys()];
-/** Daemons that have callers and no share: all that they admit is granted by the new holder. */
+/** Daemons with callers and without a share: the new holder grants all that they admit. */
 const JOINERS = 8;
 const JOIN_AFTER_MS = 300;
 
@@ -18,19 +18,19 @@
 );
 afterEach(() => vi.useRealTimers());
 
-/** Most units in a window. */
+/** Returns the most units admitted in any window. */
 async function playSplit(seed: number): Promise<number> {
   const group = await warmGroup(DAEMONS, seed);
   const holder = group.holder();
   const others = [...Array(DAEMONS).keys()].filter((index) => index !== holder);
-  group.cutOff([holder, ...others.slice(0, 1)], CUT_SEEN_MS, CUT_SEEN_MS);
+  group.cutOff([holder, ...others.slice(0, 1)], PARTITION_DETECTED_MS, PARTITION_DETECTED_MS);
   setTimeout(() => group.join(JOINERS, others.at(-1) ?? 0), JOIN_AFTER_MS);
-  await group.play({ seconds: SECONDS, unitsPerSecond: LIMIT.perSecond * HOT });
+  await group.play({ seconds: SECONDS, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
   return group.outcome().mostInWindow;
 }
 
-describe('a group that is split in halves', () => {
-  it('keeps to the limit when a half gets a holder after its daemons have counted alone', async () => {
+describe('a group partitioned into halves', () => {
+  it('stays within the limit when a half gets a holder after its daemons have used their own shares', async () => {
     const most: number[] = [];
     for (const seed of SEEDS) most.push(await playSplit(seed));
     expect(Math.max(...most)).toBeLessThanOrEqual(boundOf(LIMIT));
--- a/test/simulation/model-orders.property.test.ts
+++ b/test/simulation/model-orders.property.test.ts
@@ -1,6 +1,6 @@
 /**
- * Simulated histories of a service's owners and backends: answers lost, orders
- * taken late, owners replaced at any moment, the old one still giving orders.
+ * Simulated histories of a service's owners and backends: replies are lost, orders arrive late, and
+ * owners are replaced at any time while the former owner still sends orders.
  */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
@@ -16,7 +16,7 @@
 const HOST = hostOf(MODELS);
 const STEP_MS = 200;
 
-/** One owner with its own beliefs. */
+/** One owner with its own view of the backends. */
 class SimulatedOwner {
   private readonly ledgers: BackendLedger[];
   private readonly planner = new PlacementPlanner();
@@ -73,7 +73,7 @@
 );
 
 describe('orders of owners', () => {
-  it('never overcommit the memory of a backend, whatever is lost, late or taken over', () => {
+  it('never overcommit the memory of a backend when orders are lost or late, or the owner changes', () => {
     fc.assert(
       fc.property(steps, (history) => {
         const backends = [
@@ -86,7 +86,7 @@
           now += STEP_MS;
           for (const backend of backends) backend.advance(now);
           if (takeover) owners.push(new SimulatedOwner(owners.length + 1, backends));
-          // A former owner that has not noticed goes on beside its successors.
+          // A former owner that has not detected its replacement continues in parallel with its successors.
           for (const owner of owners) owner.step(wanted, () => fate, now);
           for (const backend of backends) {
             expect(backend.overcommitted, backend.id).toBe(false);
@@ -98,7 +98,7 @@
     );
   });
 
-  it('load what is waited for once the answers come', () => {
+  it('load the requested model when replies arrive', () => {
     const backends = [new SimulatedBackend('x', HOST, ['a', 'b'])];
     const owner = new SimulatedOwner(1, backends);
     for (let now = 0; now < 6_000; now += STEP_MS) {
--- a/test/simulation/pool-owner.property.test.ts
+++ b/test/simulation/pool-owner.property.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import { SimulatedPool, type RemovedFence, type Step } from './simulated-pool.js';
 
-/** Histories a run, and the fixed seed. */
+/** Number of simulated histories in a run; the seed is fixed. */
 const HISTORIES = 10_000;
 const SEED = 20261202;
 
@@ -52,19 +52,19 @@
 );
 const history = fc.array(step, { minLength: 20, maxLength: 120, size: 'max' });
 
-function firstFault(steps: readonly Step[], removed: RemovedFence): string | undefined {
+function firstViolation(steps: readonly Step[], removed: RemovedFence): string | undefined {
   const pool = new SimulatedPool(removed);
   pool.step({ type: 'claim', silent: 0 });
   for (const next of steps) {
     pool.step(next);
-    const [fault] = pool.broken();
-    if (fault !== undefined) return fault;
+    const [violation] = pool.broken();
+    if (violation !== undefined) return violation;
   }
   return undefined;
 }
 
 describe('owners of a pool, in simulated histories', () => {
-  it(`hold the cap and the memory in ${HISTORIES} histories, after every step`, () => {
+  it(`stay within replica limits and engine memory after every step of ${HISTORIES} histories`, () => {
     let loads = 0;
     fc.assert(
       fc.property(history, (steps) => {
@@ -78,18 +78,18 @@
       }),
       { seed: SEED, numRuns: HISTORIES },
     );
-    // The histories do load models: the checks are not empty.
+    // The histories load models, so the checks above are not vacuous.
     expect(loads).toBeGreaterThan(HISTORIES / 10);
   });
 
   it.each(['seal', 'sequence', 'registration'] as const)(
-    'are seen to break a promise when the fence "%s" is removed',
+    'violate an invariant when the fence "%s" is removed',
     (removed) => {
-      const caught = fc.check(
-        fc.property(history, (steps) => firstFault(steps, removed) === undefined),
+      const result = fc.check(
+        fc.property(history, (steps) => firstViolation(steps, removed) === undefined),
         { seed: SEED, numRuns: HISTORIES, endOnFailure: true },
       );
-      expect(caught.failed).toBe(true);
+      expect(result.failed).toBe(true);
     },
   );
 });
--- a/test/simulation/router.property.test.ts
+++ b/test/simulation/router.property.test.ts
@@ -6,7 +6,7 @@
 import { Router } from '../../src/core/router.js';
 import type { RouterEffect, RouterEvent, RoutedRequest } from '../../src/core/router-messages.js';
 
-/** Histories a run, and the fixed seed. */
+/** Number of simulated histories in a run; the seed is fixed. */
 const HISTORIES = 10_000;
 const SEED = 20261203;
 const ENGINES = ['e0', 'e1'] as const;
@@ -52,7 +52,7 @@
   readonly incarnation: string;
 }
 
-/** A router before two engines, on a network that loses and delays. */
+/** A router with two engines, on a network that loses and delays messages. */
 class SimulatedRouter {
   readonly runs = new Map<string, number>();
   readonly ends = new Map<string, string>();
@@ -103,27 +103,28 @@
       case 'break':
         return this.breakConnection(step.which, step.unsent);
       case 'cancel':
-        return this.answerCancel(step.which, step.lost);
+        return this.handleCancel(step.which, step.lost);
       case 'restart':
         return this.restart(step.engine % ENGINES.length);
       case 'deadline':
-        return this.onUnended(step.which, (id) => this.handle({ type: 'deadline', id }));
+        return this.onUnfinished(step.which, (id) => this.handle({ type: 'deadline', id }));
       case 'locate':
         return this.locate();
     }
   }
 
-  /** What is broken now; empty when the promises hold. */
+  /** Returns the invariants that are violated now. */
   broken(): string[] {
-    const faults: string[] = [];
+    const violations: string[] = [];
     for (const [id, runs] of this.runs) {
-      if (runs > 1 && !this.repeatable.has(id)) faults.push(`${id} ran ${runs} times`);
-      if (this.ends.get(id) === 'no') faults.push(`${id} ran although it was refused as not run`);
+      if (runs > 1 && !this.repeatable.has(id)) violations.push(`${id} ran ${runs} times`);
+      if (this.ends.get(id) === 'no')
+        violations.push(`${id} ran although it was refused as not run`);
     }
-    return faults;
+    return violations;
   }
 
-  /** Lets all deadlines pass; resolves with the requests that still have no end. */
+  /** Lets all deadlines pass. Returns the number of requests that still have no result. */
   finish(): number {
     for (let id = 0; id < this.count; id++) this.handle({ type: 'deadline', id: `q${id}` });
     for (const sent of this.arriving) this.runAt(sent);
@@ -150,13 +151,13 @@
     if (this.arriving.length === 0) return;
     const [sent] = this.arriving.splice(which % this.arriving.length, 1);
     if (sent === undefined) return;
-    const listens = this.open.get(sent.id) === sent;
+    const isOpen = this.open.get(sent.id) === sent;
     if (!busy && this.runAt(sent)) return;
-    if (listens)
+    if (isOpen)
       this.handle({ type: 'refused', id: sent.id, refusal: busy ? 'busy' : 'not_loaded' });
   }
 
-  /** The engine runs the request unless it is fenced. */
+  /** Runs the request at its engine unless it is fenced. Returns whether it ran. */
   private runAt(sent: SentRequest): boolean {
     const engine = this.engines[sent.engine];
     if (engine === undefined || sent.incarnation !== String(engine.starts)) return false;
@@ -173,13 +174,13 @@
   private breakConnection(which: number, unsent: boolean): void {
     this.onOpen(which, (id) => {
       const index = this.arriving.findIndex((sent) => sent === this.open.get(id));
-      const neverLeft = unsent && index >= 0;
-      if (neverLeft) this.arriving.splice(index, 1);
-      this.handle({ type: 'broken', id, sent: !neverLeft });
+      const wasUnsent = unsent && index >= 0;
+      if (wasUnsent) this.arriving.splice(index, 1);
+      this.handle({ type: 'broken', id, sent: !wasUnsent });
     });
   }
 
-  private answerCancel(which: number, lost: boolean): void {
+  private handleCancel(which: number, lost: boolean): void {
     if (this.cancels.length === 0) return;
     const [cancel] = this.cancels.splice(which % this.cancels.length, 1);
     const engine = this.engines[cancel?.engine ?? -1];
@@ -217,7 +218,7 @@
     if (id !== undefined) action(id);
   }
 
-  private onUnended(which: number, action: (id: string) => void): void {
+  private onUnfinished(which: number, action: (id: string) => void): void {
     const id = `q${which % Math.max(1, this.count)}`;
     if (this.count > 0 && !this.ends.has(id)) action(id);
   }
@@ -263,7 +264,7 @@
 const history = fc.array(step, { minLength: 20, maxLength: 120, size: 'max' });
 
 describe('a router, in simulated histories', () => {
-  it(`runs at most once, tells the truth and ends all in ${HISTORIES} histories`, () => {
+  it(`runs requests at most once, reports correctly whether they ran and ends all in ${HISTORIES} histories`, () => {
     let ran = 0;
     fc.assert(
       fc.property(history, (steps) => {
--- a/test/simulation/share-agreement.test.ts
+++ b/test/simulation/share-agreement.test.ts
@@ -1,4 +1,4 @@
-/* Daemons agree on how limits are divided: with a store, with members that are cut off, and while the store is away. */
+/* Daemons agree on how limits are divided: with a store, with partitioned members, and while the store is unavailable. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { LIMIT, warmGroup } from './small-group.js';
 
@@ -10,12 +10,12 @@
 const quiet = (seconds: number) => ({ seconds, unitsPerSecond: 0 });
 
 describe('daemons that share limits', () => {
-  it('all have a share soon after they have started together', async () => {
+  it('all get an equal share soon after they start together', async () => {
     const group = await warmGroup(30, 1);
     expect(group.shares()).toEqual(Array.from({ length: 30 }, () => 1 / 30));
   });
 
-  it('give one to those that join, once all know of it', async () => {
+  it('give joining daemons a share only after all members know of them', async () => {
     const group = await warmGroup(4, 1);
     group.join(2, 0);
     await group.play(quiet(0.5));
@@ -24,7 +24,7 @@
     expect(group.shares()).toEqual(Array.from({ length: 6 }, () => 1 / 6));
   });
 
-  it('give none to those that join one side of a cut, until it heals', async () => {
+  it('give no share to daemons that join one side of a partition until it heals', async () => {
     const group = await warmGroup(4, 1);
     group.cutOff([0], 1_600, 2_900);
     await group.play(quiet(4));
@@ -36,7 +36,7 @@
     expect(group.shares()).toEqual(Array.from({ length: 12 }, () => 1 / 12));
   });
 
-  it('count by the answer of a member when they start while the store is away', async () => {
+  it('use the reply of a member when they restart while the store is unavailable', async () => {
     const group = await warmGroup(4, 1);
     group.store.isAway = true;
     group.restart(2);
@@ -47,7 +47,7 @@
     expect(group.shares()[2]).toBe(0);
   });
 
-  it('serve a tenant at its limit after all have started again', async () => {
+  it('serve a tenant near its limit after all have restarted', async () => {
     const group = await warmGroup(4, 1);
     group.restartAll();
     await group.play({ seconds: 10, unitsPerSecond: 2 * LIMIT.perSecond });
--- a/test/simulation/simulated-backend.ts
+++ b/test/simulation/simulated-backend.ts
@@ -1,4 +1,4 @@
-/** A backend that keeps models, takes fenced orders, and may take them late or lose its answers. */
+/** A simulated backend that loads models by fenced orders, which may arrive late or lose their replies. */
 import type {
   BackendReport,
   ModelOrder,
@@ -12,26 +12,26 @@
   readonly endsAt: number;
 }
 
-interface LateOrder {
+interface DelayedOrder {
   readonly order: ModelOrder;
   readonly fence: OrderFence;
   readonly at: number;
 }
 
-/** How the answer to an order is lost, if it is. */
+/** What happens to an order and its reply on the network. */
 export type OrderFate = 'answered' | 'answer_lost' | 'late' | 'lost';
 
-/** One simulated process. */
+/** One simulated backend process. */
 export class SimulatedBackend {
   sequence = 0;
   highestEpoch = 0;
   readonly models = new Set<string>();
-  /** Set once an order made it hold more than it can. */
+  /** Set when an order made the models exceed the memory; never reset. */
   overcommitted = false;
   private running: RunningOrder | undefined;
-  /** The models as they stood some hundred milliseconds ago; `busy` and the sequence are current. */
-  private shownModels: readonly string[];
-  private late: LateOrder[] = [];
+  /** Models of reports: as of a few hundred milliseconds ago, while `busy` and the sequence are current. */
+  private reportedModels: readonly string[];
+  private delayedOrders: DelayedOrder[] = [];
 
   constructor(
     readonly id: string,
@@ -39,15 +39,15 @@
     held: readonly string[],
   ) {
     for (const model of held) this.models.add(model);
-    this.shownModels = held;
+    this.reportedModels = held;
   }
 
-  /** Lets time pass. */
+  /** Advances the clock: delivers late orders and completes the running order. */
   advance(now: number): void {
-    this.shownModels = [...this.models];
-    const due = this.late.filter((entry) => entry.at <= now);
-    this.late = this.late.filter((entry) => entry.at > now);
-    for (const { order, fence } of due) this.take(order, fence, now);
+    this.reportedModels = [...this.models];
+    const due = this.delayedOrders.filter((entry) => entry.at <= now);
+    this.delayedOrders = this.delayedOrders.filter((entry) => entry.at > now);
+    for (const { order, fence } of due) this.accept(order, fence, now);
     if (this.running === undefined || this.running.endsAt > now) return;
     const { operation, model } = this.running.order;
     if (operation === 'load') this.models.add(model);
@@ -58,10 +58,10 @@
   order(order: ModelOrder, fence: OrderFence, fate: OrderFate, now: number): OrderOutcome {
     if (fate === 'lost') return { type: 'unknown', reason: 'lost' };
     if (fate === 'late') {
-      this.late.push({ order, fence, at: now + 3_000 });
+      this.delayedOrders.push({ order, fence, at: now + 3_000 });
       return { type: 'unknown', reason: 'late' };
     }
-    const outcome = this.take(order, fence, now);
+    const outcome = this.accept(order, fence, now);
     return fate === 'answer_lost' ? { type: 'unknown', reason: 'answer lost' } : outcome;
   }
 
@@ -69,7 +69,7 @@
     return {
       busy: this.running !== undefined,
       sequence: this.sequence,
-      models: this.shownModels.map((name) => ({ name, adapters: [] })),
+      models: this.reportedModels.map((name) => ({ name, adapters: [] })),
       coming: [],
       inMemory: [],
       onDisk: this.host.models.map((model) => model.name),
@@ -78,7 +78,7 @@
     };
   }
 
-  /** Megabytes that are taken, with a load in progress. */
+  /** Megabytes in use, including a load in progress. */
   usedMegabytes(): number {
     const loading = this.running?.order;
     const names = [...this.models];
@@ -86,7 +86,7 @@
     return names.reduce((sum, name) => sum + this.megabytes(name), 0);
   }
 
-  private take(order: ModelOrder, fence: OrderFence, now: number): OrderOutcome {
+  private accept(order: ModelOrder, fence: OrderFence, now: number): OrderOutcome {
     if (fence.epoch < this.highestEpoch) return { type: 'fenced' };
     this.highestEpoch = fence.epoch;
     if (this.running !== undefined || fence.expectedSequence !== this.sequence) {
--- a/test/simulation/simulated-limits.ts
+++ b/test/simulation/simulated-limits.ts
@@ -1,6 +1,6 @@
 /**
- * A group of daemons that keep one tenant's limit, on a virtual clock: messages take a
- * fixed time, requests come at random, at daemons drawn from a seed.
+ * A group of daemons that enforce one tenant's limit on a virtual clock. Messages take a fixed
+ * time; requests arrive at random times at random daemons, both drawn from a seed.
  */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
@@ -19,27 +19,27 @@
 import { SharedLimits } from '../../src/gateway/shared-limits.js';
 import { SimulatedRecordStore } from './simulated-record-store.js';
 
-/** Milliseconds that a message takes. */
+/** Delay of a message between daemons. */
 const MESSAGE_MS = 2;
 const TICK_MS = 100;
-/** Requests come, and time passes, in steps. */
+/** Time step of the simulation. */
 const STEP_MS = 5;
-/** Bytes of a message between daemons, with headers of IP and UDP: a bound from above. */
+/** Upper bound of the bytes of a message between daemons, including IP and UDP headers. */
 const MESSAGE_BYTES = 110;
 
-/** What a run has shown. */
+/** Measurements of a run. */
 export interface LimitOutcome {
-  /** Units that were asked for. */
+  /** Units that requests needed, admitted or not. */
   readonly asked: number;
   readonly admitted: number;
-  /** Most units in any window. */
+  /** Most units admitted in any window. */
   readonly mostInWindow: number;
   /** Messages a second between all daemons. */
   readonly messagesPerSecond: number;
   readonly bytesPerSecond: number;
 }
 
-/** A stretch of time with a rate of requests. */
+/** A period with a constant mean request rate. */
 export interface LimitPhase {
   readonly seconds: number;
   readonly unitsPerSecond: number;
@@ -54,34 +54,34 @@
   readonly seed: number;
 }
 
-/** The group. Use it under vitest's fake timers. */
+/** The simulated group. Requires vitest's fake timers. */
 export class SimulatedLimits {
   private readonly daemons: SharedLimits[];
   private readonly leases: HolderLeases[] = [];
   private readonly agreements: ShareAgreement[] = [];
-  private readonly divisions: LimitShares[] = [];
+  private readonly limitShares: LimitShares[] = [];
   readonly store = new SimulatedRecordStore();
-  /** Daemons that each one lists. */
-  private readonly known: Set<number>[];
+  /** Member list of each daemon. */
+  private readonly memberLists: Set<number>[];
   private readonly random;
   private readonly inWindow: SlidingSum;
-  private readonly down = new Set<number>();
-  /** Which side of a cut a daemon is on. */
+  private readonly detectedDown = new Set<number>();
+  /** Side of a partition that each daemon is on; -1 for a killed daemon, 0 by default. */
   private readonly sides = new Map<number, number>();
-  /** What each daemon sees of the others. */
+  /** Cached membership view of each daemon. */
   private readonly views = new Map<number, MemberView[]>();
-  /** Daemons that are cut off from the others, and who sees it. */
-  private readonly cut = new Set<number>();
-  private readonly seesCut = new Set<number>();
-  /** Daemons that stand still, and what they will handle. */
+  /** Daemons partitioned from the others, and daemons that have detected the partition. */
+  private readonly partitioned = new Set<number>();
+  private readonly partitionDetectedBy = new Set<number>();
+  /** Frozen daemons, with the events that they handle when they resume. */
   private readonly frozen = new Map<number, (() => void)[]>();
-  /** From the last request to the next. */
+  /** Milliseconds from the last request to the next. */
   private gapMs = 0;
   private messages = 0;
-  private asked = 0;
+  private requestedUnits = 0;
   private admitted = 0;
-  private mostInWindow = 0;
-  private readonly begun = performance.now();
+  private maxInWindow = 0;
+  private readonly startedAt = performance.now();
   limit: RateLimit;
 
   constructor(private readonly options: SimulationOptions) {
@@ -89,84 +89,89 @@
     this.limit = options.limit;
     this.inWindow = new SlidingSum(options.kind.windowMs);
     const numbers = [...Array(options.daemons).keys()];
-    this.known = numbers.map(() => new Set(numbers));
+    this.memberLists = numbers.map(() => new Set(numbers));
     this.daemons = Array.from({ length: options.daemons }, (_, index) => this.daemon(index));
   }
 
-  /** Daemons that were ever started. */
+  /** Number of daemons ever started. */
   get size(): number {
     return this.daemons.length;
   }
 
-  /** Address of the daemon that all take for the tenant's holder. */
+  /** Returns the number of the tenant's holder, as the first running daemon sees it. */
   holder(): number {
-    const state = this.daemons[this.firstUp()]?.['members'].get('t');
+    const state = this.daemons[this.firstRunning()]?.['members'].get('t');
     return Number((state?.holder ?? 'd-0').slice(2));
   }
 
-  /** Takes a daemon's power; the others see it after the time that membership takes. */
-  kill(index: number, seenAfterMs: number): void {
+  /** Kills a daemon; the others detect it after the given time, which stands for membership's detection time. */
+  kill(index: number, detectedAfterMs: number): void {
     this.sides.set(index, -1);
     setTimeout(() => {
-      this.down.add(index);
+      this.detectedDown.add(index);
       this.groupChanged();
-    }, seenAfterMs);
+    }, detectedAfterMs);
   }
 
-  /** All lose what they know. */
+  /** Restarts all daemons; they lose their state. */
   restartAll(): void {
     for (const index of this.daemons.keys()) this.daemons[index] = this.daemon(index);
   }
 
-  /** Cuts the first daemons off, each from all others. */
+  /** Isolates each of the first `count` daemons from all others. All daemons detect it immediately. */
   isolate(count: number): void {
     for (let index = 0; index < count; index++) this.sides.set(index, index + 1);
     this.groupChanged();
   }
 
-  /** Cuts daemons off from the others; both sides see it some time later. */
-  cutOff(indexes: readonly number[], seenByOthersAfterMs: number, seenByThemAfterMs: number): void {
-    for (const index of indexes) this.cut.add(index);
-    const see = (areCut: boolean): void => {
+  /** Partitions daemons from the others; each side detects it after its given time. */
+  cutOff(
+    indexes: readonly number[],
+    detectedByOthersAfterMs: number,
+    detectedByThemAfterMs: number,
+  ): void {
+    for (const index of indexes) this.partitioned.add(index);
+    const detect = (arePartitioned: boolean): void => {
       for (const viewer of this.daemons.keys()) {
-        if (this.cut.has(viewer) === areCut) this.seesCut.add(viewer);
+        if (this.partitioned.has(viewer) === arePartitioned) this.partitionDetectedBy.add(viewer);
       }
       this.groupChanged();
     };
-    setTimeout(() => see(false), seenByOthersAfterMs);
-    setTimeout(() => see(true), seenByThemAfterMs);
+    setTimeout(() => detect(false), detectedByOthersAfterMs);
+    setTimeout(() => detect(true), detectedByThemAfterMs);
   }
 
   /**
-   * Daemons join that list all; only those that they reach hear of them.
-   * @returns Their numbers.
+   * Adds daemons on the side of `onSideOf`. They list all members; only the daemons on their side list them.
+   * @returns Numbers of the added daemons.
    */
   join(count: number, onSideOf: number): number[] {
     const first = this.daemons.length;
     const joined = Array.from({ length: count }, (_, place) => first + place);
-    const isCut = this.cut.has(onSideOf);
+    const isPartitioned = this.partitioned.has(onSideOf);
     for (const index of joined) {
-      if (isCut) this.cut.add(index);
-      // Who has never heard a daemon does not take it for live.
-      this.seesCut.add(index);
+      if (isPartitioned) this.partitioned.add(index);
+      // A new daemon does not consider a member live that it has never received a message from.
+      this.partitionDetectedBy.add(index);
     }
-    const all = [...this.known.keys(), ...joined];
-    for (const [viewer, known] of this.known.entries()) {
-      if (this.cut.has(viewer) === isCut) for (const index of joined) known.add(index);
+    const all = [...this.memberLists.keys(), ...joined];
+    for (const [viewer, known] of this.memberLists.entries()) {
+      if (this.partitioned.has(viewer) === isPartitioned)
+        for (const index of joined) known.add(index);
     }
-    for (const index of joined) this.known[index] = new Set(all);
+    for (const index of joined) this.memberLists[index] = new Set(all);
     for (const index of joined) this.daemons[index] = this.daemon(index);
     this.groupChanged();
     return joined;
   }
 
-  /** A daemon stands still; what comes meanwhile it handles when it goes on. */
-  freeze(index: number, seenAfterMs: number, forMs: number): void {
+  /** Freezes a daemon. It handles messages and requests of that time when it resumes. */
+  freeze(index: number, detectedAfterMs: number, forMs: number): void {
     this.frozen.set(index, []);
     setTimeout(() => {
-      this.down.add(index);
+      this.detectedDown.add(index);
       this.groupChanged();
-    }, seenAfterMs);
+    }, detectedAfterMs);
     setTimeout(() => {
       const waiting = this.frozen.get(index) ?? [];
       this.frozen.delete(index);
@@ -174,34 +179,34 @@
     }, forMs);
   }
 
-  /** The others see again a daemon that had stood still. */
+  /** Lets the others see a daemon as alive again after it was frozen. */
   seeAgain(index: number): void {
-    this.down.delete(index);
+    this.detectedDown.delete(index);
     this.groupChanged();
   }
 
-  /** The part of each limit that each daemon may count alone. */
+  /** Returns the share of each limit that each daemon may admit without a grant. */
   shares(): number[] {
-    return this.divisions.map((shares) => shares.ownShare(leaseNow()));
+    return this.limitShares.map((shares) => shares.ownShare(leaseNow()));
   }
 
-  /** All see and hear each other again, and list those that have joined. */
+  /** Ends the partition: all daemons reach each other and list the joined daemons. */
   heal(): void {
-    this.cut.clear();
-    this.seesCut.clear();
-    const all = [...this.known.keys()];
-    for (const known of this.known) for (const index of all) known.add(index);
+    this.partitioned.clear();
+    this.partitionDetectedBy.clear();
+    const all = [...this.memberLists.keys()];
+    for (const known of this.memberLists) for (const index of all) known.add(index);
     this.groupChanged();
   }
 
-  /** A daemon starts again and remembers nothing. */
+  /** Restarts a daemon; it loses its state. */
   restart(index: number): void {
     this.daemons[index] = this.daemon(index);
   }
 
-  /** The most units in any window counts from now on. */
+  /** Resets the most units in any window. */
   countFromNow(): void {
-    this.mostInWindow = 0;
+    this.maxInWindow = 0;
   }
 
   private groupChanged(): void {
@@ -210,7 +215,7 @@
     for (const daemon of this.daemons) daemon.groupChanged();
   }
 
-  /** Plays a phase. */
+  /** Simulates a phase. */
   async play({ seconds, unitsPerSecond }: LimitPhase): Promise<void> {
     const { unitsPerRequest } = this.options;
     const gapMs = (unitsPerRequest / unitsPerSecond) * 1_000;
@@ -235,35 +240,35 @@
     }
   }
 
-  /** Hands something to a daemon: now, or when it no longer stands still. */
-  private hand(index: number, handle: () => void): void {
+  /** Runs a handler of a daemon immediately, or when the daemon resumes if it is frozen. */
+  private runOrDefer(index: number, handle: () => void): void {
     const waiting = this.frozen.get(index);
     if (waiting === undefined) handle();
     else waiting.push(handle);
   }
 
   outcome(): LimitOutcome {
-    const seconds = (performance.now() - this.begun) / 1_000;
+    const seconds = (performance.now() - this.startedAt) / 1_000;
     const messagesPerSecond = this.messages / seconds;
     return {
-      asked: this.asked,
+      asked: this.requestedUnits,
       admitted: this.admitted,
-      mostInWindow: this.mostInWindow,
+      mostInWindow: this.maxInWindow,
       messagesPerSecond,
       bytesPerSecond: messagesPerSecond * MESSAGE_BYTES,
     };
   }
 
-  /** Requests come independently of one another. */
+  /** Draws an exponentially distributed gap: requests are independent of one another. */
   private drawGapMs(meanMs: number): number {
     return -Math.log(1 - uniformFloat64(this.random)) * meanMs;
   }
 
   private request(units: number): void {
-    this.asked += units;
+    this.requestedUnits += units;
     const index = uniformInt(this.random, 0, this.daemons.length - 1);
     if (this.sides.get(index) === -1) return;
-    this.hand(index, () => {
+    this.runOrDefer(index, () => {
       this.daemons[index]?.admit('t', units, (decision) => {
         if (decision.type === 'granted') this.countAdmitted(units);
       });
@@ -274,23 +279,23 @@
     const now = performance.now();
     this.admitted += units;
     this.inWindow.add(units, now);
-    this.mostInWindow = Math.max(this.mostInWindow, this.inWindow.total(now));
+    this.maxInWindow = Math.max(this.maxInWindow, this.inWindow.total(now));
   }
 
-  private firstUp(): number {
-    return [...this.daemons.keys()].find((index) => !this.down.has(index)) ?? 0;
+  private firstRunning(): number {
+    return [...this.daemons.keys()].find((index) => !this.detectedDown.has(index)) ?? 0;
   }
 
   private daemon(index: number): SharedLimits {
     const self = `d-${index}`;
     const sendDatagram = (to: string, body: PeerBody): void =>
-      this.send(index, Number(to.slice(2)), body);
-    const live = (): readonly MemberView[] => this.seenBy(index);
+      this.sendMessage(index, Number(to.slice(2)), body);
+    const live = (): readonly MemberView[] => this.viewOf(index);
     const shares = new LimitShares(self);
     shares.recordRenewal(leaseNow());
-    this.divisions[index] = shares;
+    this.limitShares[index] = shares;
     const broadcast = (body: PeerBody): void => {
-      for (const to of this.daemons.keys()) if (to !== index) this.send(index, to, body);
+      for (const to of this.daemons.keys()) if (to !== index) this.sendMessage(index, to, body);
     };
     this.agreements[index] = new ShareAgreement({
       self,
@@ -328,14 +333,15 @@
     });
   }
 
-  /** The same list until the group changes. */
-  private seenBy(index: number): MemberView[] {
+  /** Returns the membership view of a daemon, cached until the group changes. */
+  private viewOf(index: number): MemberView[] {
     const known = this.views.get(index);
     if (known !== undefined) return known;
     const views: MemberView[] = [];
-    for (const other of this.known[index] ?? []) {
-      if (other !== index && (this.down.has(other) || !this.reaches(index, other))) continue;
-      if (this.isCut(index, other) && this.seesCut.has(index)) continue;
+    for (const other of this.memberLists[index] ?? []) {
+      if (other !== index && (this.detectedDown.has(other) || !this.reaches(index, other)))
+        continue;
+      if (this.isPartitioned(index, other) && this.partitionDetectedBy.has(index)) continue;
       const view = { zone: 'a', site: '', incarnation: 1, state: 'alive', capacity: 1 } as const;
       views.push({ address: `d-${other}`, ...view });
     }
@@ -345,17 +351,21 @@
 
   private reaches(from: number, to: number): boolean {
     const [a = 0, b = 0] = [this.sides.get(from), this.sides.get(to)];
-    // Nobody sees at once that a daemon has lost its power.
-    return a === b || (a === -1 && !this.down.has(from)) || (b === -1 && !this.down.has(to));
+    // A killed daemon counts as reachable until membership detects it.
+    return (
+      a === b ||
+      (a === -1 && !this.detectedDown.has(from)) ||
+      (b === -1 && !this.detectedDown.has(to))
+    );
   }
 
-  private isCut(from: number, to: number): boolean {
-    return this.cut.has(from) !== this.cut.has(to);
+  private isPartitioned(from: number, to: number): boolean {
+    return this.partitioned.has(from) !== this.partitioned.has(to);
   }
 
-  private send(from: number, to: number, body: PeerBody): void {
+  private sendMessage(from: number, to: number, body: PeerBody): void {
     this.messages += 1;
-    if (this.isCut(from, to)) return;
+    if (this.isPartitioned(from, to)) return;
     if (this.sides.get(to) === -1 || this.sides.get(from) === -1) return;
     if (!this.reaches(from, to)) return;
     const arrive = (): void => {
@@ -363,6 +373,6 @@
       const receivers = [this.agreements[to], this.leases[to], this.daemons[to]];
       receivers.some((receiver) => receiver?.receive(sender, body));
     };
-    setTimeout(() => this.hand(to, arrive), MESSAGE_MS);
+    setTimeout(() => this.runOrDefer(to, arrive), MESSAGE_MS);
   }
 }
--- a/test/simulation/simulated-pool.ts
+++ b/test/simulation/simulated-pool.ts
@@ -1,7 +1,7 @@
 /**
- * A simulated pool for property tests: shipped owners (`PoolOwner`) of several
- * epochs, engines that follow the published protocol, and a network that delays,
- * duplicates and loses. Every step is one decision of the history.
+ * A simulated pool for property tests: production owners (`PoolOwner`) of several epochs, engines
+ * that follow the published protocol, and a network that delays, duplicates and loses messages.
+ * Each step is one event of the simulated history.
  */
 import { FixedKeepAlive } from '../../src/core/keep-alive-fixed.js';
 import { CacheAwarePlacement } from '../../src/core/placement-cache-aware.js';
@@ -24,17 +24,17 @@
 export const TENANT_NAMES = ['t0', 't1', 't2', 't3'] as const;
 const ALLOWED = [1, 1, 2, 2] as const;
 
-/** A fence that a test may take away, to show that the checks see it missing. */
+/** A fence that a test removes to show that the checks detect its absence. */
 export type RemovedFence = 'none' | 'seal' | 'sequence' | 'registration';
 
-interface Sent {
+interface SentOrder {
   readonly owner: number;
   readonly engine: string;
   readonly fence: OrderFence;
   readonly order: EngineOrder;
 }
 
-/** An engine as the protocol describes it. */
+/** An engine that follows the protocol. */
 class SimulatedEngine {
   incarnation = 'i0';
   readonly holdings = new Map<string, { replica: ReplicaSpec; state: Holding['state'] }>();
@@ -79,7 +79,7 @@
     return this.last;
   }
 
-  /** A load ends, or an unload does. */
+  /** Completes the first load or unload in progress. */
   progress(): void {
     for (const [tenant, held] of this.holdings) {
       if (held.state === 'loading') held.state = 'loaded';
@@ -103,7 +103,7 @@
   }
 }
 
-/** One step of a history. Numbers are reduced to what exists. */
+/** One step of a history. Numbers are taken modulo the number of existing items. */
 export type Step =
   | { readonly type: 'claim'; readonly silent: number }
   | { readonly type: 'deliver'; readonly which: number; readonly keep: boolean }
@@ -125,9 +125,9 @@
   private readonly engines = new Map<string, SimulatedEngine>();
   private readonly owners: PoolOwner[] = [];
   private readonly dead = new Set<number>();
-  private readonly orders: Sent[] = [];
+  private readonly orders: SentOrder[] = [];
   private readonly answers: { readonly owner: number; readonly event: PoolEvent }[] = [];
-  private readonly keptReports = new Map<string, EngineReport>();
+  private readonly previousReports = new Map<string, EngineReport>();
   private record = { epoch: 0, owner: -1, incarnations: new Map<string, string>() };
   private now = 1_000_000;
 
@@ -135,7 +135,7 @@
     for (const name of ENGINE_NAMES) this.engines.set(name, new SimulatedEngine(removed));
   }
 
-  /** Does one step. Older owners live on: they are paused, and come back. */
+  /** Performs one step. Former owners stay active, as after a pause. */
   step(step: Step): void {
     this.now += 1;
     switch (step.type) {
@@ -161,21 +161,22 @@
     }
   }
 
-  /** What is broken now; empty when all promises hold. */
+  /** Returns the invariants that are violated now. */
   broken(): string[] {
-    const faults: string[] = [];
+    const violations: string[] = [];
     TENANT_NAMES.forEach((tenant, index) => {
       const held = [...this.engines.values()].filter((engine) => engine.holdings.has(tenant));
-      if (held.length > (ALLOWED[index] ?? 0)) faults.push(`${tenant} has ${held.length} replicas`);
+      if (held.length > (ALLOWED[index] ?? 0))
+        violations.push(`${tenant} has ${held.length} replicas`);
     });
     for (const [name, engine] of this.engines) {
       const specs = [...engine.holdings.values()].map((held) => held.replica);
-      if (memoryOf(specs) > CAPACITY) faults.push(`${name} is overcommitted`);
+      if (memoryOf(specs) > CAPACITY) violations.push(`${name} is overcommitted`);
     }
-    return faults;
+    return violations;
   }
 
-  /** Replicas loaded on all engines. */
+  /** Returns the number of replicas on all engines. */
   loaded(): number {
     return [...this.engines.values()].reduce((sum, engine) => sum + engine.holdings.size, 0);
   }
@@ -190,7 +191,7 @@
 
   private named(name: string): SimulatedEngine {
     const engine = this.engines.get(name);
-    if (engine === undefined) throw new Error(`no engine ${name}`);
+    if (engine === undefined) throw new Error(`unknown engine ${name}`);
     return engine;
   }
 
@@ -248,8 +249,8 @@
 
   private report(owner: number, engine: string, late: boolean): void {
     const fresh = this.named(engine).report();
-    const report = late ? (this.keptReports.get(engine) ?? fresh) : fresh;
-    this.keptReports.set(engine, fresh);
+    const report = late ? (this.previousReports.get(engine) ?? fresh) : fresh;
+    this.previousReports.set(engine, fresh);
     this.handle(owner, { type: 'report', engine, report });
   }
 
@@ -272,7 +273,7 @@
     }
   }
 
-  /** Compare-and-swap on the record: only the owner that it names may register. */
+  /** Compare-and-swap on the record: only the owner that the record names may register an engine. */
   private register(owner: number, engine: { address: string; incarnation: string }): void {
     if (this.record.owner !== owner && this.removed !== 'registration') {
       this.dead.add(owner);
--- a/test/simulation/simulated-record-store.ts
+++ b/test/simulation/simulated-record-store.ts
@@ -1,23 +1,23 @@
-/** Records of the gateway on a virtual clock: each call takes a fixed time, and a write replaces exactly the revision that it names. */
+/** A simulated record store of the gateway on a virtual clock: calls take a fixed time, and a write replaces only the revision that it names. */
 import { Result } from 'true-myth';
 import type { RecordFailure, StoredRecord } from '../../src/gateway/ports.js';
 
-/** Milliseconds from a question to the answer; the call is done half of it later. */
+/** Milliseconds from request to reply; the store handles the call halfway. */
 const CALL_MS = 8;
 
-/** One store for all daemons. */
+/** The record store that all daemons share. */
 export class SimulatedRecordStore {
   private readonly records = new Map<string, StoredRecord>();
   private revision = 0;
-  /** Whether no call is answered but with a failure. */
+  /** Whether the store is unavailable: all calls fail. */
   isAway = false;
 
-  /** Undefined if there is none. */
+  /** Reads a record; undefined if there is none. */
   read(kind: string, name: string): Promise<Result<StoredRecord | undefined, RecordFailure>> {
     return this.call(() => Result.ok(this.records.get(`${kind}/${name}`)));
   }
 
-  /** Creates the record, or replaces exactly the given revision. */
+  /** Creates the record if `revision` is undefined, else replaces that revision. Fails with a conflict on any other revision. */
   write(
     kind: string,
     name: string,
@@ -35,12 +35,12 @@
   }
 
   private call<Value>(
-    done: () => Result<Value, RecordFailure>,
+    operation: () => Result<Value, RecordFailure>,
   ): Promise<Result<Value, RecordFailure>> {
     return new Promise((resolve) => {
       setTimeout(() => {
-        const away = Result.err<Value, RecordFailure>({ type: 'unavailable', reason: 'away' });
-        const result = this.isAway ? away : done();
+        const failure = Result.err<Value, RecordFailure>({ type: 'unavailable', reason: 'away' });
+        const result = this.isAway ? failure : operation();
         setTimeout(() => resolve(result), CALL_MS / 2);
       }, CALL_MS / 2);
     });
--- a/test/simulation/simulated-slots.ts
+++ b/test/simulation/simulated-slots.ts
@@ -1,5 +1,5 @@
 /**
- * A group of daemons that keep one backend's slots, on a virtual clock: datagrams take a fixed
+ * A group of daemons that allocate one backend's slots, on a virtual clock: datagrams take a fixed
  * time and may be lost; requests run at the backend for a fixed time.
  */
 import { vi } from 'vitest';
@@ -13,7 +13,7 @@
 
 const MESSAGE_MS = 2;
 const TICK_MS = 100;
-/** Bytes of a datagram, headers of IP and UDP and names among them: a bound from above for one entry. */
+/** Upper bound of the bytes of a datagram with one entry, including names and IP and UDP headers. */
 const DATAGRAM_BYTES = 130;
 
 /** One request of a simulation. */
@@ -21,7 +21,7 @@
   readonly daemon: number;
   readonly askedAt: number;
   answers: SlotResponse['type'][];
-  /** When it was sent to the backend; undefined if it was not. */
+  /** When the request was sent to the backend; undefined if it was not sent. */
   sentAt: number | undefined;
   ended: boolean;
 }
@@ -33,19 +33,19 @@
   readonly runMs: number;
 }
 
-/** The group. Use it under vitest's fake timers. */
+/** The simulated group. Requires vitest's fake timers. */
 export class SimulatedSlots {
   readonly requests: SimulatedRequest[] = [];
   readonly lines: { event: string; fields: LogFields }[] = [];
   datagrams = 0;
-  /** Most requests at the backend at once. */
+  /** Most concurrent requests at the backend. */
   mostRunning = 0;
   isBackendServing = true;
-  /** Whether a datagram from one daemon to another is lost. */
+  /** Returns whether the network drops a datagram from one daemon to another. */
   loses: (from: number, to: number, body: PeerBody) => boolean = () => false;
   private running = 0;
-  /** Daemons as the group sees them. */
-  private seen: number[] = [];
+  /** Numbers of the daemons that the group considers live. */
+  private liveDaemons: number[] = [];
   private readonly daemons: SlotAdmission[];
   private readonly dead = new Set<number>();
   private readonly claims = new Map<SimulatedRequest, SlotClaim>();
@@ -59,16 +59,16 @@
     return this.datagrams * DATAGRAM_BYTES;
   }
 
-  /** Number of the daemon that keeps the slots. */
+  /** Returns the number of the daemon that allocates the slots. */
   keeper(): number {
-    const asking = this.daemons.find((_, index) => !this.dead.has(index));
-    return Number(asking?.keeperOf('backend').slice(2));
+    const running = this.daemons.find((_, index) => !this.dead.has(index));
+    return Number(running?.keeperOf('backend').slice(2));
   }
 
-  /** Numbers of daemons that are not the keeper. */
+  /** Returns the numbers of the running daemons other than the slot allocator. */
   others(): number[] {
-    const keeper = this.keeper();
-    return [...this.daemons.keys()].filter((index) => index !== keeper && !this.dead.has(index));
+    const allocator = this.keeper();
+    return [...this.daemons.keys()].filter((index) => index !== allocator && !this.dead.has(index));
   }
 
   ask(daemon: number, giveUpAfterMs = 5_000, rank = 1): SimulatedRequest {
@@ -91,21 +91,21 @@
       tenant: '',
       work: 0,
       ownerLoad: undefined,
-      onAnswer: (answer) => this.answered(request, answer),
+      onAnswer: (answer) => this.handleResponse(request, answer),
     });
     this.claims.set(request, claim);
     if (claim.isHeld) this.run(request);
     return request;
   }
 
-  /** The caller leaves. */
+  /** Simulates a disconnect of the caller. */
   leave(request: SimulatedRequest): void {
     request.ended = true;
     this.claims.get(request)?.release();
   }
 
-  /** Takes a daemon's power, and its requests; the others see it later. */
-  kill(index: number, seenAfterMs: number): void {
+  /** Kills a daemon and its requests; the others detect it after the given time. */
+  kill(index: number, detectedAfterMs: number): void {
     this.dead.add(index);
     for (const request of this.requests) {
       if (request.daemon !== index || request.ended) continue;
@@ -113,9 +113,9 @@
       if (request.sentAt !== undefined) this.running -= 1;
     }
     setTimeout(() => {
-      this.seen = this.seen.filter((other) => other !== index);
+      this.liveDaemons = this.liveDaemons.filter((other) => other !== index);
       for (const daemon of this.daemons) daemon.groupChanged();
-    }, seenAfterMs);
+    }, detectedAfterMs);
   }
 
   async play(milliseconds: number): Promise<void> {
@@ -127,7 +127,7 @@
     }
   }
 
-  private answered(request: SimulatedRequest, answer: SlotResponse): void {
+  private handleResponse(request: SimulatedRequest, answer: SlotResponse): void {
     if (this.dead.has(request.daemon)) return;
     request.answers.push(answer.type);
     if (answer.type === 'granted') this.run(request);
@@ -147,16 +147,16 @@
   }
 
   private daemon(index: number): SlotAdmission {
-    this.seen.push(index);
-    const keep = (event: string, fields: LogFields = {}): void => {
+    this.liveDaemons.push(index);
+    const recordLine = (event: string, fields: LogFields = {}): void => {
       this.lines.push({ event, fields });
     };
     return new SlotAdmission({
       self: `d-${index}`,
-      logger: { ...silentLogger, info: keep, warn: keep },
+      logger: { ...silentLogger, info: recordLine, warn: recordLine },
       metrics: new GatewayMetrics(),
-      live: () => this.seen.map(member),
-      reachable: () => this.seen.map((other) => `d-${other}`),
+      live: () => this.liveDaemons.map(member),
+      reachable: () => this.liveDaemons.map((other) => `d-${other}`),
       slotsOf: (id) => (id === 'backend' && this.isBackendServing ? this.options.slots : undefined),
       sendDatagram: (to, body) => this.send(index, Number(to.slice(2)), body),
     });
--- a/test/simulation/slot-admission.test.ts
+++ b/test/simulation/slot-admission.test.ts
@@ -4,7 +4,7 @@
 const SLOTS = 8;
 const RUN_MS = 200;
 
-describe("a backend's slots, kept for a group of daemons", () => {
+describe("a backend's slots, allocated over a group of daemons", () => {
   let group: SimulatedSlots;
 
   beforeEach(() => {
@@ -18,21 +18,21 @@
     vi.useRealTimers();
   });
 
-  /** One request of each daemon that is not the keeper, in turn. */
-  function askAll(rounds: number): void {
+  /** Starts one request in each round at each daemon that is not the slot allocator. */
+  function requestFromAll(rounds: number): void {
     for (let round = 0; round < rounds; round++) {
       for (const daemon of group.others()) group.ask(daemon);
     }
   }
 
-  it('are not overfilled by a burst over all daemons', async () => {
-    askAll(2);
+  it('are not exceeded by a burst over all daemons', async () => {
+    requestFromAll(2);
     await group.play(3_000);
     expect(group.mostRunning).toBe(SLOTS);
     expect(group.requests.every(({ sentAt }) => sentAt !== undefined)).toBe(true);
   });
 
-  it('cost a quiet group one datagram at the send and one at the end', async () => {
+  it('cost a lightly loaded group one datagram at the start and one at the end of a request', async () => {
     const [daemon = 0] = group.others();
     group.ask(daemon);
     await group.play(500);
@@ -41,25 +41,25 @@
       group.ask(daemon);
       await group.play(250);
     }
-    // Besides those, the list once a second.
+    // Two more datagrams for the list that is sent once a second.
     expect(group.datagrams - before).toBeLessThanOrEqual(6 * 2 + 2);
   });
 
-  it('are granted though any one datagram in five is lost', async () => {
+  it('are granted when one datagram in five is lost', async () => {
     let count = 0;
     group.loses = () => (count += 1) % 5 === 0;
     for (let round = 0; round < 5; round++) {
-      askAll(1);
+      requestFromAll(1);
       await group.play(600);
     }
     await group.play(3_000);
     expect(group.requests.every(({ sentAt }) => sentAt !== undefined)).toBe(true);
-    // Overfilled by those whose keeper seemed silent, at most by one more set.
+    // Daemons that got no reply from the allocator decide alone; they may use each slot at most once more.
     expect(group.mostRunning).toBeLessThanOrEqual(2 * SLOTS);
   });
 
-  it('are free again within the time of two lists when ends are lost', async () => {
-    askAll(1);
+  it('are free again within two list periods when end messages are lost', async () => {
+    requestFromAll(1);
     await group.play(100);
     group.loses = (_from, _to, body) => body.case === 'slotReport' && body.value.ended.length > 0;
     await group.play(RUN_MS + 100);
@@ -72,7 +72,7 @@
     expect(late.sentAt! - late.askedAt).toBeLessThan(20);
   });
 
-  it('are decided on alone within 150 ms when the keeper does not answer', async () => {
+  it('are used without a grant within 150 ms when the slot allocator does not reply', async () => {
     const keeper = group.keeper();
     group.loses = (from) => from === keeper;
     const [daemon = 0] = group.others();
@@ -84,8 +84,8 @@
     expect(group.lines.some(({ event }) => event === 'slot_keeper_silent')).toBe(true);
   });
 
-  it('are kept on when the keeper is lost with callers waiting: nobody waits for it for long', async () => {
-    askAll(2);
+  it('are used within 600 ms by waiting requests when the slot allocator fails', async () => {
+    requestFromAll(2);
     await group.play(100);
     const waiting = group.requests.filter(({ sentAt }) => sentAt === undefined);
     expect(waiting.length).toBeGreaterThan(0);
@@ -94,8 +94,8 @@
     expect(waiting.every(({ sentAt }) => sentAt !== undefined)).toBe(true);
   });
 
-  it('are granted twice at most by one more set when the keeper changes with tickets out', async () => {
-    askAll(2);
+  it('are granted at most twice when the slot allocator changes while requests are pending', async () => {
+    requestFromAll(2);
     await group.play(100);
     const before = group.keeper();
     group.kill(before, 0);
@@ -108,31 +108,31 @@
     expect(group.lines.some(({ event }) => event === 'slot_keeper_changed')).toBe(true);
   });
 
-  it('of a daemon that dies go to those who wait when it is seen', async () => {
-    const [dying = 0, living = 0] = group.others();
-    for (let count = 0; count < SLOTS; count++) group.ask(dying);
+  it('of a failed daemon go to waiting requests when the failure is detected', async () => {
+    const [failing = 0, healthy = 0] = group.others();
+    for (let count = 0; count < SLOTS; count++) group.ask(failing);
     await vi.advanceTimersByTimeAsync(20);
-    const waiting = Array.from({ length: SLOTS }, () => group.ask(living));
+    const waiting = Array.from({ length: SLOTS }, () => group.ask(healthy));
     await vi.advanceTimersByTimeAsync(20);
     expect(waiting.every(({ sentAt }) => sentAt === undefined)).toBe(true);
-    group.kill(dying, 20);
+    group.kill(failing, 20);
     await group.play(200);
     expect(waiting.every(({ sentAt }) => sentAt !== undefined)).toBe(true);
   });
 
-  it('that nobody wants any more are given back: the caller left while the grant was on its way', async () => {
+  it('are returned when the caller disconnects before the grant arrives', async () => {
     const [daemon = 0, other = 0] = group.others();
-    const gone = Array.from({ length: SLOTS }, () => group.ask(daemon));
+    const abandoned = Array.from({ length: SLOTS }, () => group.ask(daemon));
     await vi.advanceTimersByTimeAsync(3);
-    for (const request of gone) group.leave(request);
+    for (const request of abandoned) group.leave(request);
     await group.play(100);
     const next = Array.from({ length: SLOTS }, () => group.ask(other));
     await group.play(100);
     expect(next.every(({ sentAt }) => sentAt !== undefined)).toBe(true);
   });
 
-  it('of a backend that ends: those who wait are told at once', async () => {
-    askAll(2);
+  it('of a backend that stops: waiting requests are notified within 150 ms', async () => {
+    requestFromAll(2);
     await group.play(100);
     const waiting = group.requests.filter(({ sentAt }) => sentAt === undefined);
     group.isBackendServing = false;
--- a/test/simulation/slot-leases.ts
+++ b/test/simulation/slot-leases.ts
@@ -1,9 +1,9 @@
 /**
- * Slots of one backend lent to daemons for a time: a daemon uses a lent slot for one request after
- * another without asking, and what it does not use goes back when the lease ends. The way that the queue
- * of slots is measured against in docs/design/admission-across-daemons.md: it saves messages, and has no
- * order over daemons while a lease lasts. A lost lender's slots may be lent once more until the leases end: one more set of slots.
- * Pure; times are milliseconds of a steady clock.
+ * Leases slots of one backend to daemons. A daemon reuses a leased slot for consecutive requests
+ * without a message; unused slots are returned when the lease expires. The slot queue is compared with
+ * this policy in docs/design/admission-across-daemons.md: leases save messages, but requests of different
+ * daemons are not ordered while a lease lasts. If the allocator fails, its slots may be leased once more
+ * until the leases expire: one more set of slots. Pure; times are milliseconds of a steady clock.
  */
 import {
   decisionOn,
@@ -16,53 +16,57 @@
 } from '../../src/core/admission/slot-allocator.js';
 import { SlotTimes } from '../../src/core/admission/slot-times.js';
 
-/** A lent slot that rests goes back after so long: longer ones rest while others wait, shorter ones save no message. */
+/** An idle leased slot is returned after this time: a longer lease idles while other daemons wait, a shorter one saves no messages. */
 export const LEASE_MS = 50;
-/** Nobody is told to come back sooner. */
-const LEAST_RETRY_MS = 50;
+/** Minimum retry delay of a refusal. */
+const MIN_RETRY_MS = 50;
 
-interface Loan {
+interface SlotLease {
   slots: number;
-  /** Steady time at which slots that rest go back. */
+  /** Steady time at which idle slots are returned. */
   until: number;
 }
 
 interface Waiter extends SlotRequest {
   readonly since: number;
-  readonly toldMs: number;
+  readonly announcedWaitMs: number;
 }
 
-/** The slots of one backend, as their lender counts them. */
+/** Allocates the slots of one backend by leases. */
 export class SlotLeases implements SlotAllocator {
-  private readonly loans = new Map<string, Loan>();
-  /** Requests that have a slot, by daemon and ticket, and since when. */
+  private readonly leases = new Map<string, SlotLease>();
+  /** Requests that use a slot and their start times, by daemon and ticket. */
   private readonly holders = new Map<string, SlotUse & { readonly since: number }>();
   private readonly waiters = new Map<string, Waiter>();
   private readonly times = new SlotTimes();
 
   constructor(private readonly slots: number) {}
 
-  /** Whether the daemon has a lent slot that rests: it needs no message for its next request. */
+  /** Returns whether the daemon has an idle leased slot, so that its next request needs no message. */
   hasSpare(daemon: string): boolean {
-    return (this.loans.get(daemon)?.slots ?? 0) > this.used(daemon);
+    return (this.leases.get(daemon)?.slots ?? 0) > this.used(daemon);
   }
 
-  request(ask: SlotRequest, now: number): SlotDecision[] {
-    const key = ticketKey(ask);
-    if (this.holders.has(key)) return [decisionOn(ask, { type: 'granted' }, 0)];
-    if (this.hasSpare(ask.daemon) || this.lend(ask.daemon, now)) {
-      this.recordUse(ask, now);
-      return [decisionOn(ask, { type: 'granted' }, 0)];
+  request(slotRequest: SlotRequest, now: number): SlotDecision[] {
+    const key = ticketKey(slotRequest);
+    if (this.holders.has(key)) return [decisionOn(slotRequest, { type: 'granted' }, 0)];
+    if (this.hasSpare(slotRequest.daemon) || this.lease(slotRequest.daemon, now)) {
+      this.recordUse(slotRequest, now);
+      return [decisionOn(slotRequest, { type: 'granted' }, 0)];
     }
     const known = this.waiters.get(key);
-    const ends = this.waiters.size + (known === undefined ? 1 : 0);
-    const expectedWaitMs = this.times.expectedWaitMs(ends, this.slots, 1, ask.rank);
-    if (known === undefined && this.times.hasEnoughSamples && expectedWaitMs > ask.giveUpAt - now) {
-      const retryAfterMs = Math.max(LEAST_RETRY_MS, expectedWaitMs);
-      return [decisionOn(ask, { type: 'refused', retryAfterMs }, 0)];
+    const position = this.waiters.size + (known === undefined ? 1 : 0);
+    const expectedWaitMs = this.times.expectedWaitMs(position, this.slots, 1, slotRequest.rank);
+    if (
+      known === undefined &&
+      this.times.hasEnoughSamples &&
+      expectedWaitMs > slotRequest.giveUpAt - now
+    ) {
+      const retryAfterMs = Math.max(MIN_RETRY_MS, expectedWaitMs);
+      return [decisionOn(slotRequest, { type: 'refused', retryAfterMs }, 0)];
     }
-    this.waiters.set(key, known ?? { ...ask, since: now, toldMs: expectedWaitMs });
-    return [decisionOn(ask, { type: 'queued', expectedWaitMs }, 0)];
+    this.waiters.set(key, known ?? { ...slotRequest, since: now, announcedWaitMs: expectedWaitMs });
+    return [decisionOn(slotRequest, { type: 'queued', expectedWaitMs }, 0)];
   }
 
   recordUse(use: SlotUse, now: number): void {
@@ -72,7 +76,7 @@
     this.renew(daemon, now);
   }
 
-  /** The slot stays with its daemon, for those who wait there first. */
+  /** Ends a request. Its slot stays with the daemon and goes to the daemon's own waiting requests first. */
   end(daemon: string, ticket: number, now: number): SlotDecision[] {
     const key = ticketKey({ daemon, ticket });
     this.waiters.delete(key);
@@ -86,7 +90,7 @@
   }
 
   removeDaemon(daemon: string, now: number): SlotDecision[] {
-    this.loans.delete(daemon);
+    this.leases.delete(daemon);
     for (const [key, entry] of [...this.holders, ...this.waiters]) {
       if (entry.daemon !== daemon) continue;
       this.holders.delete(key);
@@ -96,15 +100,15 @@
   }
 
   tick(now: number): SlotDecision[] {
-    for (const [daemon, loan] of this.loans) {
-      if (loan.until > now) continue;
-      loan.slots = Math.min(loan.slots, this.used(daemon));
-      if (loan.slots === 0) this.loans.delete(daemon);
+    for (const [daemon, slotLease] of this.leases) {
+      if (slotLease.until > now) continue;
+      slotLease.slots = Math.min(slotLease.slots, this.used(daemon));
+      if (slotLease.slots === 0) this.leases.delete(daemon);
     }
     const late = [...this.waiters.values()].filter(({ giveUpAt }) => giveUpAt <= now);
     const decisions = late.map((waiter) => this.refuse(waiter, now));
     for (let next = this.first(); next !== undefined; next = this.first()) {
-      if (!this.lend(next.daemon, now)) break;
+      if (!this.lease(next.daemon, now)) break;
       decisions.push(this.grant(next, now));
     }
     return decisions;
@@ -113,14 +117,14 @@
   status(): SlotStatus {
     const { slots } = this;
     const waiting = this.waiters.size;
-    const isFull = this.lent() >= slots;
+    const isFull = this.leased() >= slots;
     const expectedWaitMs = isFull ? this.times.expectedWaitMs(waiting + 1, slots, 1, 0) : 0;
     return { slots, inFlight: this.holders.size, waiting, expectedWaitMs };
   }
 
   private grant(waiter: Waiter, now: number): SlotDecision {
     const waitedMs = now - waiter.since;
-    this.times.recordWait(waiter.rank, waiter.toldMs, waitedMs);
+    this.times.recordWait(waiter.rank, waiter.announcedWaitMs, waitedMs);
     this.recordUse(waiter, now);
     return decisionOn(waiter, { type: 'granted' }, waitedMs);
   }
@@ -128,36 +132,36 @@
   private refuse(waiter: Waiter, now: number): SlotDecision {
     this.waiters.delete(ticketKey(waiter));
     const expected = this.times.expectedWaitMs(this.waiters.size + 1, this.slots, 1, waiter.rank);
-    const retryAfterMs = Math.max(LEAST_RETRY_MS, expected);
+    const retryAfterMs = Math.max(MIN_RETRY_MS, expected);
     return decisionOn(waiter, { type: 'refused', retryAfterMs }, now - waiter.since);
   }
 
-  private lend(daemon: string, now: number): boolean {
-    if (this.lent() >= this.slots) return false;
-    const loan = this.loans.get(daemon) ?? { slots: 0, until: now };
-    loan.slots += 1;
-    this.loans.set(daemon, loan);
+  private lease(daemon: string, now: number): boolean {
+    if (this.leased() >= this.slots) return false;
+    const slotLease = this.leases.get(daemon) ?? { slots: 0, until: now };
+    slotLease.slots += 1;
+    this.leases.set(daemon, slotLease);
     this.renew(daemon, now);
     return true;
   }
 
   private renew(daemon: string, now: number): void {
-    const loan = this.loans.get(daemon);
-    if (loan !== undefined) loan.until = now + LEASE_MS;
+    const slotLease = this.leases.get(daemon);
+    if (slotLease !== undefined) slotLease.until = now + LEASE_MS;
   }
 
-  private lent(): number {
-    return [...this.loans.values()].reduce((sum, { slots }) => sum + slots, 0);
+  private leased(): number {
+    return [...this.leases.values()].reduce((sum, { slots }) => sum + slots, 0);
   }
 
   private used(daemon: string): number {
     return [...this.holders.values()].filter((holder) => holder.daemon === daemon).length;
   }
 
-  private first(among: (waiter: Waiter) => boolean = () => true): Waiter | undefined {
+  private first(matches: (waiter: Waiter) => boolean = () => true): Waiter | undefined {
     let best: Waiter | undefined;
     for (const waiter of this.waiters.values()) {
-      if (among(waiter) && (best === undefined || isBefore(waiter, best))) best = waiter;
+      if (matches(waiter) && (best === undefined || isBefore(waiter, best))) best = waiter;
     }
     return best;
   }
--- a/test/simulation/tenant-limits.test.ts
+++ b/test/simulation/tenant-limits.test.ts
@@ -2,16 +2,16 @@
 import { tenantLimitKind } from '../../src/gateway/limit-kind.js';
 import { SimulatedLimits, type LimitOutcome } from './simulated-limits.js';
 
-/** As the operators' sheet has them. */
+/** Values of the operators' configuration. */
 const WINDOW = { windowMs: 8_000, excess: 0.1, slack: 11_000 };
 const UNITS_PER_REQUEST = 1_600;
 const SMALL = 2_700;
 const LARGE = 100_000;
-/** What tenants ask for on an ordinary day, as a share of their limit. */
-const USUAL = 0.55;
-const HOT = 3.5;
-/** Daemons run for longer than a window before callers come. */
-const LEAD_SECONDS = 9;
+/** Usual load of a tenant, as a share of its limit. */
+const USUAL_LOAD_SHARE = 0.55;
+const OVERLOAD_FACTOR = 3.5;
+/** Seconds that daemons run before the first request: longer than a window. */
+const WARM_UP_SECONDS = 9;
 
 function groupOf(daemons: number, perSecond: number, seed = 1): SimulatedLimits {
   const limit = { unit: 'tokens', perSecond, burst: perSecond, defaultCharge: 200 } as const;
@@ -24,7 +24,7 @@
   });
 }
 
-/** Units that no window may pass. */
+/** Returns the most units that may be admitted in a window. */
 function bound(perSecond: number): number {
   const plain = (perSecond * WINDOW.windowMs) / 1_000 + perSecond;
   return plain * (1 + WINDOW.excess) + WINDOW.slack;
@@ -57,21 +57,21 @@
   afterEach(() => vi.useRealTimers());
 
   describe.each([30, 300])('over %i daemons', (daemons) => {
-    it('refuses nothing below it', async () => {
+    it('refuses nothing under the usual load', async () => {
       const group = groupOf(daemons, perSecond);
-      await group.play({ seconds: LEAD_SECONDS, unitsPerSecond: 0 });
-      await group.play({ seconds: 12, unitsPerSecond: perSecond * USUAL });
+      await group.play({ seconds: WARM_UP_SECONDS, unitsPerSecond: 0 });
+      await group.play({ seconds: 12, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
       print(`${size} ${daemons} usual`, group.outcome(), perSecond);
       expect(refusedShare(group.outcome())).toBe(0);
     });
 
-    it('holds when the tenant asks for many times its usual, and grants what it allows', async () => {
+    it('holds under overload, and admits what it allows', async () => {
       const group = groupOf(daemons, perSecond);
-      await group.play({ seconds: LEAD_SECONDS, unitsPerSecond: 0 });
-      await group.play({ seconds: 10, unitsPerSecond: perSecond * USUAL });
+      await group.play({ seconds: WARM_UP_SECONDS, unitsPerSecond: 0 });
+      await group.play({ seconds: 10, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
       const before = group.outcome();
       expect(refusedShare(before)).toBe(0);
-      await group.play({ seconds: 12, unitsPerSecond: perSecond * HOT });
+      await group.play({ seconds: 12, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
       const outcome = group.outcome();
       print(`${size} ${daemons} hot`, outcome, perSecond);
       expect(outcome.mostInWindow).toBeLessThanOrEqual(bound(perSecond));
@@ -79,64 +79,70 @@
     });
   });
 
-  it('refuses next to nothing below it when its holder loses its power', async () => {
+  it('refuses almost nothing under the usual load when its holder fails', async () => {
     let asked = 0;
     let admitted = 0;
     for (const seed of [1, 2, 3, 4, 5, 6]) {
       const group = groupOf(87, perSecond, seed);
-      await group.play({ seconds: LEAD_SECONDS, unitsPerSecond: 0 });
-      await group.play({ seconds: 10, unitsPerSecond: perSecond * USUAL });
+      await group.play({ seconds: WARM_UP_SECONDS, unitsPerSecond: 0 });
+      await group.play({ seconds: 10, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
       group.kill(group.holder(), 1_300);
-      await group.play({ seconds: 2, unitsPerSecond: perSecond * USUAL });
+      await group.play({ seconds: 2, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
       const before = group.outcome();
-      await group.play({ seconds: 8, unitsPerSecond: perSecond * USUAL });
+      await group.play({ seconds: 8, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
       const after = group.outcome();
       print(`${size} 87 holder killed, usual, seed ${seed}`, after, perSecond);
       asked += after.asked - before.asked;
       admitted += after.admitted - before.admitted;
     }
-    // What the dead daemon itself is asked for goes nowhere: one of 87.
+    // Requests at the failed daemon, one of 87, are lost.
     expect(admitted).toBeGreaterThan(asked * 0.95);
   });
 
-  it('holds when its holder loses its power while the tenant is hot', async () => {
+  it('holds when its holder fails under overload', async () => {
     const group = groupOf(87, perSecond);
-    await group.play({ seconds: 10, unitsPerSecond: perSecond * USUAL });
-    await group.play({ seconds: 4, unitsPerSecond: perSecond * HOT });
+    await group.play({ seconds: 10, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
+    await group.play({ seconds: 4, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
     group.kill(group.holder(), 1_300);
-    await group.play({ seconds: 12, unitsPerSecond: perSecond * HOT });
+    await group.play({ seconds: 12, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
     const outcome = group.outcome();
     print(`${size} 87 holder killed`, outcome, perSecond);
     expect(outcome.mostInWindow).toBeLessThanOrEqual(bound(perSecond));
   });
 
-  it('holds when all daemons start again and remember nothing', async () => {
+  it('holds when all daemons restart without their state', async () => {
     const group = groupOf(87, perSecond);
-    await group.play({ seconds: 10, unitsPerSecond: perSecond * HOT });
+    await group.play({ seconds: 10, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
     group.restartAll();
-    await group.play({ seconds: 10, unitsPerSecond: perSecond * HOT });
+    await group.play({ seconds: 10, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
     const outcome = group.outcome();
     print(`${size} 87 all restarted`, outcome, perSecond);
     expect(outcome.mostInWindow).toBeLessThanOrEqual(bound(perSecond));
   });
 
-  it('holds when a third of the daemons is cut off, each from all others', async () => {
+  it('holds when a third of the daemons are each isolated from all others', async () => {
     const group = groupOf(87, perSecond);
-    await group.play({ seconds: 10, unitsPerSecond: perSecond * USUAL });
+    await group.play({ seconds: 10, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
     group.isolate(30);
-    await group.play({ seconds: 12, unitsPerSecond: perSecond * HOT });
+    await group.play({ seconds: 12, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
     const outcome = group.outcome();
     print(`${size} 87 third cut off`, outcome, perSecond);
     expect(outcome.mostInWindow).toBeLessThanOrEqual(bound(perSecond));
   });
 
-  it('is in force within a window when it is lowered', async () => {
+  it('takes effect within one window when it is lowered', async () => {
     const group = groupOf(87, perSecond);
-    await group.play({ seconds: 10, unitsPerSecond: perSecond * USUAL });
+    await group.play({ seconds: 10, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
     group.limit = { ...group.limit, perSecond: perSecond / 4, burst: perSecond / 4 };
-    await group.play({ seconds: WINDOW.windowMs / 1_000, unitsPerSecond: perSecond * USUAL });
+    await group.play({
+      seconds: WINDOW.windowMs / 1_000,
+      unitsPerSecond: perSecond * USUAL_LOAD_SHARE,
+    });
     const before = group.outcome().admitted;
-    await group.play({ seconds: WINDOW.windowMs / 1_000, unitsPerSecond: perSecond * USUAL });
+    await group.play({
+      seconds: WINDOW.windowMs / 1_000,
+      unitsPerSecond: perSecond * USUAL_LOAD_SHARE,
+    });
     print(`${size} 87 lowered`, group.outcome(), perSecond);
     expect(group.outcome().admitted - before).toBeLessThanOrEqual(bound(perSecond / 4));
   });
