--- a/test/simulation/admission-ways.ts
+++ b/test/simulation/admission-ways.ts
@@ -46,6 +46,7 @@
 
 /** One request of the recorded load. */
 export interface RecordedRequest {
+  /** Arrival time in milliseconds. */
   readonly at: number;
   readonly daemon: string;
   readonly kind: Kind;
@@ -58,7 +59,9 @@
 
 /** Number of requests by result. */
 export interface Outcome {
+  /** Requests served within their goal. */
   inAim: number;
+  /** Requests served after their goal. */
   late: number;
   refused: number;
 }
@@ -99,11 +102,15 @@
 
 /** Runs a recorded load under one admission policy. */
 export class AdmissionPlay {
+  /** Results by kind of request. */
   readonly byKind = new Map<string, Outcome>();
+  /** Results by group of tenants. */
   readonly byTenant = new Map<string, Outcome>();
   /** Results of the largest tenth of the requests of kind `patient`. */
   readonly largest: Outcome = { inAim: 0, late: 0, refused: 0 };
+  /** Most concurrent requests sent to one backend. */
   mostInFlight = 0;
+  /** Messages between daemons and slot allocators. */
   messages = 0;
   private now = 0;
   private lastTicket = 0;
@@ -130,6 +137,7 @@
     );
   }
 
+  /** Simulates the whole load. */
   play(): this {
     for (const request of this.load) this.after(request.at, () => this.arrive(request));
     for (this.now = 0; this.now < (SECONDS + 20) * 1_000; this.now++) {
--- a/test/simulation/backend-limit-ways.test.ts
+++ b/test/simulation/backend-limit-ways.test.ts
@@ -27,7 +27,7 @@
   readonly usedShare: number;
 }
 
-async function playPermitHolder(daemons: number, perSecond: number): Promise<WayOutcome> {
+async function simulatePermitHolder(daemons: number, perSecond: number): Promise<WayOutcome> {
   const limit = permitLimit(perSecond);
   const group = new SimulatedLimits({
     daemons,
@@ -44,7 +44,7 @@
   return { mostInWindow, usedShare: (admitted - before) / (perSecond * SECONDS) };
 }
 
-function playEqualShares(daemons: number, perSecond: number): WayOutcome {
+function simulateEqualShares(daemons: number, perSecond: number): WayOutcome {
   const random = xoroshiro128plus(SEED);
   const buckets = Array.from({ length: daemons }, () => new TokenBucket(perSecond / daemons, 1, 0));
   const inWindow = new SlidingSum(WINDOW_MS);
@@ -82,9 +82,9 @@
   it.each(LIMITS)(
     'of %d a second is not exceeded and mostly used with one permit holder',
     async (perSecond) => {
-      const outcome = await playPermitHolder(daemons, perSecond);
+      const outcome = await simulatePermitHolder(daemons, perSecond);
       print('holder', daemons, perSecond, outcome);
-      print('equal shares', daemons, perSecond, playEqualShares(daemons, perSecond));
+      print('equal shares', daemons, perSecond, simulateEqualShares(daemons, perSecond));
       expect(outcome.mostInWindow).toBeLessThanOrEqual(allowedArrivals(perSecond));
       // One request may arrive after the end of the measured time.
       expect(outcome.usedShare + 1 / (perSecond * SECONDS)).toBeGreaterThan(0.7);
--- a/test/simulation/currency-proofs.test.ts
+++ b/test/simulation/currency-proofs.test.ts
@@ -1,3 +1,4 @@
+/* Proofs that the configuration is current reach all daemons with few store calls, also when the store or the network partly fails. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { SimulatedProofs, type ProofOutcome } from './simulated-proofs.js';
 
@@ -50,7 +51,7 @@
     const group = await warmGroup(87);
     group.answers = (daemon) => daemon % 3 !== 0;
     await group.play(9);
-    print('87, a third turned refused', group.outcome());
+    print('87, a third turned away', group.outcome());
     expect(group.outcome().withoutLease).toBe(0);
   });
 
@@ -82,7 +83,7 @@
     group.resetCounts();
     group.answers = (daemon) => daemon % 3 !== 0;
     await group.play(9);
-    print('87, a third turned refused, each its own reader', group.outcome());
+    print('87, a third turned away, each its own reader', group.outcome());
     expect(group.outcome().withoutLease).toBeGreaterThan(0.1);
   });
 });
--- a/test/simulation/cut-off-holder.test.ts
+++ b/test/simulation/cut-off-holder.test.ts
@@ -1,3 +1,4 @@
+/* Guards against exceeding a tenant limit over both sides together when the holder of its count fails or is partitioned. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { holderFailures } from './holder-failures.js';
 import { boundOf, LIMIT, warmGroup } from './small-group.js';
--- a/test/simulation/cut-off-small-group.test.ts
+++ b/test/simulation/cut-off-small-group.test.ts
@@ -1,3 +1,4 @@
+/* Guards against exceeding a tenant limit when the holder of a group of 2 to 5 daemons is partitioned and daemons restart. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { SimulatedLimits } from './simulated-limits.js';
 import { boundOf, LIMIT, warmGroup } from './small-group.js';
--- a/test/simulation/joined-during-cut.test.ts
+++ b/test/simulation/joined-during-cut.test.ts
@@ -37,7 +37,7 @@
 );
 
 /** Returns the most units admitted in any window. */
-async function play({ withHolder, joinAfterMs, joiners, seed }: Case): Promise<number> {
+async function simulate({ withHolder, joinAfterMs, joiners, seed }: Case): Promise<number> {
   const group = await warmGroup(DAEMONS, seed);
   const holder = group.holder();
   const others = [...Array(DAEMONS).keys()].filter((index) => index !== holder);
@@ -55,7 +55,7 @@
   it('leave the limit as it is on both sides together', async () => {
     const exceeded: string[] = [];
     for (const each of CASES) {
-      const most = await play(each);
+      const most = await simulate(each);
       if (most > BOUND) exceeded.push(`${JSON.stringify(each)}: ${most} of ${BOUND}`);
     }
     expect(exceeded).toEqual([]);
--- a/test/simulation/late-holder-lease.test.ts
+++ b/test/simulation/late-holder-lease.test.ts
@@ -19,7 +19,7 @@
 afterEach(() => vi.useRealTimers());
 
 /** Returns the most units admitted in any window. */
-async function playSplit(seed: number): Promise<number> {
+async function simulatePartition(seed: number): Promise<number> {
   const group = await warmGroup(DAEMONS, seed);
   const holder = group.holder();
   const others = [...Array(DAEMONS).keys()].filter((index) => index !== holder);
@@ -32,7 +32,7 @@
 describe('a group partitioned into halves', () => {
   it('stays within the limit when a half gets a holder after its daemons have used their own shares', async () => {
     const most: number[] = [];
-    for (const seed of SEEDS) most.push(await playSplit(seed));
+    for (const seed of SEEDS) most.push(await simulatePartition(seed));
     expect(Math.max(...most)).toBeLessThanOrEqual(boundOf(LIMIT));
   });
 });
--- a/test/simulation/pool-owner.property.test.ts
+++ b/test/simulation/pool-owner.property.test.ts
@@ -1,3 +1,4 @@
+/* Property test: pool owners never exceed replica limits or engine memory, whatever the network loses, delays or duplicates. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { SimulatedPool, type RemovedFence, type Step } from './simulated-pool.js';
--- a/test/simulation/router.property.test.ts
+++ b/test/simulation/router.property.test.ts
@@ -1,3 +1,4 @@
+/* Property test: a router runs requests that are not repeatable at most once, and reports correctly whether a request ran. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { ERROR_ANSWERS } from '../../src/common/errors.js';
@@ -114,7 +115,7 @@
   }
 
   /** Returns the invariants that are violated now. */
-  broken(): string[] {
+  violations(): string[] {
     const violations: string[] = [];
     for (const [id, runs] of this.runs) {
       if (runs > 1 && !this.repeatable.has(id)) violations.push(`${id} ran ${runs} times`);
@@ -271,10 +272,10 @@
         const simulated = new SimulatedRouter();
         for (const next of steps) {
           simulated.step(next);
-          expect(simulated.broken()).toEqual([]);
+          expect(simulated.violations()).toEqual([]);
         }
         expect(simulated.finish()).toBe(0);
-        expect(simulated.broken()).toEqual([]);
+        expect(simulated.violations()).toEqual([]);
         ran += simulated.runs.size;
       }),
       { seed: SEED, numRuns: HISTORIES },
--- a/test/simulation/simulated-backend.ts
+++ b/test/simulation/simulated-backend.ts
@@ -23,7 +23,9 @@
 
 /** One simulated backend process. */
 export class SimulatedBackend {
+  /** Number of accepted orders. */
   sequence = 0;
+  /** Highest epoch of any fence received; orders of lower epochs are fenced. */
   highestEpoch = 0;
   readonly models = new Set<string>();
   /** Set when an order made the models exceed the memory; never reset. */
@@ -47,7 +49,7 @@
     this.reportedModels = [...this.models];
     const due = this.delayedOrders.filter((entry) => entry.at <= now);
     this.delayedOrders = this.delayedOrders.filter((entry) => entry.at > now);
-    for (const { order, fence } of due) this.accept(order, fence, now);
+    for (const { order, fence } of due) this.applyOrder(order, fence, now);
     if (this.running === undefined || this.running.endsAt > now) return;
     const { operation, model } = this.running.order;
     if (operation === 'load') this.models.add(model);
@@ -55,16 +57,18 @@
     this.running = undefined;
   }
 
+  /** Delivers an order with the given fate. */
   order(order: ModelOrder, fence: OrderFence, fate: OrderFate, now: number): OrderOutcome {
     if (fate === 'lost') return { type: 'unknown', reason: 'lost' };
     if (fate === 'late') {
       this.delayedOrders.push({ order, fence, at: now + 3_000 });
       return { type: 'unknown', reason: 'late' };
     }
-    const outcome = this.accept(order, fence, now);
+    const outcome = this.applyOrder(order, fence, now);
     return fate === 'answer_lost' ? { type: 'unknown', reason: 'answer lost' } : outcome;
   }
 
+  /** Returns the report that the backend sends to owners. */
   report(): BackendReport {
     return {
       busy: this.running !== undefined,
@@ -86,7 +90,7 @@
     return names.reduce((sum, name) => sum + this.megabytes(name), 0);
   }
 
-  private accept(order: ModelOrder, fence: OrderFence, now: number): OrderOutcome {
+  private applyOrder(order: ModelOrder, fence: OrderFence, now: number): OrderOutcome {
     if (fence.epoch < this.highestEpoch) return { type: 'fenced' };
     this.highestEpoch = fence.epoch;
     if (this.running !== undefined || fence.expectedSequence !== this.sequence) {
--- a/test/simulation/simulated-limits.ts
+++ b/test/simulation/simulated-limits.ts
@@ -60,6 +60,7 @@
   private readonly leases: HolderLeases[] = [];
   private readonly agreements: ShareAgreement[] = [];
   private readonly limitShares: LimitShares[] = [];
+  /** Record store that all daemons share. */
   readonly store = new SimulatedRecordStore();
   /** Member list of each daemon. */
   private readonly memberLists: Set<number>[];
@@ -82,6 +83,7 @@
   private admitted = 0;
   private maxInWindow = 0;
   private readonly startedAt = performance.now();
+  /** Current limit of the tenant; tests may change it. */
   limit: RateLimit;
 
   constructor(private readonly options: SimulationOptions) {
@@ -247,6 +249,7 @@
     else waiting.push(handle);
   }
 
+  /** Returns the measurements of the run. */
   outcome(): LimitOutcome {
     const seconds = (performance.now() - this.startedAt) / 1_000;
     const messagesPerSecond = this.messages / seconds;
--- a/test/simulation/simulated-pool.ts
+++ b/test/simulation/simulated-pool.ts
@@ -20,9 +20,12 @@
 
 const GIGABYTE = 1e9;
 const CAPACITY = 25 * GIGABYTE;
+/** Names of the engines. */
 export const ENGINE_NAMES = ['e0', 'e1', 'e2'] as const;
+/** Names of the tenants. */
 export const TENANT_NAMES = ['t0', 't1', 't2', 't3'] as const;
-const ALLOWED = [1, 1, 2, 2] as const;
+/** Replica limit of each tenant. */
+const REPLICA_LIMITS = [1, 1, 2, 2] as const;
 
 /** A fence that a test removes to show that the checks detect its absence. */
 export type RemovedFence = 'none' | 'seal' | 'sequence' | 'registration';
@@ -166,7 +169,7 @@
     const violations: string[] = [];
     TENANT_NAMES.forEach((tenant, index) => {
       const held = [...this.engines.values()].filter((engine) => engine.holdings.has(tenant));
-      if (held.length > (ALLOWED[index] ?? 0))
+      if (held.length > (REPLICA_LIMITS[index] ?? 0))
         violations.push(`${tenant} has ${held.length} replicas`);
     });
     for (const [name, engine] of this.engines) {
@@ -186,10 +189,10 @@
   }
 
   private engine(index: number): SimulatedEngine {
-    return this.named(this.engineName(index));
+    return this.engineNamed(this.engineName(index));
   }
 
-  private named(name: string): SimulatedEngine {
+  private engineNamed(name: string): SimulatedEngine {
     const engine = this.engines.get(name);
     if (engine === undefined) throw new Error(`unknown engine ${name}`);
     return engine;
@@ -199,7 +202,8 @@
     const incarnations = new Map(this.record.incarnations);
     ENGINE_NAMES.forEach((name, index) => {
       const answers = (silent >> index) % 2 === 0;
-      if (answers || !incarnations.has(name)) incarnations.set(name, this.named(name).incarnation);
+      if (answers || !incarnations.has(name))
+        incarnations.set(name, this.engineNamed(name).incarnation);
     });
     this.record = { epoch: this.record.epoch + 1, owner: this.owners.length, incarnations };
     const owner = new PoolOwner({
@@ -213,7 +217,7 @@
     this.owners.push(owner);
     const index = this.owners.length - 1;
     TENANT_NAMES.forEach((name, at) => {
-      const tenant = pooledTenant(name, ALLOWED[at] ?? 0);
+      const tenant = pooledTenant(name, REPLICA_LIMITS[at] ?? 0);
       this.handle(index, { type: 'tenant_changed', name, tenant });
     });
     this.perform(index, owner.start());
@@ -225,7 +229,7 @@
     const sent = this.orders[index];
     if (sent === undefined) return;
     if (!keep) this.orders.splice(index, 1);
-    const answer = this.named(sent.engine).take(sent.fence, sent.order);
+    const answer = this.engineNamed(sent.engine).take(sent.fence, sent.order);
     const { engine, fence } = sent;
     this.answers.push({
       owner: sent.owner,
@@ -248,7 +252,7 @@
   }
 
   private report(owner: number, engine: string, late: boolean): void {
-    const fresh = this.named(engine).report();
+    const fresh = this.engineNamed(engine).report();
     const report = late ? (this.previousReports.get(engine) ?? fresh) : fresh;
     this.previousReports.set(engine, fresh);
     this.handle(owner, { type: 'report', engine, report });
--- a/test/simulation/simulated-proofs.ts
+++ b/test/simulation/simulated-proofs.ts
@@ -72,6 +72,7 @@
     this.startedAt = performance.now();
   }
 
+  /** Advances the simulation. */
   async play(seconds: number): Promise<void> {
     for (let at = 0; at < seconds * 1_000; at += STEP_MS) {
       // Daemons tick at staggered times.
@@ -83,6 +84,7 @@
     }
   }
 
+  /** Returns the measurements since the last reset. */
   outcome(): ProofOutcome {
     const seconds = (performance.now() - this.startedAt) / 1_000;
     return {
--- a/test/simulation/simulated-slots.ts
+++ b/test/simulation/simulated-slots.ts
@@ -19,10 +19,13 @@
 /** One request of a simulation. */
 export interface SimulatedRequest {
   readonly daemon: number;
+  /** When the request arrived at its daemon. */
   readonly askedAt: number;
+  /** Types of the responses to the slot request, in order. */
   answers: SlotResponse['type'][];
   /** When the request was sent to the backend; undefined if it was not sent. */
   sentAt: number | undefined;
+  /** Whether the request has completed, was refused or cancelled, or has failed. */
   ended: boolean;
 }
 
@@ -36,7 +39,9 @@
 /** The simulated group. Requires vitest's fake timers. */
 export class SimulatedSlots {
   readonly requests: SimulatedRequest[] = [];
+  /** Log lines of all daemons. */
   readonly lines: { event: string; fields: LogFields }[] = [];
+  /** Datagrams sent, including lost ones. */
   datagrams = 0;
   /** Most concurrent requests at the backend. */
   mostRunning = 0;
@@ -55,14 +60,15 @@
     for (const daemon of this.daemons) daemon.tick();
   }
 
+  /** Upper bound of the bytes sent. */
   get bytes(): number {
     return this.datagrams * DATAGRAM_BYTES;
   }
 
   /** Returns the number of the daemon that allocates the slots. */
   keeper(): number {
-    const running = this.daemons.find((_, index) => !this.dead.has(index));
-    return Number(running?.keeperOf('backend').slice(2));
+    const runningDaemon = this.daemons.find((_, index) => !this.dead.has(index));
+    return Number(runningDaemon?.keeperOf('backend').slice(2));
   }
 
   /** Returns the numbers of the running daemons other than the slot allocator. */
@@ -71,6 +77,7 @@
     return [...this.daemons.keys()].filter((index) => index !== allocator && !this.dead.has(index));
   }
 
+  /** Starts a request at a daemon, which sends it to the backend once it has a slot. */
   ask(daemon: number, giveUpAfterMs = 5_000, rank = 1): SimulatedRequest {
     const now = performance.now();
     const request: SimulatedRequest = {
@@ -118,6 +125,7 @@
     }, detectedAfterMs);
   }
 
+  /** Advances the simulation. */
   async play(milliseconds: number): Promise<void> {
     for (let at = 0; at < milliseconds; at += TICK_MS) {
       for (const [index, daemon] of this.daemons.entries()) {
--- a/test/simulation/slot-admission.test.ts
+++ b/test/simulation/slot-admission.test.ts
@@ -1,3 +1,4 @@
+/* Slots of a backend are allocated by one daemon; the tests cover lost datagrams, failed daemons and disconnected callers. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { SimulatedSlots } from './simulated-slots.js';
 
@@ -73,8 +74,8 @@
   });
 
   it('are used without a grant within 150 ms when the slot allocator does not reply', async () => {
-    const keeper = group.keeper();
-    group.loses = (from) => from === keeper;
+    const allocator = group.keeper();
+    group.loses = (from) => from === allocator;
     const [daemon = 0] = group.others();
     const first = group.ask(daemon);
     await group.play(200);
--- a/test/simulation/small-group.ts
+++ b/test/simulation/small-group.ts
@@ -2,7 +2,9 @@
 import { tenantLimitKind } from '../../src/gateway/limit-kind.js';
 import { SimulatedLimits } from './simulated-limits.js';
 
+/** Window of the tenant limit, and the excess and slack that operators allow in it. */
 export const WINDOW = { windowMs: 4_000, excess: 0.1, slack: 400 };
+/** Limit of the tenant. */
 export const LIMIT = { unit: 'tokens', perSecond: 400, burst: 400, defaultCharge: 100 } as const;
 /** Usual load of the tenant, as a share of its limit. */
 const USUAL_LOAD_SHARE = 0.55;
--- a/test/simulation/tenant-limits.test.ts
+++ b/test/simulation/tenant-limits.test.ts
@@ -1,3 +1,4 @@
+/* Tenant limits hold over many daemons under overload, failures, partitions and restarts, and refuse almost nothing below the limit. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { tenantLimitKind } from '../../src/gateway/limit-kind.js';
 import { SimulatedLimits, type LimitOutcome } from './simulated-limits.js';
