--- a/test/simulation/simulated-pool.ts
+++ b/test/simulation/simulated-pool.ts
@@ -1,7 +1,7 @@
 /**
- * A simulated pool for property tests: shipped owners (`PoolOwner`) of several
- * epochs, engines that follow the published protocol, and a network that delays,
- * duplicates and loses. Every step is one decision of the history.
+ * A simulated pool for property tests: production owners (`PoolOwner`) of several epochs, engines
+ * that follow the published protocol, and a network that delays, duplicates and loses messages.
+ * Each step is one event of the simulated history.
  */
 import { FixedKeepAlive } from '../../src/core/keep-alive-fixed.js';
 import { CacheAwarePlacement } from '../../src/core/placement-cache-aware.js';
@@ -20,21 +20,24 @@
 
 const GIGABYTE = 1e9;
 const CAPACITY = 25 * GIGABYTE;
+/** Names of the engines. */
 export const ENGINE_NAMES = ['e0', 'e1', 'e2'] as const;
+/** Names of the tenants. */
 export const TENANT_NAMES = ['t0', 't1', 't2', 't3'] as const;
-const ALLOWED = [1, 1, 2, 2] as const;
+/** Replica limit of each tenant. */
+const REPLICA_LIMITS = [1, 1, 2, 2] as const;
 
-/** A fence that a test may take away, to show that the checks see it missing. */
+/** A fence that a test removes to show that the checks detect its absence. */
 export type RemovedFence = 'none' | 'seal' | 'sequence' | 'registration';
 
-interface Sent {
+interface SentOrder {
   readonly owner: number;
   readonly engine: string;
   readonly fence: OrderFence;
   readonly order: EngineOrder;
 }
 
-/** An engine as the protocol describes it. */
+/** An engine that follows the protocol. */
 class SimulatedEngine {
   incarnation = 'i0';
   readonly holdings = new Map<string, { replica: ReplicaSpec; state: Holding['state'] }>();
@@ -79,7 +82,7 @@
     return this.last;
   }
 
-  /** A load ends, or an unload does. */
+  /** Completes the first load or unload in progress. */
   progress(): void {
     for (const [tenant, held] of this.holdings) {
       if (held.state === 'loading') held.state = 'loaded';
@@ -103,7 +106,7 @@
   }
 }
 
-/** One step of a history. Numbers are reduced to what exists. */
+/** One step of a history. Numbers are taken modulo the number of existing items. */
 export type Step =
   | { readonly type: 'claim'; readonly silent: number }
   | { readonly type: 'deliver'; readonly which: number; readonly keep: boolean }
@@ -125,9 +128,9 @@
   private readonly engines = new Map<string, SimulatedEngine>();
   private readonly owners: PoolOwner[] = [];
   private readonly dead = new Set<number>();
-  private readonly orders: Sent[] = [];
+  private readonly orders: SentOrder[] = [];
   private readonly answers: { readonly owner: number; readonly event: PoolEvent }[] = [];
-  private readonly keptReports = new Map<string, EngineReport>();
+  private readonly previousReports = new Map<string, EngineReport>();
   private record = { epoch: 0, owner: -1, incarnations: new Map<string, string>() };
   private now = 1_000_000;
 
@@ -135,7 +138,7 @@
     for (const name of ENGINE_NAMES) this.engines.set(name, new SimulatedEngine(removed));
   }
 
-  /** Does one step. Older owners live on: they are paused, and come back. */
+  /** Performs one step. Former owners stay active, as after a pause. */
   step(step: Step): void {
     this.now += 1;
     switch (step.type) {
@@ -161,21 +164,22 @@
     }
   }
 
-  /** What is broken now; empty when all promises hold. */
+  /** Returns the invariants that are violated now. */
   broken(): string[] {
-    const faults: string[] = [];
+    const violations: string[] = [];
     TENANT_NAMES.forEach((tenant, index) => {
       const held = [...this.engines.values()].filter((engine) => engine.holdings.has(tenant));
-      if (held.length > (ALLOWED[index] ?? 0)) faults.push(`${tenant} has ${held.length} replicas`);
+      if (held.length > (REPLICA_LIMITS[index] ?? 0))
+        violations.push(`${tenant} has ${held.length} replicas`);
     });
     for (const [name, engine] of this.engines) {
       const specs = [...engine.holdings.values()].map((held) => held.replica);
-      if (memoryOf(specs) > CAPACITY) faults.push(`${name} is overcommitted`);
+      if (memoryOf(specs) > CAPACITY) violations.push(`${name} is overcommitted`);
     }
-    return faults;
+    return violations;
   }
 
-  /** Replicas loaded on all engines. */
+  /** Returns the number of replicas on all engines. */
   loaded(): number {
     return [...this.engines.values()].reduce((sum, engine) => sum + engine.holdings.size, 0);
   }
@@ -185,12 +189,12 @@
   }
 
   private engine(index: number): SimulatedEngine {
-    return this.named(this.engineName(index));
+    return this.engineNamed(this.engineName(index));
   }
 
-  private named(name: string): SimulatedEngine {
+  private engineNamed(name: string): SimulatedEngine {
     const engine = this.engines.get(name);
-    if (engine === undefined) throw new Error(`no engine ${name}`);
+    if (engine === undefined) throw new Error(`unknown engine ${name}`);
     return engine;
   }
 
@@ -198,7 +202,8 @@
     const incarnations = new Map(this.record.incarnations);
     ENGINE_NAMES.forEach((name, index) => {
       const answers = (silent >> index) % 2 === 0;
-      if (answers || !incarnations.has(name)) incarnations.set(name, this.named(name).incarnation);
+      if (answers || !incarnations.has(name))
+        incarnations.set(name, this.engineNamed(name).incarnation);
     });
     this.record = { epoch: this.record.epoch + 1, owner: this.owners.length, incarnations };
     const owner = new PoolOwner({
@@ -212,7 +217,7 @@
     this.owners.push(owner);
     const index = this.owners.length - 1;
     TENANT_NAMES.forEach((name, at) => {
-      const tenant = pooledTenant(name, ALLOWED[at] ?? 0);
+      const tenant = pooledTenant(name, REPLICA_LIMITS[at] ?? 0);
       this.handle(index, { type: 'tenant_changed', name, tenant });
     });
     this.perform(index, owner.start());
@@ -224,7 +229,7 @@
     const sent = this.orders[index];
     if (sent === undefined) return;
     if (!keep) this.orders.splice(index, 1);
-    const answer = this.named(sent.engine).take(sent.fence, sent.order);
+    const answer = this.engineNamed(sent.engine).take(sent.fence, sent.order);
     const { engine, fence } = sent;
     this.answers.push({
       owner: sent.owner,
@@ -247,9 +252,9 @@
   }
 
   private report(owner: number, engine: string, late: boolean): void {
-    const fresh = this.named(engine).report();
-    const report = late ? (this.keptReports.get(engine) ?? fresh) : fresh;
-    this.keptReports.set(engine, fresh);
+    const fresh = this.engineNamed(engine).report();
+    const report = late ? (this.previousReports.get(engine) ?? fresh) : fresh;
+    this.previousReports.set(engine, fresh);
     this.handle(owner, { type: 'report', engine, report });
   }
 
@@ -272,7 +277,7 @@
     }
   }
 
-  /** Compare-and-swap on the record: only the owner that it names may register. */
+  /** Compare-and-swap on the record: only the owner that the record names may register an engine. */
   private register(owner: number, engine: { address: string; incarnation: string }): void {
     if (this.record.owner !== owner && this.removed !== 'registration') {
       this.dead.add(owner);
