--- a/test/soak/audit-configuration.test.ts
+++ b/test/soak/audit-configuration.test.ts
@@ -52,7 +52,7 @@
 }
 
 describe('the audit of configurations', () => {
-  it('sees a version that is late after its own acknowledgement, whatever came after it', () => {
+  it('reports a version that is late after its own acknowledgement, even if a newer one followed', () => {
     expect(rules([probeOf(404, ACCEPTED_AT + CONFIGURATION_MS)])).toEqual([]);
     expect(rules([probeOf(404, LATE_AT)])).toEqual(['configuration_late']);
     const accepted = new Map([
@@ -63,7 +63,7 @@
     expect(rules([probeOf(404, LATE_AT, VERSION + 1)], { accepted })).toEqual([]);
   });
 
-  it('grants nothing more once the store was sound for the time of contact', () => {
+  it('no longer excuses a late version once the store has worked for the contact time', () => {
     const faultUntil = (until: number) => ({ storeFaults: [{ from: ACCEPTED_AT - 9_000, until }] });
     const soundSince = LATE_AT - CONTACT_MS;
     expect(rules([probeOf(404, LATE_AT)], faultUntil(soundSince))).toEqual([]);
@@ -72,16 +72,16 @@
     ]);
   });
 
-  it('grants nothing to gateways that the store served while it turned others away', () => {
+  it('does not excuse gateways that the store served while it rejected others', () => {
     const from = LATE_AT - 100;
-    const turnedAway = (name: string) => ({
+    const storeRejecting = (name: string) => ({
       storeFaults: [{ from, until: LATE_AT, gateways: new Set([name]) }],
     });
-    expect(rules([probeOf(404, LATE_AT)], turnedAway('g'))).toEqual([]);
-    expect(rules([probeOf(404, LATE_AT)], turnedAway('h'))).toEqual(['configuration_late']);
+    expect(rules([probeOf(404, LATE_AT)], storeRejecting('g'))).toEqual([]);
+    expect(rules([probeOf(404, LATE_AT)], storeRejecting('h'))).toEqual(['configuration_late']);
   });
 
-  it('grants nothing more once the gateway was undisturbed for the time of contact', () => {
+  it('no longer excuses a late version once the gateway was undisturbed for the contact time', () => {
     const undisturbedSince = LATE_AT - CONTACT_MS;
     expect(rules([probeOf(404, LATE_AT)], disturbedOnce(undisturbedSince))).toEqual([]);
     expect(rules([probeOf(404, LATE_AT)], disturbedOnce(undisturbedSince - 1))).toEqual([
@@ -89,7 +89,7 @@
     ]);
   });
 
-  it('sees a route that is served though a version has dropped it', () => {
+  it('reports a route that is served after a version dropped it', () => {
     const accepted = new Map([
       [VERSION, ACCEPTED_AT - 9_000],
       [droppedBy(VERSION), ACCEPTED_AT],
@@ -99,7 +99,7 @@
     expect(rules([probeOf(200, LATE_AT)], { accepted })).toEqual(['dropped_route_served']);
   });
 
-  it('sees a configuration that goes back, also behind an older version', () => {
+  it('reports a configuration that reverts, also to before an older version', () => {
     const before = ACCEPTED_AT + 100;
     expect(rules([probeOf(200, before), probeOf(404, before + 100)])).toEqual([
       'configuration_reverted',
--- a/test/soak/audit-configuration.ts
+++ b/test/soak/audit-configuration.ts
@@ -1,4 +1,4 @@
-/** The promises about changed configurations, from what probes of a soak recorded. Pure. */
+/** Checks the guarantees about configuration updates against the probes that a soak recorded. Pure. */
 import {
   describeCall,
   overlapsAny,
@@ -10,14 +10,14 @@
 } from './evidence.js';
 import { droppedBy } from './soak-configuration.js';
 
-/** A version is in force so long after its own acknowledgement, whatever came after it. */
+/** Longest time from the acknowledgement of a version until it is in force, even if newer versions follow. */
 export const CONFIGURATION_MS = 2_000;
-/** A gateway is in touch once it, and the store towards it, were undisturbed for so long. */
+/** Time without a fault of a gateway, or of the store towards it, after which the gateway must be up to date. */
 export const CONTACT_MS = 3_000;
 const OK = 200;
 const NOT_FOUND = 404;
 
-/** Broken promises about configurations. */
+/** Returns the violated guarantees about configurations. */
 export function auditConfiguration(evidence: SoakEvidence): Violation[] {
   return [
     ...evidence.probes.flatMap((probe) => auditProbe(probe, evidence)),
@@ -25,7 +25,7 @@
   ];
 }
 
-/** Each version is judged from its own acknowledgement: a newer one grants no more time. */
+/** Measures each version from its own acknowledgement: a newer version does not extend the deadline. */
 function auditProbe(probe: ConfigurationProbe, evidence: SoakEvidence): Violation[] {
   const { call, version } = probe;
   if (call.status === NOT_FOUND && !mayBeDropped(probe, evidence)) {
@@ -48,24 +48,24 @@
   const lateMs = call.sentAt - acceptedAt;
   if (lateMs <= CONFIGURATION_MS) return [];
   const span = { from: call.sentAt - CONTACT_MS, until: call.endedAt };
-  if (!wasInTouch(call.gateway, span, evidence)) return [];
+  if (!wasConnected(call.gateway, span, evidence)) return [];
   const when = new Date(call.sentAt).toISOString();
   const detail = `${describeCall(call)}, version ${version}, sent ${when}, ${lateMs} ms after the acknowledgement`;
   return [{ rule, detail }];
 }
 
-/** A version that drops the route may have been in force before the answer. */
+/** Whether a version that drops the route may have been in force before the response. */
 function mayBeDropped({ call, version }: ConfigurationProbe, evidence: SoakEvidence): boolean {
   const droppedAt = evidence.accepted.get(droppedBy(version));
   return droppedAt !== undefined && droppedAt <= call.endedAt;
 }
 
-function wasInTouch(gateway: string, span: TimeSpan, evidence: SoakEvidence): boolean {
+function wasConnected(gateway: string, span: TimeSpan, evidence: SoakEvidence): boolean {
   if (evidence.gateways.wasDisturbed(gateway, span)) return false;
   return !overlapsAny(span, storeFaultsTowards(gateway, evidence));
 }
 
-/** A gateway that has served a version's route must not deny it, or an older one, later in the same life. */
+/** A gateway process that has served the route of a version must not respond 404 to it, or to an older one, later. */
 function auditReversions(evidence: SoakEvidence): Violation[] {
   const served = new Map<string, ConfigurationProbe[]>();
   const found: Violation[] = [];
--- a/test/soak/audit-crashes.ts
+++ b/test/soak/audit-crashes.ts
@@ -1,15 +1,15 @@
-/** Counts what was sent of requests that crash replicas after enough had crashed. Pure. */
+/** Counts how often crashing requests were still sent to replicas after enough replicas had crashed. Pure. */
 import { describeCall, overlapsAny, type SoakEvidence, type Violation } from './evidence.js';
 import type { PoisonArrival } from './run-log.js';
 
-/** Replicas that such a request may crash before all gateways in touch must know it. */
+/** Replicas that one request may crash before all connected gateways must reject it. */
 const CRASHES_ALLOWED = 3;
-/** So long after the last of these crashes a gateway that is in touch knows. */
-const CONTACT_MS = 3_000;
-/** Later arrivals of one request that are borne. */
-const LATE_ALLOWED = 3;
+/** Longest time from the last of these crashes until a connected gateway rejects the request. */
+const PROPAGATION_MS = 3_000;
+/** Later arrivals of one request that are tolerated. */
+const LATE_ARRIVALS_ALLOWED = 3;
 
-/** Requests that went on crashing replicas, and sound ones that were taken for them. */
+/** Returns requests that kept crashing replicas, and harmless requests that were rejected as crashing ones. */
 export function auditCrashes(evidence: SoakEvidence): Violation[] {
   const names = new Set(evidence.poisonArrivals.map(({ name }) => name));
   return [...[...names].flatMap((name) => auditPoison(name, evidence)), ...auditSound(evidence)];
@@ -21,28 +21,28 @@
   const last = crashes.map(({ at }) => at).sort((one, other) => one - other)[CRASHES_ALLOWED - 1];
   if (last === undefined) return [];
   const late = arrivals.filter((arrival) => {
-    return arrival.at > last + CONTACT_MS && wasInTouch(arrival, evidence);
+    return arrival.at > last + PROPAGATION_MS && wasConnected(arrival, evidence);
   });
-  if (late.length <= LATE_ALLOWED) return [];
+  if (late.length <= LATE_ARRIVALS_ALLOWED) return [];
   const detail = `${name}: ${late.length} late arrivals, ${crashes.length} crashes`;
   return [{ rule: 'crash_repeated', detail }];
 }
 
-/** The gateway that sent it was not harmed for so long that it must know. */
-function wasInTouch({ attemptId, at }: PoisonArrival, evidence: SoakEvidence): boolean {
+/** Whether the sending gateway had no fault for long enough that it must know of the crashes. */
+function wasConnected({ attemptId, at }: PoisonArrival, evidence: SoakEvidence): boolean {
   const call = evidence.calls.find(({ request }) => request.attemptId === attemptId);
   if (call === undefined) return true;
-  const span = { from: at - CONTACT_MS, until: at };
+  const span = { from: at - PROPAGATION_MS, until: at };
   const { gateways } = evidence;
   return !gateways.wasHarmed(call.gateway, span) && !gateways.wasDisturbed(call.gateway, span);
 }
 
-/** A sound request is refused as one that crashes replicas only where these crash all around it. */
-function auditSound({ calls, replicaFaults }: SoakEvidence): Violation[] {
-  const taken = calls.filter(({ request, errorKind }) => {
+/** A harmless request may be rejected as a crashing one only while replicas have faults. */
+function auditHarmlessRequests({ calls, replicaFaults }: SoakEvidence): Violation[] {
+  const rejected = calls.filter(({ request, errorKind }) => {
     return errorKind === 'crashes_backends' && request.kind !== 'poison';
   });
-  const unexcused = taken.filter((call) => {
+  const unexcused = rejected.filter((call) => {
     return !overlapsAny({ from: call.sentAt, until: call.endedAt }, replicaFaults);
   });
   return unexcused.map((call) => ({ rule: 'sound_condemned', detail: describeCall(call) }));
--- a/test/soak/audit-fixtures.ts
+++ b/test/soak/audit-fixtures.ts
@@ -1,7 +1,7 @@
-/** What the auditor's tests share. */
+/** Fixtures shared by the tests of the auditor. */
 import type { GatewayHistory } from './evidence.js';
 
-/** Gateways to which nothing was done. */
+/** History of gateways without any fault or stop. */
 export const untouched: GatewayHistory = {
   wasDisturbed: () => false,
   wasInterrupted: () => false,
--- a/test/soak/audit-rate-limits.ts
+++ b/test/soak/audit-rate-limits.ts
@@ -1,15 +1,15 @@
-/** Counts requests that came to replicas which had named a rate limit, from gateways that knew of it. Pure. */
+/** Counts requests to replicas that announced a rate limit, from gateways that had received the announcement. Pure. */
 import type { CallRecord } from './caller.js';
 import type { SoakEvidence, Violation } from './evidence.js';
 import type { LimitedArrival } from './run-log.js';
 
-/** In which a replica counts. */
+/** Window over which the requests to a replica are counted. */
 const WINDOW_MS = 4_000;
-/** From the first answer that names a limit until the limit is held against the gateways. */
-const CONTACT_MS = 3_000;
-/** A gateway has known of a limit so long after it has passed on an answer that names it. */
+/** Time from the first response that announces a limit until the gateways must respect it. */
+const PROPAGATION_MS = 3_000;
+/** A gateway isInformed a limit this long after it has forwarded a response that announces it. */
 const KNOWN_AFTER_MS = 500;
-/** More than the limit allows, as a share of it and in requests. */
+/** Tolerance above the limit: EXCESS is a factor of the limit, SLACK a number of requests. */
 const EXCESS = 1.5;
 const SLACK = 5;
 
@@ -17,7 +17,7 @@
   readonly call: CallRecord;
 }
 
-/** Replicas that got more than their limit allows. */
+/** Returns the replicas that received more requests than their limit allows. */
 export function auditRateLimits(evidence: SoakEvidence): Violation[] {
   if (evidence.limitedArrivals.length === 0) return [];
   const calls = new Map<string, CallRecord>();
@@ -34,14 +34,14 @@
   return [...byReplica].flatMap(([replica, arrivals]) => auditReplica(replica, arrivals, evidence));
 }
 
-/** Each time without a break in which the replica names a limit is looked at by itself. */
+/** Checks each uninterrupted span in which the replica announces a limit separately. */
 function auditReplica(
   replica: string,
   arrivals: readonly Arrival[],
   evidence: SoakEvidence,
 ): Violation[] {
   const excesses = limitedSpans(arrivals).flatMap((span) => {
-    const since = (span[0]?.at ?? 0) + CONTACT_MS;
+    const since = (span[0]?.at ?? 0) + PROPAGATION_MS;
     const counted = span.filter((arrival) => isCounted(arrival, span, evidence));
     return counted.flatMap((last) => {
       const from = last.at - WINDOW_MS;
@@ -66,20 +66,22 @@
   return spans.filter((span) => span.length > 0);
 }
 
-/** The gateway had passed on an answer that names the limit, and nothing was done to it since. */
+/** Whether the gateway had forwarded a response that announces the limit and was not disturbed lately. */
 function isCounted(
   { at, call }: Arrival,
   span: readonly Arrival[],
   { gateways }: SoakEvidence,
 ): boolean {
-  const knows = span.some((earlier) => {
+  const isInformed = span.some((earlier) => {
     const { gateway, status, endedAt } = earlier.call;
     return gateway === call.gateway && status !== undefined && endedAt <= at - KNOWN_AFTER_MS;
   });
-  return knows && !gateways.wasDisturbed(call.gateway, { from: at - CONTACT_MS, until: at });
+  return (
+    isInformed && !gateways.wasDisturbed(call.gateway, { from: at - PROPAGATION_MS, until: at })
+  );
 }
 
-/** The highest limit that was named in a time, or last before it: changes on their way are borne. */
+/** Highest limit announced in the window or last before it: tolerates changes that are still propagating. */
 function highestLimit(span: readonly Arrival[], from: number, until: number): number {
   const before = span.filter(({ at }) => at <= from - KNOWN_AFTER_MS).at(-1);
   const named = span.filter(({ at }) => at > from - KNOWN_AFTER_MS && at <= until);
--- a/test/soak/audit-tenants.ts
+++ b/test/soak/audit-tenants.ts
@@ -1,4 +1,4 @@
-/** The promises about keys and limits, from what callers and replicas of a soak recorded. Pure. */
+/** Checks the guarantees about keys and limits against what callers and replicas of a soak recorded. Pure. */
 import type { SoakEvidence, Violation } from './evidence.js';
 import type { CallRecord } from './caller.js';
 import type { RunRecord } from './run-log.js';
@@ -7,7 +7,7 @@
 
 const UNAUTHORIZED = 401;
 
-/** Broken promises about tenants; they bind gateways also while these are harmed. */
+/** Returns the violated guarantees about tenants; these hold even while gateways have faults. */
 export function auditTenants(evidence: SoakEvidence): Violation[] {
   const calls = new Map(evidence.calls.map((call) => [call.request.attemptId, call]));
   return [
@@ -17,7 +17,7 @@
   ];
 }
 
-/** A key that no configuration has taken away is never denied. */
+/** A key that no configuration has removed must never be denied. */
 function auditDenial({ request, status, gateway }: CallRecord): Violation[] {
   if (status !== UNAUTHORIZED || removedBy(request.caller) !== undefined) return [];
   return [{ rule: 'key_denied', detail: `${request.attemptId} at ${gateway}` }];
@@ -37,13 +37,13 @@
   const version = removedBy(request.caller);
   const removedAt = version === undefined ? undefined : evidence.accepted.get(version);
   if (removedAt !== undefined && sentAt > removedAt + REVOCATION_MS) {
-    const late = `${detail}, sent ${sentAt - removedAt} ms after its key was taken away`;
+    const late = `${detail}, sent ${sentAt - removedAt} ms after its key was removed`;
     found.push({ rule: 'revoked_key_run', detail: late });
   }
   return found;
 }
 
-/** Each run counts once a request, in any window. */
+/** Checks the fullest window of the limit; each request counts once, however often it ran. */
 function auditLimit(runs: readonly RunRecord[]): Violation[] {
   const units = fullestWindow(runs).length * UNITS;
   if (units <= unitsAllowed()) return [];
--- a/test/soak/gateway-entry.cjs
+++ b/test/soak/gateway-entry.cjs
@@ -1,6 +1,6 @@
 /**
- * Runs a gateway of a soak: `node gateway-entry.cjs FILE...` loads the files in their order, the last of which is the program's own
- * entry. Its handlers stand as soon after the start of the process as those of that entry alone (`platform/main.ts`).
+ * Runs a gateway of a soak: `node gateway-entry.cjs FILE...` loads the files in order; the last one is the entry of the program.
+ * Installs the signal handlers as early after the start of the process as that entry alone does (`platform/main.ts`).
  */
 const path = require('node:path');
 
--- a/test/soak/gateway-process.test.ts
+++ b/test/soak/gateway-process.test.ts
@@ -1,4 +1,4 @@
-/* Guards against a soak that plays another process than the one that is deployed: with variables of its own, handlers stood 0.4 s later. */
+/* Guards against a soak process that differs from the deployed one: with extra environment variables, signal handlers were installed 0.4 s later. */
 import { mkdtempSync, readFileSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import path from 'node:path';
@@ -6,7 +6,7 @@
 import { buildGateway, GatewayProcess } from './gateway-process.js';
 import { findSoakPorts } from './soak-ports.js';
 
-/** What a deployed process gets, what the deployment sets, and what lets a parent reach it. */
+/** Variables of a deployed process, those that the deployment sets, and those for IPC with the parent. */
 const ALLOWED = /^(PATH|HOME|LANG|SCALESLIP_SETTINGS|SOAK_PEER_PORTS|NODE_CHANNEL_\w+)$/;
 
 describe('a gateway of a soak', () => {
@@ -19,7 +19,7 @@
     rmSync(folder, { recursive: true, force: true });
   });
 
-  it('gets the variables of a deployed process only', async () => {
+  it('gets only the environment variables of a deployed process', async () => {
     process.env.NODE_EXTRA_CA_CERTS ??= '/dev/null';
     const [peers = 0, callers = 0, readiness = 0] = await findSoakPorts(3);
     const ports = { peers, callers, readiness, metrics: 0 };
--- a/test/soak/gateway-roles.ts
+++ b/test/soak/gateway-roles.ts
@@ -1,16 +1,16 @@
-/** Which gateway of a soak does what for all. */
+/** Finds the gateways of a soak that hold a cluster-wide role. */
 import { firstCandidate, rankCandidates } from '../../src/common/rendezvous.js';
 import type { GatewayProcess } from './gateway-process.js';
 import { LIMITED_TENANT } from './soak-tenants.js';
 import type { SoakSystem } from './soak-system.js';
 
-/** Where the gateways keep the owner of the only service that has one. */
+/** Kind of the store object in which gateways record the owner of the only service that has one. */
 const OWNER_KIND = 'scaleslip-owners';
 const OWNED_SERVICE = 'models';
-/** Under this name gateways rank who counts the limited tenant. */
-const COUNT_NAME = `limit/${LIMITED_TENANT}`;
+/** Key under which gateways rank the candidates that count the requests of the limited tenant. */
+const COUNT_RANKING_KEY = `limit/${LIMITED_TENANT}`;
 
-/** Whoever owns the models by the store's record, if it is among some gateways. */
+/** The gateway that owns the models according to the record in the store, if it is one of those given. */
 export function ownerOf(
   { store }: Pick<SoakSystem, 'store'>,
   gateways: readonly GatewayProcess[],
@@ -19,15 +19,17 @@
   return gateways.find(({ peers }) => peers === record?.address);
 }
 
-/** Whoever counts the limited tenant, as some gateways rank it among them. */
+/** The gateway that ranks first for counting the requests of the limited tenant, among those given. */
 export function counterOf(gateways: readonly GatewayProcess[]): GatewayProcess | undefined {
   const addresses = gateways.map(({ peers }) => peers).sort();
-  const first = firstCandidate(COUNT_NAME, addresses);
+  const first = firstCandidate(COUNT_RANKING_KEY, addresses);
   return gateways.find(({ peers }) => peers === first);
 }
 
-/** Ports of gateways in the order in which they count the limited tenant. */
+/** Ports of gateways, by their rank for counting the requests of the limited tenant. */
 export function portsByCountRank(ports: readonly number[]): number[] {
   const addresses = ports.map((port) => `127.0.0.1:${port}`).sort();
-  return rankCandidates(COUNT_NAME, addresses).map((address) => Number(address.split(':')[1]));
+  return rankCandidates(COUNT_RANKING_KEY, addresses).map((address) =>
+    Number(address.split(':')[1]),
+  );
 }
--- a/test/soak/kept-connection.ts
+++ b/test/soak/kept-connection.ts
@@ -1,8 +1,8 @@
-/** A connection that a caller keeps open to one gateway, for one request after the other. */
+/** Persistent connection of a caller to one gateway; sends one request at a time. */
 import http from 'node:http';
 import { call, type CallRecord, type SoakRequest } from './caller.js';
 
-/** One caller's connection. */
+/** Persistent connection of one caller. */
 export class KeptConnection {
   private readonly agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
 
@@ -12,12 +12,12 @@
     private readonly address: string,
   ) {}
 
-  /** Whether the connection rests and may be used again: the gateway has not closed it. */
+  /** Whether the connection is idle and reusable: the gateway has not closed it. */
   get isOpen(): boolean {
     return Object.keys(this.agent.freeSockets).length > 0;
   }
 
-  /** Sends a request; the one before must have ended. */
+  /** Sends a request; the previous one must have ended. */
   send(request: SoakRequest): Promise<CallRecord> {
     return call(request, this.gateway, this.address, this.agent);
   }
--- a/test/soak/limit-margin.test.ts
+++ b/test/soak/limit-margin.test.ts
@@ -13,7 +13,7 @@
   ({ request: { attemptId }, gateway }) as CallRecord;
 
 describe('the margin to the limit', () => {
-  it('names the units of the fullest window by the gateway that was asked', () => {
+  it('reports the units of the fullest window by the gateway that received the requests', () => {
     const runs = [runAt('a', 0), runAt('b', LIMIT_WINDOW_MS), runAt('c', LIMIT_WINDOW_MS + 1)];
     const calls = [callAt('a', 'g0'), callAt('b', 'g0'), callAt('c', 'g1')];
     expect(limitMargin(runs, calls)).toEqual({
@@ -24,7 +24,7 @@
     });
   });
 
-  it('counts a request once, when it ran first', () => {
+  it('counts a request once, at its first run', () => {
     const runs = [runAt('a', 0), runAt('a', 1), runAt('b', 2)];
     expect(limitMargin(runs, []).mostUnits).toBe(2 * UNITS);
   });
--- a/test/soak/limit-margin.ts
+++ b/test/soak/limit-margin.ts
@@ -1,4 +1,4 @@
-/** How near the runs of a soak came to the limit of the limited tenant. Pure. */
+/** Computes how close the runs of a soak came to the limit of the limited tenant. Pure. */
 import type { CallRecord } from './caller.js';
 import type { RunRecord } from './run-log.js';
 import { LIMIT_WINDOW_MS, LIMITED_TENANT, UNITS, unitsAllowed } from './soak-tenants.js';
@@ -9,11 +9,11 @@
   readonly allowedUnits: number;
   /** Time of the window's last run, ISO 8601; undefined without any run. */
   readonly until: string | undefined;
-  /** Units of that window by the gateway that its callers asked. */
+  /** Units of that window by the gateway that received the request. */
   readonly unitsByGateway: Readonly<Record<string, number>>;
 }
 
-/** Finds the fullest window; each request counts once, when it ran first. */
+/** Finds the fullest window; each request counts once, at its first run. */
 export function limitMargin(runs: readonly RunRecord[], calls: readonly CallRecord[]): LimitMargin {
   const fullest = fullestWindow(runs);
   const gatewayOf = new Map(calls.map((call) => [call.request.attemptId, call.gateway]));
@@ -31,7 +31,7 @@
   };
 }
 
-/** First runs of the limited tenant in the window with the most of them, in order of time. */
+/** First runs of requests of the limited tenant in the window with the most of them, ordered by time. */
 export function fullestWindow(runs: readonly RunRecord[]): readonly RunRecord[] {
   const counted = new Map<string, RunRecord>();
   for (const run of runs) {
--- a/test/soak/run-log.ts
+++ b/test/soak/run-log.ts
@@ -1,16 +1,16 @@
-/** What the replicas of a soak have seen themselves: runs, arrivals, and what must never happen. */
+/** Log of what the replicas of a soak observed: runs, arrivals and violated guarantees. */
 
-/** A request that a replica has begun to work on. */
+/** A request that a replica has started to run. */
 export interface RunRecord {
   readonly attemptId: string;
   readonly replica: string;
-  /** As the gateway named it. */
+  /** As given by the gateway. */
   readonly tenant: string | undefined;
   /** Unix milliseconds. */
   readonly at: number;
 }
 
-/** A promise that a replica saw broken. */
+/** A violated guarantee that a replica observed. */
 export interface ReplicaViolation {
   readonly kind:
     | 'memory_overcommitted'
@@ -23,15 +23,15 @@
   readonly detail: string;
   /** Unix milliseconds. */
   readonly at: number;
-  /** The gateway whose order it was. */
+  /** The gateway that sent the order. */
   readonly sender?: string;
-  /** The request that it is about. */
+  /** The request that the violation concerns. */
   readonly attemptId?: string;
 }
 
-/** A request that crashes whatever runs it has come to a replica. */
+/** Arrival at a replica of a request that crashes every replica that runs it. */
 export interface PoisonArrival {
-  /** Names the request; its attempts have names of their own. */
+  /** Name of the request; each attempt has its own id. */
   readonly name: string;
   readonly attemptId: string;
   readonly replica: string;
@@ -39,24 +39,24 @@
   readonly at: number;
 }
 
-/** A request that has come to a replica which says in its answers that it leaves, or asks for rest. */
+/** Arrival at a replica whose responses announce that it leaves, or request a backoff. */
 export interface ToldArrival {
   readonly attemptId: string;
   readonly replica: string;
   /** Unix milliseconds. */
   readonly at: number;
   readonly saysLeaving: boolean;
-  /** Milliseconds of rest that the answer asks for; 0 for none. */
+  /** Backoff that the response requests, in milliseconds; 0 for none. */
   readonly restMs: number;
 }
 
-/** A request that has come to a replica which names a rate limit in its answers, or has named one. */
+/** Arrival at a replica whose responses announce a rate limit, or have announced one. */
 export interface LimitedArrival {
   readonly attemptId: string;
   readonly replica: string;
   /** Unix milliseconds. */
   readonly at: number;
-  /** Requests a second that the answer names; undefined if it names none. */
+  /** Announced limit in requests a second; undefined if the response announces none. */
   readonly perSecond: number | undefined;
 }
 
--- a/test/soak/struck-gateways.ts
+++ b/test/soak/struck-gateways.ts
@@ -1,23 +1,23 @@
-/** Which gateway a fault has met, and what it did for all at that moment. */
+/** Records which gateway a fault hit and which cluster-wide roles it held at that moment. */
 import type { Disturbance } from './gateway-process.js';
 import { counterOf, ownerOf } from './gateway-roles.js';
 import type { SoakSystem } from './soak-system.js';
 
-/** What a gateway does for all. */
+/** Cluster-wide role of a gateway. */
 export type GatewayDuty = 'owns_models' | 'counts_limited_tenant';
 
-/** One fault of one gateway. */
+/** One fault that was injected into one gateway. */
 export interface StruckGateway {
   readonly gateway: string;
   readonly struck: Disturbance['kind'] | 'SIGHUP' | 'SIGTERM';
-  /** Milliseconds for which it was to last; 0 for a signal. */
+  /** Planned duration of the fault in milliseconds; 0 for a signal. */
   readonly milliseconds: number;
   readonly duties: readonly GatewayDuty[];
-  /** Whether the limited tenant asked for many times its limit. */
+  /** Whether the limited tenant sent many times its limit. */
   readonly isHot: boolean;
 }
 
-/** Duties of a gateway, as those rank it that nothing was being done to before. */
+/** Roles of a gateway; the count role is ranked among the gateways that had no fault before, and this one. */
 export function dutiesOf(
   system: Pick<SoakSystem, 'store' | 'gateways'>,
   name: string,
@@ -33,7 +33,7 @@
   return duties;
 }
 
-/** Whether a fault met the daemon that counts a hot tenant: the case that can pass its limit. */
+/** Whether a fault hit the gateway that counts a hot tenant: in this case the tenant can exceed its limit. */
 export function metHotCounter({ duties, isHot, struck }: StruckGateway): boolean {
   const isSignal = struck === 'SIGHUP' || struck === 'SIGTERM';
   return isHot && !isSignal && duties.includes('counts_limited_tenant');
