--- a/test/soak/audit.test.ts
+++ b/test/soak/audit.test.ts
@@ -70,23 +70,23 @@
 const run = { attemptId: 'a', replica: 'r', tenant: STEADY_TENANT, at: 10_050 };
 
 describe('the audit of a soak', () => {
-  it('finds nothing in whole answers, and in failures that promise nothing', () => {
+  it('accepts complete responses, and failures that guarantee nothing', () => {
     const calls = [callOf('resumable'), callOf('once'), callOf('once', { status: 502, text: '' })];
     expect(rules({ calls, runs: [run] })).toEqual([]);
   });
 
-  it('sees a request that ran twice, unless that is allowed', () => {
+  it('reports a request that ran twice, unless its kind allows that', () => {
     expect(rules({ calls: [callOf('once')], runs: [run, run] })).toEqual(['repeated_run']);
     expect(rules({ calls: [callOf('any')], runs: [run, run] })).toEqual([]);
   });
 
-  it('sees a promise that was not kept', () => {
+  it('reports a request that ran though its status says that it was not executed', () => {
     const refused = callOf('stream_once', { status: 503, text: '' });
     expect(rules({ calls: [refused], runs: [run] })).toEqual(['false_promise']);
     expect(rules({ calls: [refused] })).toEqual([]);
   });
 
-  it('sees wrong answers: unsealed, incomplete, or of another request', () => {
+  it('reports wrong responses: unsealed, incomplete, or of another request', () => {
     const body = JSON.stringify({ events: 3 });
     const wrong = [
       callOf('once', { isSealed: false }),
@@ -96,7 +96,7 @@
     expect(rules({ calls: wrong })).toEqual(['wrong_answer', 'wrong_answer', 'wrong_answer']);
   });
 
-  it('sees late and missing ends at a gateway that was left alone', () => {
+  it('reports late and missing responses of a gateway without faults', () => {
     const late = callOf('any', { endedAt: 11_600 });
     const missing = callOf('any', { status: undefined, isWhole: false });
     expect(rules({ calls: [late, missing] })).toEqual(['late_end', 'no_answer']);
@@ -104,7 +104,7 @@
     expect(rules({ calls: [late, missing], gateways })).toEqual([]);
   });
 
-  it('sees a stream that a planned stop cut, unless a replica failed', () => {
+  it('reports a stream that a planned stop cut, unless a replica failed', () => {
     const cut = callOf('resumable', { isWhole: false });
     const gateways = { ...untouched, stopDuring: () => 10_050 };
     expect(rules({ calls: [cut], gateways })).toEqual(['cut_by_planned_stop']);
@@ -112,7 +112,7 @@
     expect(rules({ calls: [cut], gateways, replicaFaults })).toEqual([]);
   });
 
-  it('sees a request that a planned stop cut on a kept connection, unless it crossed the close', () => {
+  it('reports a request that a planned stop cut on a persistent connection, unless it was in flight at the close', () => {
     const unanswered = { status: undefined, isWhole: false, wasOnKeptConnection: true };
     const quick = callOf('once', unanswered);
     const slow = callOf('once', { ...unanswered, endedAt: 10_201 });
@@ -125,7 +125,7 @@
     expect(rules({ calls: [onNewConnection], gateways })).toEqual(['no_answer']);
   });
 
-  it('sees what replicas saw, and work for a leaving one only while the store was sound', () => {
+  it('reports what replicas observed, and work for a leaving replica only while the store worked', () => {
     const seen = (kind: 'memory_overcommitted' | 'work_while_leaving') => {
       return { kind, replica: 'r', detail: 'after 2500 ms', at: 10_050, attemptId: 'a' } as const;
     };
@@ -141,7 +141,7 @@
     ]);
   });
 
-  it('judges work for a leaving replica by the request that came, and by nothing after it came', () => {
+  it('excuses work for a leaving replica only by faults of its sender before the arrival', () => {
     const seen = { kind: 'work_while_leaving', replica: 'r', detail: '', at: 50_010 } as const;
     const early = callNamed('a1', { gateway: 'frozen' });
     const late = callNamed('a12', { gateway: 'sound', sentAt: 50_000, endedAt: 50_900 });
@@ -157,23 +157,23 @@
     expect(rules({ calls: [early], replicaViolations })).toEqual(['work_while_leaving']);
   });
 
-  it('sees an order with a lower epoch, unless its sender was just thawed', () => {
+  it('reports an order with a lower epoch, unless its sender just resumed', () => {
     const at = 10_050;
     const detail = 'model_load m1 of g with 3, though h has used 4';
     const replicaViolations = [
       { kind: 'lower_epoch', replica: 'r', detail, at, sender: 'g' },
     ] as const;
     expect(rules({ replicaViolations })).toEqual(['lower_epoch']);
-    const thawedAt = (time: number) => {
+    const resumedAt = (time: number) => {
       const wasJustFreed = (name: string, { from, until }: TimeSpan) =>
         name === 'g' && from <= time && time <= until;
       return { ...untouched, wasJustFreed };
     };
-    expect(rules({ replicaViolations, gateways: thawedAt(at - 300) })).toEqual([]);
-    expect(rules({ replicaViolations, gateways: thawedAt(at - 301) })).toEqual(['lower_epoch']);
+    expect(rules({ replicaViolations, gateways: resumedAt(at - 300) })).toEqual([]);
+    expect(rules({ replicaViolations, gateways: resumedAt(at - 301) })).toEqual(['lower_epoch']);
   });
 
-  it('sees a key that is denied, a wrong tenant, and a key that outlives its removal', () => {
+  it('reports a denied key, a wrong tenant, and a key that is served after its removal', () => {
     expect(rules({ calls: [callOf('any', { status: 401, text: '' })] })).toEqual(['key_denied']);
     const forged = { ...run, tenant: 'forged' };
     expect(rules({ calls: [callOf('any')], runs: [forged] })).toEqual(['wrong_tenant']);
@@ -190,7 +190,7 @@
     expect(rules({ calls, runs, ...unpromised })).toEqual([]);
   });
 
-  it('sees a limit that is exceeded in a window, each request counted once', () => {
+  it('reports a limit that is exceeded in a window, with each request counted once', () => {
     const count = Math.floor(unitsAllowed() / UNITS);
     const runsOf = (requests: number, spanMs: number) =>
       Array.from({ length: requests }, (_, index) => {
@@ -204,14 +204,14 @@
     expect(rules({ runs: runsOf(2 * count, LIMIT_WINDOW_MS * 2.1) })).toEqual([]);
   });
 
-  it('sees exits that nobody asked for, and a system that does not recover', () => {
+  it('reports unexpected exits, and a system that does not recover', () => {
     expect(rules({ unaskedExits: 1 })).toEqual(['unasked_exit']);
     const sentAt = CALM_FROM + 10;
     const refused = callOf('any', { status: 503, text: '', sentAt, endedAt: sentAt });
     expect(rules({ calls: [refused] })).toEqual(['not_recovered']);
   });
 
-  it('finds a request that goes on crashing replicas, at gateways in touch only', () => {
+  it('reports a request that keeps crashing replicas, at connected gateways only', () => {
     const crash = (name: string, at: number): PoisonArrival => {
       return { name, attemptId: `${name} ${at}`, replica: `r ${at}`, at };
     };
@@ -228,20 +228,20 @@
     expect(rules({ poisonCrashes, poisonArrivals, calls, gateways })).toEqual([]);
   });
 
-  it('finds sound requests that are taken for such ones while no replica fails', () => {
+  it('reports harmless requests that are rejected as crashing ones while no replica fails', () => {
     const calls = [callOf('any', { status: 503, errorKind: 'crashes_backends' })];
     expect(rules({ calls })).toEqual(['sound_condemned']);
     expect(rules({ calls, replicaFaults: [{ from: 10_050, until: 10_060 }] })).toEqual([]);
   });
 
-  describe('of what replicas tell in their answers', () => {
-    const told = (attemptId: string, at: number, part: Partial<ToldArrival>): ToldArrival => {
+  describe('of announcements in responses of replicas', () => {
+    const announced = (attemptId: string, at: number, part: Partial<ToldArrival>): ToldArrival => {
       return { attemptId, replica: 'r', at, saysLeaving: false, restMs: 0, ...part };
     };
 
-    it('finds requests that were sent later than a leaving was passed on, at that gateway', () => {
+    it('reports requests that a gateway received after it had forwarded that the replica leaves', () => {
       const leaving = { saysLeaving: true };
-      const toldArrivals = [told('b', 10_010, leaving), told('c', 12_200, leaving)];
+      const toldArrivals = [announced('b', 10_010, leaving), announced('c', 12_200, leaving)];
       const first = callNamed('b', { sentAt: 10_000, endedAt: 10_100 });
       const later = callNamed('c', { sentAt: 12_150, endedAt: 12_300 });
       expect(rules({ toldArrivals, calls: [first, later] })).toEqual(['work_after_told']);
@@ -253,12 +253,14 @@
       expect(rules({ toldArrivals, calls: [first, later], gateways })).toEqual([]);
     });
 
-    it('finds more than two requests in a time of rest', () => {
-      const ats = [10_000, 10_300, 10_600, 10_900, 11_200];
-      const toldArrivals = ats.map((at, index) =>
-        told(`d${index}`, at, { restMs: index === 0 ? 3_000 : 0 }),
+    it('reports more than two requests during a backoff', () => {
+      const times = [10_000, 10_300, 10_600, 10_900, 11_200];
+      const toldArrivals = times.map((at, index) =>
+        announced(`d${index}`, at, { restMs: index === 0 ? 3_000 : 0 }),
+      );
+      const calls = times.map((at, index) =>
+        callNamed(`d${index}`, { sentAt: at, endedAt: at + 5 }),
       );
-      const calls = ats.map((at, index) => callNamed(`d${index}`, { sentAt: at, endedAt: at + 5 }));
       expect(rules({ toldArrivals, calls })).toEqual(['work_while_resting']);
       expect(rules({ toldArrivals: toldArrivals.slice(0, 4), calls })).toEqual([]);
       const gateways = { ...untouched, wasDisturbed: () => true };
@@ -266,33 +268,33 @@
     });
   });
 
-  describe('of limits that replicas name', () => {
-    /** One request each 200 ms, with the limit that its answer names. */
+  describe('of rate limits that replicas announce', () => {
+    /** One request every 200 ms, with the limit that its response announces. */
     function evidenceAt(
       perSecond: (at: number) => number | undefined,
       gateway: (at: number) => string = () => 'g',
     ): Pick<SoakEvidence, 'limitedArrivals' | 'calls'> {
-      const ats = Array.from({ length: 45 }, (_, count) => 10_000 + count * 200);
-      const limitedArrivals = ats.map((at, count) => {
+      const times = Array.from({ length: 45 }, (_, count) => 10_000 + count * 200);
+      const limitedArrivals = times.map((at, count) => {
         return { attemptId: `l${count}`, replica: 'r', at, perSecond: perSecond(at) };
       });
-      const calls = ats.map((at, count) =>
+      const calls = times.map((at, count) =>
         callNamed(`l${count}`, { gateway: gateway(at), sentAt: at, endedAt: at + 5 }),
       );
       return { limitedArrivals, calls };
     }
 
-    it('finds more requests in a window than a limit allows', () => {
+    it('reports more requests in a window than a limit allows', () => {
       expect(rules(evidenceAt(() => 1))).toEqual(['rate_limit_exceeded']);
       expect(rules(evidenceAt(() => 2.5))).toEqual([]);
     });
 
-    it('bears limits that have just begun, and what comes once they have ended', () => {
+    it('tolerates requests just after a limit begins and after it ends', () => {
       expect(rules(evidenceAt((at) => (at < 13_000 ? undefined : 1)))).toEqual([]);
       expect(rules(evidenceAt((at) => (at > 16_000 ? undefined : 1)))).toEqual([]);
     });
 
-    it('bears requests of gateways that have had no such answer, or were disturbed', () => {
+    it('tolerates requests of gateways that received no announcement, or were disturbed', () => {
       const evidence = evidenceAt(
         () => 1,
         (at) => `g${at}`,
@@ -302,7 +304,7 @@
       expect(rules({ ...evidenceAt(() => 1), gateways })).toEqual([]);
     });
 
-    it('sums over gateways', () => {
+    it('sums the requests of all gateways', () => {
       const evidence = evidenceAt(
         () => 1,
         (at) => `g${at % 3}`,
--- a/test/soak/audit.ts
+++ b/test/soak/audit.ts
@@ -1,4 +1,4 @@
-/** Counts the promises that a soak saw broken, from what callers and replicas recorded. Pure. */
+/** Finds the guarantees that a soak violated, from what callers and replicas recorded. Pure. */
 import type { CallRecord, RequestKind } from './caller.js';
 import { auditConfiguration } from './audit-configuration.js';
 import { auditCrashes } from './audit-crashes.js';
@@ -17,18 +17,19 @@
 import type { ReplicaViolation, RunRecord } from './run-log.js';
 import { STEADY_TENANT } from './soak-tenants.js';
 
-const PROMISES = new Set([408, 421, 429, 503]);
+/** Status codes that guarantee that the request was not executed. */
+const NOT_EXECUTED_STATUSES = new Set([408, 421, 429, 503]);
 const AT_MOST_ONCE: ReadonlySet<RequestKind> = new Set(['once', 'stream_once']);
 const END_TOLERANCE_MS = 500;
-/** After a fault of the store daemons may need so long to read again. */
-const STORE_AFTERMATH_MS = 4_000;
-/** Orders that come so soon after their sender was thawed, or its links healed, break nothing. */
-const THAW_MS = 300;
-/** A request that is cut later than this after it was sent must have been read. */
-const CROSSING_MS = 200;
+/** Longest time that daemons may need to read again after a fault of the store. */
+const STORE_RECOVERY_MS = 4_000;
+/** Orders that arrive this soon after their sender resumed, or its links were restored, are excused. */
+const RESUME_GRACE_MS = 300;
+/** A connection that ends later than this after the request was sent: the gateway must have read the request. */
+const IN_FLIGHT_MS = 200;
 const RECOVERY_SHARE = 0.9;
 
-/** All broken promises. */
+/** Returns all violated guarantees. */
 export function audit(evidence: SoakEvidence): Violation[] {
   const runs = countRuns(evidence.runs);
   return [
@@ -61,10 +62,10 @@
   const found: Violation[] = [];
   const report = (rule: string): void => void found.push({ rule, detail: describeCall(call) });
   const ran = runs.get(request.attemptId) ?? 0;
-  const mustRunOnce = AT_MOST_ONCE.has(request.kind);
-  if (mustRunOnce && ran > 1) report('repeated_run');
-  if (mustRunOnce && PROMISES.has(status) && ran > 0) report('false_promise');
-  if (status === 200 && call.isWhole && !isRight(call)) report('wrong_answer');
+  const isAtMostOnce = AT_MOST_ONCE.has(request.kind);
+  if (isAtMostOnce && ran > 1) report('repeated_run');
+  if (isAtMostOnce && NOT_EXECUTED_STATUSES.has(status) && ran > 0) report('false_promise');
+  if (status === 200 && call.isWhole && !isCorrect(call)) report('wrong_answer');
   if (call.wasRefused) return found;
   const span = { from: call.sentAt, until: call.endedAt };
   if (evidence.gateways.wasHarmed(call.gateway, span)) return found;
@@ -74,19 +75,19 @@
   return found;
 }
 
-/** A planned stop must answer also what comes on connections that callers keep. */
+/** During a planned stop the gateway must also respond to requests on persistent connections. */
 function auditMissingAnswer(call: CallRecord, ran: number, evidence: SoakEvidence): Violation[] {
   const span = { from: call.sentAt, until: call.endedAt };
   const isStop = evidence.gateways.stopDuring(call.gateway, span) !== undefined;
   const isKept = call.wasOnKeptConnection;
-  if (isStop && isKept && hasCrossedTheClose(call, ran)) return [];
+  if (isStop && isKept && mayHaveMissedRequest(call, ran)) return [];
   const rule = isStop && isKept ? 'cut_by_planned_stop' : 'no_answer';
   return [{ rule, detail: describeCall(call) }];
 }
 
-/** Nothing tells that the gateway read the request before it closed the connection. */
-function hasCrossedTheClose(call: CallRecord, ran: number): boolean {
-  return ran === 0 && call.endedAt - call.sentAt <= CROSSING_MS;
+/** Whether the gateway may have closed the connection before it read the request. */
+function mayHaveMissedRequest(call: CallRecord, ran: number): boolean {
+  return ran === 0 && call.endedAt - call.sentAt <= IN_FLIGHT_MS;
 }
 
 function wasCutByPlannedStop(call: CallRecord, span: TimeSpan, evidence: SoakEvidence): boolean {
@@ -95,7 +96,7 @@
   return stoppedAt !== undefined && !overlapsAny(span, evidence.replicaFaults);
 }
 
-function isRight(call: CallRecord): boolean {
+function isCorrect(call: CallRecord): boolean {
   const { kind, body, attemptId } = call.request;
   if (!call.isSealed) return false;
   if (kind === 'resumable' || kind === 'stream_once') {
@@ -109,7 +110,7 @@
   return isExcused(seen, evidence) ? [] : [describeReplicaViolation(seen, evidence)];
 }
 
-/** What replicas saw and the faults around it excuse: to be looked at, but no broken promise. */
+/** Violations that replicas observed but that concurrent faults excuse: reported for inspection only. */
 export function excusedViolations(evidence: SoakEvidence): Violation[] {
   return evidence.replicaViolations
     .filter((seen) => isExcused(seen, evidence))
@@ -118,39 +119,42 @@
 
 function describeReplicaViolation(seen: ReplicaViolation, evidence: SoakEvidence): Violation {
   const when = new Date(seen.at).toISOString();
-  const gateway = findCall(seen.attemptId, evidence)?.gateway ?? seen.sender ?? 'nobody known';
+  const gateway = findCall(seen.attemptId, evidence)?.gateway ?? seen.sender ?? 'unknown gateway';
   return { rule: seen.kind, detail: `${seen.replica} at ${when} by ${gateway}: ${seen.detail}` };
 }
 
 function isExcused(seen: ReplicaViolation, evidence: SoakEvidence): boolean {
   switch (seen.kind) {
     case 'work_while_leaving':
-      return couldNotKnow(seen, evidence);
+      return isSenderUninformed(seen, evidence);
     case 'lower_epoch':
-      return cameJustAfterThaw(seen, evidence);
+      return arrivedJustAfterResume(seen, evidence);
     default:
       return false;
   }
 }
 
-/** A frozen process gives the orders that it had begun before it can notice that it stood still. */
-function cameJustAfterThaw(
+/** A process that resumes sends the orders that it had started before it can detect that it was paused. */
+function arrivedJustAfterResume(
   { sender = '', at }: ReplicaViolation,
   { gateways }: SoakEvidence,
 ): boolean {
-  return gateways.wasJustFreed(sender, { from: at - THAW_MS, until: at });
+  return gateways.wasJustFreed(sender, { from: at - RESUME_GRACE_MS, until: at });
 }
 
-/** Work for a leaving replica counts only from a gateway that could know it; who sent it must be known. */
-function couldNotKnow(seen: ReplicaViolation, evidence: SoakEvidence): boolean {
+/**
+ * Work for a leaving replica is excused if the sending gateway could not know that the replica leaves.
+ * It is not excused if the sender is unknown.
+ */
+function isSenderUninformed(seen: ReplicaViolation, evidence: SoakEvidence): boolean {
   const call = findCall(seen.attemptId, evidence);
   if (call === undefined) return false;
-  const span = { from: call.sentAt - STORE_AFTERMATH_MS, until: seen.at };
+  const span = { from: call.sentAt - STORE_RECOVERY_MS, until: seen.at };
   const storeFaults = storeFaultsTowards(call.gateway, evidence);
   return evidence.gateways.wasHarmed(call.gateway, span) || overlapsAny(span, storeFaults);
 }
 
-/** Probes of the configuration are requests like others. */
+/** Finds a call by its attempt id, also among the probes of the configuration. */
 function findCall(attemptId: string | undefined, evidence: SoakEvidence): CallRecord | undefined {
   const calls = [...evidence.calls, ...evidence.probes.map(({ call }) => call)];
   return calls.find(({ request }) => request.attemptId === attemptId);
@@ -164,12 +168,12 @@
   const isServed = (call: CallRecord): boolean => call.status === 200 && call.isWhole;
   const served = calm.filter(isServed).length;
   if (served >= calm.length * RECOVERY_SHARE) return [];
-  const others = countEnds(calm.filter((call) => !isServed(call)));
+  const others = countOutcomes(calm.filter((call) => !isServed(call)));
   return [{ rule: 'not_recovered', detail: `${served} of ${calm.length} served; ${others}` }];
 }
 
-/** How often calls have ended in which way. */
-function countEnds(calls: readonly CallRecord[]): string {
+/** Summarizes how many calls had each outcome. */
+function countOutcomes(calls: readonly CallRecord[]): string {
   const counts = new Map<string, number>();
   for (const { request, status = 'no answer', errorKind = '', isWhole } of calls) {
     const end = `${request.kind} ${status} ${errorKind}${isWhole ? '' : ' cut'}`;
--- a/test/soak/caller.ts
+++ b/test/soak/caller.ts
@@ -1,9 +1,9 @@
-/** One request of a soak's caller, and what came of it. */
+/** Sends one request of a soak caller and records its outcome. */
 import http from 'node:http';
 import { splitAddress } from '../../src/common/http-client.js';
 import { UNITS, type Caller } from './soak-tenants.js';
 
-/** What may be done with a request; also the second part of its path. */
+/** Whether and how a request may be repeated or resumed; also the second part of its path. */
 export type RequestKind = 'resumable' | 'stream_once' | 'once' | 'any' | 'probe' | 'poison';
 
 /** A request to send. */
@@ -17,7 +17,7 @@
   readonly caller: Caller;
 }
 
-/** What its caller saw. */
+/** Outcome of a request as its caller saw it. */
 export interface CallRecord {
   readonly request: SoakRequest;
   /** Name of the gateway. */
@@ -25,24 +25,24 @@
   /** Unix milliseconds. */
   readonly sentAt: number;
   readonly endedAt: number;
-  /** None if the connection ended without an answer, or there was none. */
+  /** Undefined if the connection ended without a response, or could not be opened. */
   readonly status: number | undefined;
   readonly isWhole: boolean;
   readonly isSealed: boolean;
-  /** The gateway's own name for a failure. */
+  /** Error kind that the gateway reported; undefined if none. */
   readonly errorKind: string | undefined;
   readonly text: string;
-  /** The gateway's port was closed. */
+  /** Whether the port of the gateway refused the connection. */
   readonly wasRefused: boolean;
-  /** Earlier requests had gone over the same connection. */
+  /** Whether the connection had carried earlier requests. */
   readonly wasOnKeptConnection: boolean;
 }
 
 export const HOST = 'soak.example';
-/** The caller waits so long beyond its deadline before it gives the request up. */
-const PATIENCE_MS = 2_000;
+/** Time after the deadline at which the caller gives up the request. */
+const GIVE_UP_MS = 2_000;
 
-/** Sends one request, on a connection of its own unless an agent keeps one. */
+/** Sends one request, on a new connection unless an agent keeps one open. */
 export function call(
   request: SoakRequest,
   gateway: string,
@@ -57,25 +57,25 @@
     let text = '';
     const end = (isWhole: boolean, wasRefused = false): void => {
       clearTimeout(timer);
-      // A connection that is kept goes back to its agent after a whole answer.
+      // A persistent connection returns to its agent after a complete response.
       if (!isWhole || agent === false) outgoing.destroy();
       const wasOnKeptConnection = outgoing.reusedSocket;
       const seen = { status, isWhole, isSealed, errorKind, text, wasRefused, wasOnKeptConnection };
       resolve({ request, gateway, sentAt, endedAt: Date.now(), ...seen });
     };
-    const outgoing = http.request({ ...optionsOf(request, address), agent }, (answer) => {
-      status = answer.statusCode;
-      isSealed = answer.headers['x-server-seal'] !== undefined;
-      errorKind = answer.headers['x-error-kind'] as string | undefined;
-      answer.setEncoding('utf8');
-      answer.on('data', (chunk: string) => (text += chunk));
-      answer.on('end', () => end(answer.complete));
-      answer.on('error', () => end(false));
+    const outgoing = http.request({ ...optionsOf(request, address), agent }, (response) => {
+      status = response.statusCode;
+      isSealed = response.headers['x-server-seal'] !== undefined;
+      errorKind = response.headers['x-error-kind'] as string | undefined;
+      response.setEncoding('utf8');
+      response.on('data', (chunk: string) => (text += chunk));
+      response.on('end', () => end(response.complete));
+      response.on('error', () => end(false));
     });
-    outgoing.on('error', (fault: NodeJS.ErrnoException) => {
-      end(false, fault.code === 'ECONNREFUSED');
+    outgoing.on('error', (error: NodeJS.ErrnoException) => {
+      end(false, error.code === 'ECONNREFUSED');
     });
-    const timer = setTimeout(() => end(false), request.deadlineMs + PATIENCE_MS);
+    const timer = setTimeout(() => end(false), request.deadlineMs + GIVE_UP_MS);
     outgoing.end(request.body);
   });
 }
@@ -89,7 +89,7 @@
     'content-length': Buffer.byteLength(request.body),
     authorization: `Token ${request.caller.key}`,
     'x-token-counts': `${UNITS / 2},${UNITS / 2}`,
-    // Only the gateway names a tenant.
+    // The gateway must replace a tenant that the caller sets.
     'x-tenant': 'forged',
   };
   if (request.model !== undefined) headers['x-model'] = request.model;
--- a/test/soak/evidence.ts
+++ b/test/soak/evidence.ts
@@ -1,4 +1,4 @@
-/** What a soak leaves behind for its auditor, and what the auditor finds. */
+/** Types of the records that a soak passes to its auditor, and of the violations that the auditor finds. */
 import type { CallRecord } from './caller.js';
 import type {
   LimitedArrival,
@@ -8,76 +8,76 @@
   ToldArrival,
 } from './run-log.js';
 
-/** A time, in Unix milliseconds. */
+/** A span of time, in Unix milliseconds. */
 export interface TimeSpan {
   readonly from: number;
   readonly until: number;
 }
 
-/** A time in which the store was not sound, towards some gateways only if these are named. */
+/** A span in which the store had a fault; it affects all gateways unless some are listed. */
 export interface StoreFault extends TimeSpan {
   readonly gateways?: ReadonlySet<string>;
 }
 
-/** What was done to the gateways, as the auditor asks for it. */
+/** Faults and stops of the gateways, as the auditor queries them. */
 export interface GatewayHistory {
-  /** Whether anything was done to the process in that time: a signal, a standstill, a start. */
+  /** Whether the process had any disturbance in the span: a stop, kill, pause, start or network cut. */
   wasDisturbed(gateway: string, span: TimeSpan): boolean;
-  /** The same without cuts of its links: what the process knew may be gone, or old. */
+  /** The same without network cuts: the process may have lost its state, or hold stale state. */
   wasInterrupted(gateway: string, span: TimeSpan): boolean;
-  /** Whether anything was done but planned stops, with some time to get over it. */
+  /** Whether the process had a disturbance other than a planned stop, including the time to recover from it. */
   wasHarmed(gateway: string, span: TimeSpan): boolean;
-  /** Whether the process was held up for a part of that time, or its links healed in it. */
+  /** Whether the process was paused during a part of the span, or its links were restored in it. */
   wasJustFreed(gateway: string, span: TimeSpan): boolean;
-  /** When the gateway was asked to stop in that time. */
+  /** When a planned stop began that overlaps the span; undefined without one. */
   stopDuring(gateway: string, span: TimeSpan): number | undefined;
 }
 
-/** One try of a changed configuration at one gateway. */
+/** One request that tests an updated configuration at one gateway. */
 export interface ConfigurationProbe {
   readonly call: CallRecord;
   readonly version: number;
 }
 
-/** All that a soak has left behind. */
+/** All records of a soak. */
 export interface SoakEvidence {
   readonly calls: readonly CallRecord[];
   readonly probes: readonly ConfigurationProbe[];
   readonly runs: readonly RunRecord[];
   readonly replicaViolations: readonly ReplicaViolation[];
-  /** Requests that came to replicas which told something in their answers, or had lately. */
+  /** Arrivals at replicas that announced that they leave or requested a backoff, now or lately. */
   readonly toldArrivals: readonly ToldArrival[];
-  /** Requests that came to replicas which name a rate limit in their answers, or have named one. */
+  /** Arrivals at replicas that announce a rate limit, or have announced one. */
   readonly limitedArrivals: readonly LimitedArrival[];
-  /** Requests that crash what runs them, as they came to replicas. */
+  /** Arrivals of requests that crash every replica that runs them. */
   readonly poisonArrivals: readonly PoisonArrival[];
-  /** Those that have crashed the replica. */
+  /** The arrivals of these that crashed the replica. */
   readonly poisonCrashes: readonly PoisonArrival[];
   readonly gateways: GatewayHistory;
-  /** When versions of the configuration were accepted, in Unix milliseconds. */
+  /** When the store accepted each version of the configuration, in Unix milliseconds. */
   readonly accepted: ReadonlyMap<number, number>;
   readonly storeFaults: readonly StoreFault[];
-  /** Times in which some replica was not sound. */
+  /** Spans in which some replica had a fault. */
   readonly replicaFaults: readonly TimeSpan[];
-  /** Since when nothing was done to anything. */
+  /** Start of the final phase without faults, in Unix milliseconds. */
   readonly calmSince: number;
   readonly unaskedExits: number;
-  /** Whether the gateways were started with a bound for keys that are taken away. */
+  /** Whether the gateways were started with a bound on how long a removed key is still served. */
   readonly promisesRevocation: boolean;
 }
 
-/** One broken promise. */
+/** One violated guarantee. */
 export interface Violation {
   readonly rule: string;
   readonly detail: string;
 }
 
-/** Whether a time shares a moment with one of others. */
+/** Whether a span overlaps one of the others. */
 export function overlapsAny(span: TimeSpan, others: readonly TimeSpan[]): boolean {
   return others.some((other) => other.from <= span.until && other.until >= span.from);
 }
 
-/** One line about a call. */
+/** Describes a call in one line. */
 export function describeCall(call: CallRecord): string {
   const { request, gateway, status, sentAt, endedAt } = call;
   const outcome = status === undefined ? 'no answer' : `status ${status}`;
@@ -85,7 +85,7 @@
   return `${request.attemptId} ${request.kind} at ${gateway}: ${outcome}, ${whole}, ${endedAt - sentAt} ms`;
 }
 
-/** Times in which the store was not sound towards a gateway. */
+/** Spans in which the store had a fault that affected the gateway. */
 export function storeFaultsTowards(gateway: string, { storeFaults }: SoakEvidence): StoreFault[] {
   return storeFaults.filter(({ gateways }) => gateways === undefined || gateways.has(gateway));
 }
--- a/test/soak/gateway-process.ts
+++ b/test/soak/gateway-process.ts
@@ -1,35 +1,35 @@
-/** One gateway of a soak: the bundle that is deployed, as a process of its own, and what was done to it. */
+/** One gateway of a soak: runs the deployed bundle as a child process and records its faults. */
 import { execFileSync, spawn, type ChildProcess } from 'node:child_process';
 import { appendFileSync, closeSync, openSync, readFileSync, writeFileSync } from 'node:fs';
 import path from 'node:path';
 import { LIMIT_EXCESS, LIMIT_SLACK, LIMIT_WINDOW_MS, REVOCATION_MS } from './soak-tenants.js';
 
-/** Time that a stop may take, as the platform's sheets have it. */
+/** Longest time for a stop, as documented by the platform. */
 export const STOP_SECONDS = 8;
-/** A process that starts serves after so long. */
+/** Time from the start of a process until it serves. */
 const START_MS = 1_500;
 const BUILD_FOLDER = 'target/soak';
-/** The program that is deployed, built from the adapter. */
+/** The deployed program, built from the adapter. */
 const BUNDLE = `${BUILD_FOLDER}/scaleslip-gateway.cjs`;
 
-/** The template of the settings that are deployed, and how the program is run there. */
+/** Template of the deployed settings, and the command line of the deployed program. */
 const DEPLOYED_SETTINGS = 'deploy/settings.json';
 const DEPLOYMENT = 'deploy/system.toml';
 
-/** Sets the handlers that the program's entry sets, at the same moment after a start, and then loads what lets a gateway fail. */
+/** Installs the signal handlers as early as the entry of the program does, then loads the fault modules and the program. */
 const ENTRY = 'test/soak/gateway-entry.cjs';
 const SILENT_LINKS = 'test/soak/silent-links.cjs';
 const SUSPENDED_CLOCK = 'test/soak/suspended-clock.cjs';
-/** The variables that a process gets where it is deployed, of those that this one has. */
+/** Variables of this process that a deployed process has too. */
 const DEPLOYED_VARIABLES = ['PATH', 'HOME', 'LANG'];
 
-/** A time in which a gateway was not its own master. */
+/** A span in which a gateway was stopped, killed, paused, starting or cut off. */
 export interface Disturbance {
   readonly kind: 'killed' | 'frozen' | 'suspended' | 'stopped' | 'cut_off';
   readonly from: number;
-  /** When the gateway should be over it. */
+  /** When the gateway should have recovered. */
   readonly until: number;
-  /** When the process ran again, or its successor started. */
+  /** When the disturbance ended: the process resumed, its links were restored, or its successor started. */
   endedAt: number;
 }
 
@@ -48,43 +48,43 @@
   readonly folder: string;
   readonly store: string;
   readonly ports: GatewayPorts;
-  /** Whether the operator promises how soon a key that was taken away is served no more; so by default. */
+  /** Whether the settings bound how long a removed key is still served; true by default. */
   readonly promisesRevocation?: boolean;
-  /** Whether replicas refuse orders of a lower epoch; so by default. */
+  /** Whether replicas reject orders of a lower epoch; true by default. */
   readonly backendsCheckEpochs?: boolean;
-  /** Ports on which all gateways hear each other, if their connections are to go silent. */
+  /** Ports on which gateways listen for each other; set if their connections may be silenced. */
   readonly silencedPorts?: readonly number[];
-  /** Whether its steady clock stands still while the process does; not by default. */
+  /** Whether its monotonic clock stops while the process is paused; false by default. */
   readonly isSuspendable?: boolean;
-  /** Something is done to the process; called before it is. */
+  /** Called before a fault or signal is injected into the process. */
   readonly onStruck?: (kind: Disturbance['kind'] | 'SIGHUP' | 'SIGTERM', forMs: number) => void;
 }
 
-/** All processes that run: none may outlive a soak that is ended itself. */
+/** All running children: killed when the soak process exits, so that none outlives it. */
 const running = new Set<ChildProcess>();
 process.once('exit', () => {
   for (const child of running) child.kill('SIGKILL');
 });
 
-/** Builds the program as it is built where it is deployed. */
+/** Builds the program as for deployment. */
 export function buildGateway(): void {
   execFileSync(process.execPath, ['scripts/build-gateway.mjs', BUILD_FOLDER]);
 }
 
-/** The policies as they are deployed: a soak plays the same product. Fails if the template has none. */
+/** The deployed policies, so that a soak tests the same product. Throws if the template has none. */
 function deployedPolicies(): Record<string, boolean> {
   const template = readFileSync(DEPLOYED_SETTINGS, 'utf8');
   const [, policies = ''] = /"policies": (\{[^}]*\})/.exec(template) ?? [];
   return JSON.parse(policies) as Record<string, boolean>;
 }
 
-/** Flags of Node with which the program is run where it is deployed: the bound on its memory for one. */
+/** Node flags of the deployed program, such as the memory limit. */
 function deployedFlags(): string[] {
   const [, flags = ''] = /run = "node ((?:--\S+ )*)/.exec(readFileSync(DEPLOYMENT, 'utf8')) ?? [];
   return flags.split(' ').filter((flag) => flag !== '');
 }
 
-/** Others change the process: with NODE_EXTRA_CA_CERTS Node reads certificates for many times the rest of its start. */
+/** Other variables alter the process: with NODE_EXTRA_CA_CERTS, reading certificates takes Node many times the rest of its start. */
 function deployedVariables(): Record<string, string> {
   const named = DEPLOYED_VARIABLES.map((name) => [name, process.env[name]] as const);
   return Object.fromEntries(
@@ -92,14 +92,14 @@
   );
 }
 
-/** A gateway that is started again whenever it ends. */
+/** A gateway that is restarted whenever its process exits. */
 export class GatewayProcess {
   readonly disturbances: Disturbance[] = [];
   private child: ChildProcess | undefined;
-  /** Exits that nobody asked for. */
+  /** Exits that no fault or stop of the soak caused. */
   unaskedExits = 0;
   private isExpectedToEnd = false;
-  private isOver = false;
+  private isEnded = false;
 
   constructor(private readonly options: GatewayProcessOptions) {
     const { name, store, ports, promisesRevocation = true, backendsCheckEpochs = true } = options;
@@ -151,7 +151,7 @@
     return `127.0.0.1:${this.options.ports.peers}`;
   }
 
-  /** The running process's id. */
+  /** Id of the current process. */
   get pid(): number | undefined {
     return this.child?.pid;
   }
@@ -186,13 +186,13 @@
       running.delete(child);
       const age = Date.now() - startedAt;
       const end = `event=ended code=${code} signal=${signal} ageMs=${age}`;
-      if (!this.isOver) appendFileSync(this.logFile, `time=${new Date().toISOString()} ${end}\n`);
-      this.exited();
+      if (!this.isEnded) appendFileSync(this.logFile, `time=${new Date().toISOString()} ${end}\n`);
+      this.handleExit();
     });
     this.endDisturbances(['killed', 'stopped']);
   }
 
-  /** Starts a process that has not run before, among others that do. */
+  /** Starts a gateway for the first time while others already run. */
   startLate(): void {
     const from = Date.now();
     const until = from + START_MS;
@@ -200,65 +200,65 @@
     this.start();
   }
 
-  /** Ends the process at once; it starts again by itself. */
+  /** Kills the process; it is restarted automatically. */
   kill(): void {
-    this.disturbed('killed', START_MS);
+    this.recordDisturbance('killed', START_MS);
     this.isExpectedToEnd = true;
     this.child?.kill('SIGKILL');
   }
 
-  /** Tells the process that its settings file has changed. */
+  /** Sends SIGHUP, which notifies the process that its settings file has changed. */
   signalSettings(): void {
     this.signal('SIGHUP');
   }
 
-  /** Sends a signal, which nothing excuses: SIGTERM only to a process that was asked to stop before. */
+  /** Sends a signal without excusing any failure; SIGTERM only to a process that is already stopping. */
   signal(signal: 'SIGHUP' | 'SIGTERM'): void {
     this.options.onStruck?.(signal, 0);
     this.child?.kill(signal);
   }
 
-  /** Its open connections with other gateways go silent; new ones work. */
+  /** Silences its open connections with other gateways; new connections work. */
   silenceLinks(): void {
-    this.tellLinks('silence');
+    this.sendLinkCommand('silence');
   }
 
-  /** Nothing passes between it and other gateways for a time. */
+  /** Cuts all traffic with other gateways for a time. */
   cutOff(milliseconds: number): void {
-    this.disturbed('cut_off', milliseconds + 500);
-    this.tellLinks('cut');
+    this.recordDisturbance('cut_off', milliseconds + 500);
+    this.sendLinkCommand('cut');
     setTimeout(() => {
-      this.tellLinks('heal');
+      this.sendLinkCommand('heal');
       this.endDisturbances(['cut_off']);
     }, milliseconds).unref();
   }
 
-  private tellLinks(wanted: 'silence' | 'cut' | 'heal'): void {
-    // A process that ends meanwhile needs no word.
-    if (this.child?.connected === true) this.child.send(wanted, () => {});
+  private sendLinkCommand(command: 'silence' | 'cut' | 'heal'): void {
+    // A process that is already down needs no command.
+    if (this.child?.connected === true) this.child.send(command, () => {});
   }
 
-  /** Asks the process to end; it starts again by itself. */
+  /** Stops the process gracefully, and kills it after STOP_SECONDS; it is restarted automatically. */
   stopInTurn(): void {
-    this.disturbed('stopped', STOP_SECONDS * 1_000 + 1_500);
+    this.recordDisturbance('stopped', STOP_SECONDS * 1_000 + 1_500);
     this.isExpectedToEnd = true;
     const { child } = this;
     child?.kill('SIGTERM');
     setTimeout(() => child?.kill('SIGKILL'), STOP_SECONDS * 1_000).unref();
   }
 
-  /** Holds the process up. */
+  /** Pauses the process with SIGSTOP for a time. */
   freeze(milliseconds: number): void {
-    this.standStill('frozen', milliseconds);
+    this.pause('frozen', milliseconds);
   }
 
-  /** Holds the process up as a machine that is suspended does: nothing that its leases allowed may come after. */
+  /** Pauses the process like a suspended machine: when it resumes, it must not use leases from before. */
   suspend(milliseconds: number): void {
-    this.standStill('suspended', milliseconds);
+    this.pause('suspended', milliseconds);
   }
 
-  private standStill(kind: 'frozen' | 'suspended', milliseconds: number): void {
-    this.disturbed(kind, milliseconds + 500);
+  private pause(kind: 'frozen' | 'suspended', milliseconds: number): void {
+    this.recordDisturbance(kind, milliseconds + 500);
     const { child } = this;
     child?.kill('SIGSTOP');
     setTimeout(() => {
@@ -267,9 +267,9 @@
     }, milliseconds).unref();
   }
 
-  /** Ends the process for good. */
+  /** Kills the process without a restart. */
   async end(): Promise<void> {
-    this.isOver = true;
+    this.isEnded = true;
     const { child } = this;
     if (child === undefined || child.exitCode !== null || child.signalCode !== null) return;
     await new Promise((resolve) => {
@@ -278,19 +278,19 @@
     });
   }
 
-  /** Whether the process was stopped, killed, held up or started in a time. */
+  /** Whether the process was stopped, killed, paused, started or cut off in a span. */
   wasDisturbed(from: number, until: number): boolean {
     return this.disturbances.some((each) => each.from <= until && each.endedAt >= from);
   }
 
-  /** The same without cuts of its links. */
+  /** The same without network cuts. */
   wasInterrupted(from: number, until: number): boolean {
     return this.disturbances.some((each) => {
       return each.kind !== 'cut_off' && each.from <= until && each.endedAt >= from;
     });
   }
 
-  /** Whether the process was held up for a part of a time, or its links healed in it. */
+  /** Whether the process was paused during a part of a span, or its links were restored in it. */
   wasJustFreed(from: number, until: number): boolean {
     return this.disturbances.some((each) => {
       if (each.kind === 'frozen') return each.from <= until && each.endedAt >= from;
@@ -298,14 +298,14 @@
     });
   }
 
-  /** Whether something was done to the process in a time, other than a planned stop. */
+  /** Whether the process had a disturbance other than a planned stop in a span, including its recovery. */
   wasHarmed(from: number, until: number): boolean {
     return this.disturbances.some(
       (each) => each.kind !== 'stopped' && each.from <= until && each.until >= from,
     );
   }
 
-  /** When the process was asked to stop while a request was under way; undefined if it was not. */
+  /** When a planned stop began that overlaps a span; undefined without one. */
   stopDuring(from: number, until: number): number | undefined {
     const stop = this.disturbances.find(
       (each) => each.kind === 'stopped' && each.from <= until && each.until >= from,
@@ -313,7 +313,7 @@
     return stop?.from;
   }
 
-  private disturbed(kind: Disturbance['kind'], milliseconds: number): void {
+  private recordDisturbance(kind: Disturbance['kind'], milliseconds: number): void {
     this.options.onStruck?.(kind, milliseconds);
     const from = Date.now();
     this.disturbances.push({ kind, from, until: from + milliseconds, endedAt: Infinity });
@@ -325,11 +325,11 @@
     }
   }
 
-  private exited(): void {
-    if (this.isOver) return;
+  private handleExit(): void {
+    if (this.isEnded) return;
     if (!this.isExpectedToEnd) this.unaskedExits += 1;
     setTimeout(() => {
-      if (!this.isOver) this.start();
+      if (!this.isEnded) this.start();
     }, 150);
   }
 }
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -1,4 +1,4 @@
-/** Command line of the soak: plays seeds one after the other, and exits with 1 if a promise was broken. */
+/** Command line of the soak: runs one seed after the other, and exits with 1 if a guarantee was violated. */
 import { Command, Option } from 'commander';
 import { FURTHER_FAULT_KINDS, type FurtherFault } from './further-fault-plan.js';
 import { NAMED_FAULT_KINDS, type NamedFault } from './named-fault-plan.js';
@@ -23,71 +23,74 @@
   readonly series: SeriesFault['kind'][] | boolean;
 }
 
-/** Of those that faults excuse, so many are printed, the last ones. */
-const MOST_EXCUSED = 5;
+/** Excused violations to print: only the last ones. */
+const MAX_EXCUSED_PRINTED = 5;
 const FAULT_KINDS: readonly FaultKinds[] = ['first', 'further', 'both', 'none'];
 const EPOCH_CHOICES = ['checked', 'unchecked', 'drawn'];
 const REVOCATION_CHOICES = ['promised', 'none', 'drawn'];
 
 const program = new Command('soak')
-  .description('gateways as real processes under faults drawn from a seed')
+  .description('runs gateways as real processes under faults drawn from a seed')
   .option('--seed <number>', 'first seed', '1')
-  .option('--runs <number>', 'seeds to play', '1')
-  .option('--seconds <number>', 'time in which faults begin', '30')
+  .option('--runs <number>', 'number of consecutive seeds to run', '1')
+  .option('--seconds <number>', 'duration of the phase in which faults begin', '30')
   .option('--gateways <number>', 'gateways to start', '4')
   .option('--replicas <number>', 'replicas to start', '6')
-  .option('--requests <number>', 'requests a second of all callers', '30')
+  .option('--requests <number>', 'requests per second of all callers together', '30')
   .option('--kept-callers <number>', 'callers that keep their connections open', '4')
   .addOption(
-    new Option('--faults <kinds>', 'which kinds of faults are played')
+    new Option('--faults <kinds>', 'which kinds of faults are injected')
       .choices(FAULT_KINDS)
       .default('first'),
   )
   .addOption(
     new Option(
       '--only <kinds...>',
-      'of the further kinds, only these; and kinds that are played only if named here',
+      'restrict the further kinds to these; also enables kinds that are injected only if listed here',
     )
       .choices([...new Set([...FURTHER_FAULT_KINDS, ...NAMED_FAULT_KINDS])])
       .default([]),
   )
-  .option('--always-hot', 'the limited tenant asks for many times its limit all the time', false)
+  .option('--always-hot', 'the limited tenant always sends many times its limit', false)
   .option(
     '--drawn-ranks',
-    'the seed draws the ranks of gateways, and when the tenant is hot',
+    'draw from the seed the ranks of gateways and when the limited tenant exceeds its limit',
     false,
   )
   .option('--leaving', 'replicas also leave in all ways that the platform allows', false)
   .addOption(
     new Option(
       '--series [kinds...]',
-      'signals, restarts and changes in series that overlap, or these kinds of them only',
+      'overlapping series of signals, restarts and changes; all kinds, or only those listed',
     )
       .choices(SERIES_FAULT_KINDS)
       .default([]),
   )
   .addOption(
-    new Option('--epochs <choice>', 'whether replicas refuse orders with too low an epoch')
+    new Option('--epochs <choice>', 'whether replicas reject orders with too low an epoch')
       .choices(EPOCH_CHOICES)
       .default('checked'),
   )
   .addOption(
-    new Option('--revocation <choice>', 'whether gateways promise when removed keys end')
+    new Option(
+      '--revocation <choice>',
+      'whether gateways guarantee how soon a removed key is rejected',
+    )
       .choices(REVOCATION_CHOICES)
       .default('promised'),
   );
 
-/** The kinds that a flag names, which means all if it names none. */
+/** The kinds that the flag lists; all kinds if it is given without a list. */
 function seriesOf(flag: Flags['series']): readonly SeriesFault['kind'][] {
   return flag === true ? SERIES_FAULT_KINDS : flag || [];
 }
 
-/** Odd seeds play replicas that check nothing. */
+/** Whether replicas check epochs; with `drawn`, only for even seeds. */
 function checksEpochs(choice: string, seed: number): boolean {
   return choice === 'drawn' ? seed % 2 === 0 : choice === 'checked';
 }
 
-/** Two seeds with the promise follow two without it. */
+/** Whether gateways guarantee revocation; with `drawn`, two seeds without alternate with two seeds with it. */
 function promisesRevocation(choice: string, seed: number): boolean {
   return choice === 'drawn' ? seed % 4 >= 2 : choice === 'promised';
 }
@@ -120,14 +123,14 @@
     console.log(`seed ${seed}: ${violations.length} broken promises, ${JSON.stringify(figures)}`);
     for (const { rule, detail } of violations) console.log(`  ${rule}: ${detail}`);
     if (excused.length > 0) console.log(`  ${excused.length} more are excused by faults:`);
-    for (const { rule, detail } of excused.slice(-MOST_EXCUSED))
+    for (const { rule, detail } of excused.slice(-MAX_EXCUSED_PRINTED))
       console.log(`    ${rule}: ${detail}`);
     broken += violations.length;
   }
   process.exit(broken === 0 ? 0 : 1);
 }
 
-// Ends by way of Node's own exit, which ends the gateways.
+// Exits through process.exit, whose handlers kill the gateways.
 for (const signal of ['SIGTERM', 'SIGINT', 'SIGHUP'] as const) {
   process.once(signal, () => process.exit(1));
 }
--- a/test/soak/object-store-stand-in.test.ts
+++ b/test/soak/object-store-stand-in.test.ts
@@ -6,7 +6,7 @@
 
 const PATH = '/-/objects/config/main';
 
-describe('the stand-in of the store', () => {
+describe('the stand-in for the store', () => {
   const stores: ObjectStoreStandIn[] = [];
   const clients: HttpClient[] = [];
 
@@ -22,29 +22,29 @@
     return store;
   }
 
-  /** The status of an answer on this caller's connection; 0 without an answer. */
+  /** Returns a function that sends a request on one connection and returns the status; 0 without a response. */
   function callerAt(address: string, path = PATH): () => Promise<number> {
     const client = new HttpClient();
     clients.push(client);
     return async () => {
-      const answer = await client.send({ method: 'GET', address, path, timeoutMs: 200 });
-      return answer.isOk ? answer.value.status : 0;
+      const response = await client.send({ method: 'GET', address, path, timeoutMs: 200 });
+      return response.isOk ? response.value.status : 0;
     };
   }
 
-  it('loses the answer to a watch that waited into an outage', async () => {
+  it('drops the response to a watch that was pending when an outage began', async () => {
     const store = startStore();
     const watch = callerAt(await store.listenFor('a'), '/-/objects/config?watch=1&waitMs=9000');
-    const answer = watch();
+    const response = watch();
     await sleep(50);
     store.condition = 'silent';
     store.put('config', 'main', { version: 2 });
-    expect(await answer).toBe(0);
+    expect(await response).toBe(0);
     store.condition = 'sound';
     expect(await watch()).toBe(200);
   });
 
-  it('turns some callers away and serves the others', async () => {
+  it('rejects some callers and serves the others', async () => {
     const store = startStore();
     const [served, refused] = [await store.listenFor('a'), await store.listenFor('b')];
     store.turnedAway.set('b', 'throttled');
@@ -52,7 +52,7 @@
     expect(await callerAt(refused)()).toBe(429);
   });
 
-  it('says nothing more on silent connections, and answers on new ones', async () => {
+  it('sends nothing on silenced connections, and responds on new ones', async () => {
     const store = startStore();
     const address = await store.listenFor('a');
     const first = callerAt(address);
--- a/test/soak/object-store-stand-in.ts
+++ b/test/soak/object-store-stand-in.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in of the users' platform's store: objects by kind and name, one counter
- * of revisions, pages, watches that wait, conditional writes, and seeded faults.
- * Spoken as the platform's pages publish it.
+ * Stand-in for the object store of the users' platform: objects by kind and name,
+ * a revision counter, pagination, long-poll watches, conditional writes, and seeded
+ * faults. Implements the protocol that the platform documents.
  */
 import http from 'node:http';
 import { readJson, sendJson, listen } from '../../src/common/http-server.js';
@@ -13,7 +13,7 @@
 const LONGEST_WAIT_MS = 30_000;
 const LARGEST_BODY_BYTES = 1024 * 1024;
 
-/** How the store treats its callers now. */
+/** Current behaviour of the store towards its callers. */
 export type StoreCondition =
   'sound' | 'busy' | 'throttled' | 'silent' | 'reset' | 'slow' | 'answers_lost';
 
@@ -29,18 +29,18 @@
   readonly object: StoredObject;
 }
 
-/** Kinds that the operator and the replicas write: they write again what a restore has lost. */
+/** Kinds that the operator and the replicas write; they repeat writes that a restore has lost. */
 const REWRITTEN_KINDS = ['config', 'servers'];
 
-/** What a restore has lost: the newest state of an object, or that it was removed. */
+/** A write that a restore has lost: the newest state of an object, or its removal. */
 export interface LostWrite {
   readonly kind: string;
   readonly name: string;
-  /** Undefined if it was removed. */
+  /** Undefined if the object was removed. */
   readonly spec: unknown;
 }
 
-/** All that the store holds at one moment. */
+/** Backup of the whole store at one moment. */
 export interface StoreCopy {
   readonly kinds: ReadonlyMap<string, ReadonlyMap<string, StoredObject>>;
   readonly changes: readonly StoredChange[];
@@ -48,7 +48,7 @@
 }
 
 interface Waiter {
-  readonly look: () => void;
+  readonly check: () => void;
 }
 
 interface Call {
@@ -59,34 +59,34 @@
   readonly body: { metadata?: { name?: string; revision?: number }; spec?: unknown };
 }
 
-/** One store. */
+/** Stand-in for one store. */
 export class ObjectStoreStandIn {
-  /** Towards all callers. */
+  /** Behaviour towards all callers. */
   condition: StoreCondition = 'sound';
-  /** Towards some callers, by name, while the store is sound otherwise. */
+  /** Behaviour towards single callers, by name; applies while `condition` is `sound`. */
   readonly turnedAway = new Map<string, StoreCondition>();
   readonly connections = new ServerConnections();
   calls = 0;
   private readonly kinds = new Map<string, Map<string, StoredObject>>();
   private changes: StoredChange[] = [];
   private revision = 0;
-  /** Revision at which the present era began. */
+  /** Revision at which the current era began. */
   private restoredAt = 0;
-  /** Watches from before this revision are answered with 410. */
-  private forgottenUpTo = 0;
+  /** Watches from before this revision get status 410. */
+  private compactedUpTo = 0;
   private readonly waiters = new Set<Waiter>();
   private readonly servers: http.Server[] = [];
 
-  /** @param era - Rises by one each time the store comes back from a copy. */
+  /** @param era - Incremented each time the store is restored from a copy. */
   constructor(
     private readonly random: SeededRandom,
     private era = 1,
   ) {}
 
-  /** An address for one caller alone, which tells it from the others. */
+  /** Opens an address for a single caller, which identifies the caller; returns "ip:port". */
   async listenFor(caller: string): Promise<string> {
     const server = http.createServer(
-      (request, response) => void this.receive(caller, request, response),
+      (request, response) => void this.handle(caller, request, response),
     );
     this.connections.follow(server);
     this.servers.push(server);
@@ -100,36 +100,36 @@
     }
   }
 
-  /** What an object holds; undefined if there is none. */
+  /** The spec of an object; undefined if there is none. */
   read(kind: string, name: string): unknown {
     return this.objectsOf(kind).get(name)?.spec;
   }
 
-  /** Writes for the operator and the replicas, who are never refused. */
+  /** Writes on behalf of the operator and the replicas; never rejected. */
   put(kind: string, name: string, spec: unknown): void {
     const object = { metadata: { name, revision: this.revision + 1 }, spec };
     this.objectsOf(kind).set(name, object);
-    this.changed(kind, object, false);
+    this.recordChange(kind, object, false);
   }
 
-  /** Removes for the operator and the replicas. */
+  /** Removes an object on behalf of the operator and the replicas. */
   delete(kind: string, name: string): void {
     const object = this.objectsOf(kind).get(name);
     if (object === undefined) return;
     this.objectsOf(kind).delete(name);
-    this.changed(kind, object, true);
+    this.recordChange(kind, object, true);
   }
 
-  /** Copies all that it holds. */
+  /** Takes a backup of the whole store. */
   copy(): StoreCopy {
     const kinds = new Map([...this.kinds].map(([kind, objects]) => [kind, new Map(objects)]));
     return { kinds, changes: [...this.changes], revision: this.revision };
   }
 
   /**
-   * Comes back as it was: what was written since is gone, and its revisions are given out again.
+   * Restores a backup: later writes are lost, and their revisions are assigned a second time.
    *
-   * @returns What the operator and the replicas have to write again.
+   * @returns The lost writes that the operator and the replicas have to repeat.
    */
   restore(copy: StoreCopy): LostWrite[] {
     const lost = REWRITTEN_KINDS.flatMap((kind) => this.lostSince(copy, kind));
@@ -138,13 +138,13 @@
     this.changes = [...copy.changes];
     this.revision = copy.revision;
     this.restoredAt = copy.revision;
-    this.forgottenUpTo = Math.min(this.forgottenUpTo, copy.revision);
+    this.compactedUpTo = Math.min(this.compactedUpTo, copy.revision);
     this.era += 1;
-    this.wake();
+    this.checkWaiters();
     return lost;
   }
 
-  /** Compares the objects themselves: the history of changes may be forgotten. */
+  /** Compares the objects themselves, because the change history may have been compacted. */
   private lostSince(copy: StoreCopy, kind: string): LostWrite[] {
     const before = copy.kinds.get(kind) ?? new Map<string, StoredObject>();
     const now = this.objectsOf(kind);
@@ -154,7 +154,7 @@
       .map((name) => ({ kind, name, spec: now.get(name)?.spec }));
   }
 
-  /** Writes again what a restore has lost, but for what was written since. */
+  /** Repeats lost writes, except for objects that were written after the restore. */
   writeAgain(lost: readonly LostWrite[]): void {
     const newest = new Map(lost.map((write) => [`${write.kind}/${write.name}`, write]));
     const since = this.changes.filter(({ revision }) => revision > this.restoredAt);
@@ -165,14 +165,14 @@
     }
   }
 
-  /** Forgets the history of all watches. */
+  /** Discards the change history that watches read. */
   compact(): void {
     this.changes = [];
-    this.forgottenUpTo = this.revision;
-    this.wake();
+    this.compactedUpTo = this.revision;
+    this.checkWaiters();
   }
 
-  private async receive(
+  private async handle(
     caller: string,
     request: http.IncomingMessage,
     response: http.ServerResponse,
@@ -189,12 +189,12 @@
     const isLost = condition === 'answers_lost' && call.method !== 'GET' && this.random.chance(0.4);
     const delayMs = condition === 'slow' ? this.random.between(100, 600) : 1;
     const reply = (status: number, body: object): void => {
-      // A watch that waited into an outage gets no answer either.
+      // A watch that was pending when an outage began gets no response either.
       if (isLost || this.conditionFor(caller) === 'silent') return;
       if (this.conditionFor(caller) === 'reset') request.socket.destroy();
       else this.send(response, status, body);
     };
-    setTimeout(() => this.answer(call, reply), delayMs);
+    setTimeout(() => this.execute(call, reply), delayMs);
   }
 
   private send(response: http.ServerResponse, status: number, body: object): void {
@@ -206,7 +206,7 @@
     return this.turnedAway.get(caller) ?? 'sound';
   }
 
-  private answer(call: Call, reply: (status: number, body: object) => void): void {
+  private execute(call: Call, reply: (status: number, body: object) => void): void {
     if (call.method !== 'GET') return this.write(call, reply);
     if (call.query.has('watch')) return this.watch(call, reply);
     const objects = this.objectsOf(call.kind);
@@ -225,66 +225,66 @@
   private watch(call: Call, reply: (status: number, body: object) => void): void {
     const from = Number(call.query.get('watch'));
     const waitMs = Math.min(LONGEST_WAIT_MS, Number(call.query.get('waitMs') ?? 0));
-    const waiter: Waiter = { look: () => this.lookForEvents(call, from, waiter, timer, reply) };
+    const waiter: Waiter = { check: () => this.replyIfEvents(call, from, waiter, timer, reply) };
     const timer = setTimeout(() => {
       this.waiters.delete(waiter);
       reply(200, { events: [], at: Math.max(from, this.revision) });
     }, waitMs);
     this.waiters.add(waiter);
-    waiter.look();
+    waiter.check();
   }
 
-  private lookForEvents(
+  private replyIfEvents(
     call: Call,
     from: number,
     waiter: Waiter,
     timer: NodeJS.Timeout,
     reply: (status: number, body: object) => void,
   ): void {
-    const isForgotten = from < this.forgottenUpTo || from > this.revision;
+    const isCompacted = from < this.compactedUpTo || from > this.revision;
     const events = this.changes
       .filter((change) => change.kind === call.kind && change.revision > from)
       .map(({ gone, object }) => ({ gone, object }));
-    if (!isForgotten && events.length === 0) return;
+    if (!isCompacted && events.length === 0) return;
     clearTimeout(timer);
     this.waiters.delete(waiter);
-    if (isForgotten) reply(410, {});
+    if (isCompacted) reply(410, {});
     else reply(200, { events, at: this.revision });
   }
 
   private write(call: Call, reply: (status: number, body: object) => void): void {
     const name = call.name ?? call.body.metadata?.name ?? '';
     const objects = this.objectsOf(call.kind);
-    const known = objects.get(name);
+    const existing = objects.get(name);
     if (call.method === 'DELETE') {
       this.delete(call.kind, name);
       return reply(200, {});
     }
     const wanted = call.body.metadata?.revision;
-    const exists = known !== undefined;
-    if (call.method === 'POST' && exists) return reply(409, known);
+    const exists = existing !== undefined;
+    if (call.method === 'POST' && exists) return reply(409, existing);
     if (call.method === 'PUT' && !exists) return reply(404, { at: this.revision });
-    if (exists && wanted !== undefined && wanted !== known.metadata.revision) {
-      return reply(409, known);
+    if (exists && wanted !== undefined && wanted !== existing.metadata.revision) {
+      return reply(409, existing);
     }
     this.put(call.kind, name, call.body.spec);
     reply(call.method === 'POST' ? 201 : 200, objects.get(name) ?? {});
   }
 
-  private changed(kind: string, object: StoredObject, gone: boolean): void {
+  private recordChange(kind: string, object: StoredObject, gone: boolean): void {
     this.revision += 1;
     this.changes.push({ kind, revision: this.revision, gone, object });
-    this.wake();
+    this.checkWaiters();
   }
 
-  private wake(): void {
-    for (const waiter of [...this.waiters]) waiter.look();
+  private checkWaiters(): void {
+    for (const waiter of [...this.waiters]) waiter.check();
   }
 
   private objectsOf(kind: string): Map<string, StoredObject> {
-    const known = this.kinds.get(kind) ?? new Map<string, StoredObject>();
-    this.kinds.set(kind, known);
-    return known;
+    const existing = this.kinds.get(kind) ?? new Map<string, StoredObject>();
+    this.kinds.set(kind, existing);
+    return existing;
   }
 }
 
--- a/test/soak/replica-stand-in.test.ts
+++ b/test/soak/replica-stand-in.test.ts
@@ -7,7 +7,7 @@
 
 const STATUS_FENCED = 412;
 
-describe('the stand-in of a replica', () => {
+describe('the stand-in for a replica', () => {
   const client = new HttpClient();
   const log = new RunLog();
   const started: ReplicaStandIn[] = [];
@@ -37,18 +37,18 @@
     const body = { operation: 'model_load', model: 'm1', expectedCount: 0, holder, fence };
     const { address } = replica;
     const request = { method: 'POST', path: '/-/order', address, body, timeoutMs: 1_000 } as const;
-    const answer = await client.send(request);
-    return answer.isOk ? answer.value.status : 0;
+    const response = await client.send(request);
+    return response.isOk ? response.value.status : 0;
   }
 
-  it('refuses a lower epoch and sees nothing broken where it checks epochs', async () => {
+  it('rejects a lower epoch and records no violation if it checks epochs', async () => {
     const replica = await start(true);
     await order(replica, 'new', 4);
     expect(await order(replica, 'old', 3)).toBe(STATUS_FENCED);
     expect(log.violations).toEqual([]);
   });
 
-  it('takes a lower epoch and tells whose order it was where it checks none', async () => {
+  it('accepts a lower epoch and records the sender of the order if it does not check epochs', async () => {
     const replica = await start(false);
     expect(await order(replica, 'old', 3)).toBe(200);
     await order(replica, 'new', 4);
--- a/test/soak/replica-stand-in.ts
+++ b/test/soak/replica-stand-in.ts
@@ -1,8 +1,8 @@
 /**
- * Stand-in of a model replica of the users' platform: holds models, takes fenced
- * orders at an expected sequence, runs requests as streams that can be resumed or
- * as plain answers, and fails in seeded ways. Spoken as the platform's pages
- * publish it; what it sees goes to the run log.
+ * Stand-in for a model replica of the users' platform: holds models, accepts fenced
+ * orders at an expected sequence, serves requests as resumable streams or as plain
+ * responses, and fails in seeded ways. Implements the protocol that the platform
+ * documents; records its observations in the run log.
  */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -13,7 +13,7 @@
 import { ServerConnections } from './server-connections.js';
 import type { SeededRandom } from './seeded-random.js';
 
-/** How a replica behaves now. */
+/** Current behaviour of a replica. */
 export type ReplicaCondition =
   'sound' | 'resets_all' | 'hangs' | 'slow' | 'answers_lost' | 'orders_late' | 'fails_some';
 
@@ -21,15 +21,15 @@
 export interface ReplicaOptions {
   readonly name: string;
   readonly service: string;
-  /** Names of models that it holds from the start; none for a service without models. */
+  /** Names of the initially loaded models; empty for a service without models. */
   readonly models: readonly string[];
   readonly hasModels: boolean;
   readonly store: ObjectStoreStandIn;
   readonly log: RunLog;
   readonly random: SeededRandom;
-  /** Whether orders with a lower epoch than one already seen are refused; so by default. */
+  /** Whether to reject orders with a lower epoch than one already seen; true by default. */
   readonly checksEpochs?: boolean;
-  /** A request has crashed it, and it starts again in so many milliseconds. */
+  /** Called when a request crashed the replica; it restarts after `backMs` milliseconds. */
   readonly onPoisoned?: (backMs: number) => void;
 }
 
@@ -41,28 +41,28 @@
   readonly fence?: number;
 }
 
-/** Models that fit beside each other. */
+/** Models that fit into memory at the same time. */
 export const MODELS_THAT_FIT = 2;
 const SLOTS = 6;
 const LOAD_MS = 250;
 const UNLOAD_MS = 30;
 const EVENT_PERIOD_MS = 15;
-/** Work that arrives later than this after the notice breaks the promise. */
+/** Work that arrives later than this after the replica began to leave is a violation. */
 const DRAIN_MS = 2_000;
 const LARGEST_BODY_BYTES = 64 * 1024;
-/** A crash is noticed in the list only after some missed heartbeats. */
-const CRASH_UNNOTICED_MS = 3_600;
+/** Time until the list drops a crashed replica: some heartbeats must be missed first. */
+const CRASH_DETECTION_MS = 3_600;
 
-/** A request that crashes what runs it begins to, and does so after at least and at most so long. */
-const FIRST_CRASH_MS = 5;
-const LAST_CRASH_MS = 150;
+/** Shortest and longest time from the start of a crashing request until the replica crashes. */
+const MIN_CRASH_DELAY_MS = 5;
+const MAX_CRASH_DELAY_MS = 150;
 
 interface Poison {
   readonly name: string;
   readonly backMs: number;
 }
 
-/** One place of a replica; each start is a new process with a new id. */
+/** One replica; each start is a new process with a new id. */
 export class ReplicaStandIn {
   condition: ReplicaCondition = 'sound';
   readonly connections = new ServerConnections();
@@ -76,17 +76,17 @@
   private busy = false;
   private running = 0;
   private leavingSince: number | undefined;
-  /** Its entry is gone for good, though it serves on. */
+  /** Whether its list entry was removed for good while it still serves. */
   private isWithdrawn = false;
   private saysLeaving = false;
-  /** It turns requests away until then, and asks for so much rest each time. */
-  private turnsAwayUntil = 0;
+  /** Rejects requests until this time (Unix milliseconds), each with a requested backoff of `restMs`. */
+  private rejectsUntil = 0;
   private restMs = 0;
-  /** Requests a second that it names in its answers. */
+  /** Rate limit that its responses announce, in requests a second; undefined for none. */
   private rateLimit: number | undefined;
-  private hasNamedLimit = false;
-  /** What it has asked for ends then at the latest. */
-  private watchedUntil = 0;
+  private hasAnnouncedLimit = false;
+  /** When the last requested backoff ends at the latest; arrivals are logged until then. */
+  private backoffEndsAt = 0;
   private server: http.Server | undefined;
   private readonly onDisk = new Set<string>();
 
@@ -102,7 +102,7 @@
     return this.server !== undefined;
   }
 
-  /** It runs and has not begun to leave. */
+  /** Whether it runs and has not begun to leave. */
   get isServing(): boolean {
     return this.isUp && this.leavingSince === undefined && !this.saysLeaving;
   }
@@ -111,14 +111,14 @@
     return this.options.service;
   }
 
-  /** The port on which it runs, or ran last. */
+  /** Its current port, or the last one if it is down. */
   get port(): number {
     return Number(this.address.split(':')[1]);
   }
 
   /**
-   * Starts a process; only the first one holds models.
-   * @param port - Where it listens; any free port by default.
+   * Starts a process; only the first one starts with models loaded.
+   * @param port - Port to listen on; any free port by default.
    */
   async start(port = 0): Promise<void> {
     this.starts += 1;
@@ -131,33 +131,33 @@
     this.leavingSince = undefined;
     this.isWithdrawn = false;
     this.saysLeaving = false;
-    this.turnsAwayUntil = 0;
-    this.watchedUntil = 0;
+    this.rejectsUntil = 0;
+    this.backoffEndsAt = 0;
     this.rateLimit = undefined;
-    this.hasNamedLimit = false;
+    this.hasAnnouncedLimit = false;
     const server = http.createServer((request, response) => void this.receive(request, response));
     this.connections.follow(server);
     await new Promise<void>((resolve) => server.listen(port, '127.0.0.1', resolve));
     this.address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
     this.server = server;
-    this.enter();
+    this.writeEntry();
   }
 
-  /** Ends the process without a word; the list shows it for some time longer. */
+  /** Ends the process without notice; its list entry stays for CRASH_DETECTION_MS. */
   crash(): void {
     const { id } = this;
     this.end();
-    setTimeout(() => this.options.store.delete('servers', id), CRASH_UNNOTICED_MS).unref();
+    setTimeout(() => this.options.store.delete('servers', id), CRASH_DETECTION_MS).unref();
   }
 
   /**
-   * Leaves: serves on for a time, and ends.
-   * @param isAnnounced - Its entry says that it leaves; else the entry goes at once.
+   * Leaves: serves for `serveMs` more milliseconds, then ends.
+   * @param isAnnounced - Whether its list entry shows that it leaves; otherwise the entry is removed at once.
    */
   async leave(serveMs: number, isAnnounced = true): Promise<void> {
     this.leavingSince = Date.now();
     this.isWithdrawn = !isAnnounced;
-    if (isAnnounced) this.enter();
+    if (isAnnounced) this.writeEntry();
     else this.options.store.delete('servers', this.id);
     await new Promise((resolve) => setTimeout(resolve, serveMs));
     const { id } = this;
@@ -165,14 +165,17 @@
     this.options.store.delete('servers', id);
   }
 
-  /** Leaves and says so in each answer; its entry says so later, or only goes when it ends. */
+  /**
+   * Leaves and announces it in each response. Its list entry shows it after `listedAfterMs`, or is only
+   * removed when the replica ends.
+   */
   async leaveByAnswers(serveMs: number, listedAfterMs: number): Promise<void> {
     this.saysLeaving = true;
     const { id } = this;
     const list = (): void => {
       if (this.id !== id || !this.isUp) return;
       this.leavingSince = Date.now();
-      this.enter();
+      this.writeEntry();
     };
     if (listedAfterMs < serveMs) setTimeout(list, listedAfterMs).unref();
     await new Promise((resolve) => setTimeout(resolve, serveMs));
@@ -181,21 +184,21 @@
     this.options.store.delete('servers', id);
   }
 
-  /** Turns requests away for a time, and asks for rest with each refusal. */
+  /** Rejects requests for a time, and requests a backoff (Retry-After) in each rejection. */
   askForRest(milliseconds: number, restSeconds: number): void {
-    this.turnsAwayUntil = Date.now() + milliseconds;
+    this.rejectsUntil = Date.now() + milliseconds;
     this.restMs = restSeconds * 1_000;
-    this.watchedUntil = this.turnsAwayUntil + this.restMs;
+    this.backoffEndsAt = this.rejectsUntil + this.restMs;
   }
 
   get namesRateLimit(): boolean {
     return this.rateLimit !== undefined;
   }
 
-  /** Names a limit in its answers from now on, or none. */
+  /** Sets the rate limit that its responses announce from now on; undefined for none. */
   nameRateLimit(perSecond: number | undefined): void {
     this.rateLimit = perSecond;
-    this.hasNamedLimit ||= perSecond !== undefined;
+    this.hasAnnouncedLimit ||= perSecond !== undefined;
   }
 
   end(): void {
@@ -204,8 +207,8 @@
     this.server = undefined;
   }
 
-  /** Writes this replica's entry in the list. */
-  private enter(): void {
+  /** Writes the list entry of this replica to the store. */
+  private writeEntry(): void {
     if (this.isWithdrawn) return;
     this.options.store.put('servers', this.id, {
       service: this.options.service,
@@ -251,21 +254,21 @@
   }
 
   private order(order: OrderBody, response: http.ServerResponse): void {
-    // Nothing else fences these: what counts is in which order they come, not when they are taken.
-    if (!this.checksEpochs) this.noticeEpoch(order);
+    // Such a replica has no other fencing: the order of arrival counts, not the time of execution.
+    if (!this.checksEpochs) this.verifyEpoch(order);
     if (this.condition !== 'orders_late') {
-      return sendJson(response, this.takeOrder(order), {});
+      return sendJson(response, this.executeOrder(order), {});
     }
     const { id } = this;
-    const takeLate = (): void => {
-      if (this.id === id && this.isUp) this.takeOrder(order);
+    const executeLate = (): void => {
+      if (this.id === id && this.isUp) this.executeOrder(order);
     };
-    setTimeout(takeLate, this.options.random.between(500, 3_000)).unref();
+    setTimeout(executeLate, this.options.random.between(500, 3_000)).unref();
     response.socket?.destroy();
   }
 
-  /** The status of the answer. */
-  private takeOrder(order: OrderBody): number {
+  /** Executes an order and returns the HTTP status. */
+  private executeOrder(order: OrderBody): number {
     const { operation, model = '', expectedCount, holder = '', fence = 0 } = order;
     if (fence < this.highestFence && this.checksEpochs) return 412;
     if (this.checksEpochs) this.checkFence(holder, fence);
@@ -289,10 +292,10 @@
       this.onDisk.add(model);
       this.options.log.loads += 1;
     }
-    this.enter();
+    this.writeEntry();
   }
 
-  private noticeEpoch({ operation = '', model = '', holder = '', fence = 0 }: OrderBody): void {
+  private verifyEpoch({ operation = '', model = '', holder = '', fence = 0 }: OrderBody): void {
     if (fence >= this.highestFence) return this.checkFence(holder, fence);
     const later = `${this.fenceHolder} has used ${this.highestFence}`;
     const detail = `${operation} ${model} of ${holder} with ${fence}, though ${later}`;
@@ -319,8 +322,8 @@
     const { random } = this.options;
     const attemptId = String(request.headers['x-attempt-id'] ?? '');
     this.checkArrival(request, attemptId);
-    this.tellRateLimit(response, attemptId);
-    if (this.tell(response, attemptId)) return;
+    this.announceRateLimit(response, attemptId);
+    if (this.announceState(response, attemptId)) return;
     const poison = this.poisonOf(body, attemptId);
     if (condition === 'resets_all') return void request.socket.destroy();
     if (condition === 'hangs') return;
@@ -342,23 +345,23 @@
     else setTimeout(() => sendPlain(response, plainText(attemptId, body), seal), 10 * pace).unref();
   }
 
-  /** Says in the answer what is to be said; returns whether that is all of it. */
-  private tell(response: http.ServerResponse, attemptId: string): boolean {
+  /** Announces leaving or a backoff in the response; returns whether the response is complete with that. */
+  private announceState(response: http.ServerResponse, attemptId: string): boolean {
     const { id, saysLeaving } = this;
     const at = Date.now();
-    const turnsAway = at < this.turnsAwayUntil;
-    const restMs = turnsAway ? this.restMs : 0;
-    if (saysLeaving || at < this.watchedUntil) {
+    const rejects = at < this.rejectsUntil;
+    const restMs = rejects ? this.restMs : 0;
+    if (saysLeaving || at < this.backoffEndsAt) {
       this.options.log.toldArrivals.push({ attemptId, replica: id, at, saysLeaving, restMs });
     }
     if (saysLeaving) response.setHeader('server-leaving', '1');
-    if (turnsAway) refuse(response, 503, { 'retry-after': (restMs / 1_000).toFixed(3) });
-    return turnsAway;
+    if (rejects) refuse(response, 503, { 'retry-after': (restMs / 1_000).toFixed(3) });
+    return rejects;
   }
 
-  private tellRateLimit(response: http.ServerResponse, attemptId: string): void {
+  private announceRateLimit(response: http.ServerResponse, attemptId: string): void {
     const { id, rateLimit: perSecond, options } = this;
-    if (!this.hasNamedLimit) return;
+    if (!this.hasAnnouncedLimit) return;
     options.log.limitedArrivals.push({ attemptId, replica: id, at: Date.now(), perSecond });
     if (perSecond !== undefined) response.setHeader('server-limit', String(perSecond));
   }
@@ -381,7 +384,7 @@
       this.crash();
       setTimeout(() => void this.start(), backMs);
     };
-    setTimeout(crash, options.random.between(FIRST_CRASH_MS, LAST_CRASH_MS));
+    setTimeout(crash, options.random.between(MIN_CRASH_DELAY_MS, MAX_CRASH_DELAY_MS));
   }
 
   private checkArrival(request: http.IncomingMessage, attemptId: string): void {
