--- a/test/soak/audit-configuration.test.ts
+++ b/test/soak/audit-configuration.test.ts
@@ -63,7 +63,7 @@
     expect(rules([probeOf(404, LATE_AT, VERSION + 1)], { accepted })).toEqual([]);
   });
 
-  it('no longer excuses a late version once the store has worked for the contact time', () => {
+  it('no longer excuses a late version once the store has worked for the catch-up time', () => {
     const faultUntil = (until: number) => ({ storeFaults: [{ from: ACCEPTED_AT - 9_000, until }] });
     const soundSince = LATE_AT - CONTACT_MS;
     expect(rules([probeOf(404, LATE_AT)], faultUntil(soundSince))).toEqual([]);
@@ -81,7 +81,7 @@
     expect(rules([probeOf(404, LATE_AT)], storeRejecting('h'))).toEqual(['configuration_late']);
   });
 
-  it('no longer excuses a late version once the gateway was undisturbed for the contact time', () => {
+  it('no longer excuses a late version once the gateway was undisturbed for the catch-up time', () => {
     const undisturbedSince = LATE_AT - CONTACT_MS;
     expect(rules([probeOf(404, LATE_AT)], disturbedOnce(undisturbedSince))).toEqual([]);
     expect(rules([probeOf(404, LATE_AT)], disturbedOnce(undisturbedSince - 1))).toEqual([
--- a/test/soak/audit-crashes.ts
+++ b/test/soak/audit-crashes.ts
@@ -12,7 +12,10 @@
 /** Returns requests that kept crashing replicas, and harmless requests that were rejected as crashing ones. */
 export function auditCrashes(evidence: SoakEvidence): Violation[] {
   const names = new Set(evidence.poisonArrivals.map(({ name }) => name));
-  return [...[...names].flatMap((name) => auditPoison(name, evidence)), ...auditSound(evidence)];
+  return [
+    ...[...names].flatMap((name) => auditPoison(name, evidence)),
+    ...auditHarmlessRequests(evidence),
+  ];
 }
 
 function auditPoison(name: string, evidence: SoakEvidence): Violation[] {
--- a/test/soak/audit-rate-limits.ts
+++ b/test/soak/audit-rate-limits.ts
@@ -7,7 +7,7 @@
 const WINDOW_MS = 4_000;
 /** Time from the first response that announces a limit until the gateways must respect it. */
 const PROPAGATION_MS = 3_000;
-/** A gateway isInformed a limit this long after it has forwarded a response that announces it. */
+/** A gateway knows a limit this long after it has forwarded a response that announces it. */
 const KNOWN_AFTER_MS = 500;
 /** Tolerance above the limit: EXCESS is a factor of the limit, SLACK a number of requests. */
 const EXCESS = 1.5;
@@ -72,13 +72,11 @@
   span: readonly Arrival[],
   { gateways }: SoakEvidence,
 ): boolean {
-  const isInformed = span.some((earlier) => {
+  const knows = span.some((earlier) => {
     const { gateway, status, endedAt } = earlier.call;
     return gateway === call.gateway && status !== undefined && endedAt <= at - KNOWN_AFTER_MS;
   });
-  return (
-    isInformed && !gateways.wasDisturbed(call.gateway, { from: at - PROPAGATION_MS, until: at })
-  );
+  return knows && !gateways.wasDisturbed(call.gateway, { from: at - PROPAGATION_MS, until: at });
 }
 
 /** Highest limit announced in the window or last before it: tolerates changes that are still propagating. */
--- a/test/soak/audit-told.ts
+++ b/test/soak/audit-told.ts
@@ -28,7 +28,7 @@
   }
   return [...groups].flatMap(([key, sent]) => [
     ...auditLeaving(key, sent, evidence),
-    ...auditRest(key, sent, evidence),
+    ...auditBackoff(key, sent, evidence),
   ]);
 }
 
@@ -41,7 +41,7 @@
   const forwarded = sent.filter(
     ({ saysLeaving, call }) => saysLeaving && call.status !== undefined,
   );
-  const announcedAt = Math.min(...passedOn.map(({ call }) => call.endedAt));
+  const announcedAt = Math.min(...forwarded.map(({ call }) => call.endedAt));
   const late = sent.filter(({ saysLeaving, call }) => {
     if (!saysLeaving || call.sentAt <= announcedAt + DRAIN_MS) return false;
     return !gateways.wasInterrupted(call.gateway, { from: announcedAt, until: call.sentAt });
--- a/test/soak/audit.ts
+++ b/test/soak/audit.ts
@@ -71,12 +71,12 @@
   if (evidence.gateways.wasHarmed(call.gateway, span)) return found;
   if (call.endedAt > call.sentAt + request.deadlineMs + END_TOLERANCE_MS) report('late_end');
   if (wasCutByPlannedStop(call, span, evidence)) report('cut_by_planned_stop');
-  if (status === 0) found.push(...auditMissingAnswer(call, ran, evidence));
+  if (status === 0) found.push(...auditMissingResponse(call, ran, evidence));
   return found;
 }
 
 /** During a planned stop the gateway must also respond to requests on persistent connections. */
-function auditMissingAnswer(call: CallRecord, ran: number, evidence: SoakEvidence): Violation[] {
+function auditMissingResponse(call: CallRecord, ran: number, evidence: SoakEvidence): Violation[] {
   const span = { from: call.sentAt, until: call.endedAt };
   const isStop = evidence.gateways.stopDuring(call.gateway, span) !== undefined;
   const isKept = call.wasOnKeptConnection;
--- a/test/soak/replica-stand-in.ts
+++ b/test/soak/replica-stand-in.ts
@@ -79,9 +79,9 @@
   /** Whether its list entry was removed for good while it still serves. */
   private isWithdrawn = false;
   private saysLeaving = false;
-  /** Rejects requests until this time (Unix milliseconds), each with a requested backoff of `restMs`. */
+  /** Rejects requests until this time (Unix milliseconds), each with a requested backoff of `backoffMs`. */
   private rejectsUntil = 0;
-  private restMs = 0;
+  private backoffMs = 0;
   /** Rate limit that its responses announce, in requests a second; undefined for none. */
   private rateLimit: number | undefined;
   private hasAnnouncedLimit = false;
@@ -187,8 +187,8 @@
   /** Rejects requests for a time, and requests a backoff (Retry-After) in each rejection. */
   askForRest(milliseconds: number, restSeconds: number): void {
     this.rejectsUntil = Date.now() + milliseconds;
-    this.restMs = restSeconds * 1_000;
-    this.backoffEndsAt = this.rejectsUntil + this.restMs;
+    this.backoffMs = restSeconds * 1_000;
+    this.backoffEndsAt = this.rejectsUntil + this.backoffMs;
   }
 
   get namesRateLimit(): boolean {
@@ -350,7 +350,7 @@
     const { id, saysLeaving } = this;
     const at = Date.now();
     const rejects = at < this.rejectsUntil;
-    const restMs = rejects ? this.restMs : 0;
+    const restMs = rejects ? this.backoffMs : 0;
     if (saysLeaving || at < this.backoffEndsAt) {
       this.options.log.toldArrivals.push({ attemptId, replica: id, at, saysLeaving, restMs });
     }
--- a/test/soak/struck-gateways.ts
+++ b/test/soak/struck-gateways.ts
@@ -33,7 +33,7 @@
   return duties;
 }
 
-/** Whether a fault hit the gateway that counts a hot tenant: in this case the tenant can exceed its limit. */
+/** Whether a fault hit the gateway that counts the limited tenant while that sends many times its limit: only then can it exceed the limit. */
 export function metHotCounter({ duties, isHot, struck }: StruckGateway): boolean {
   const isSignal = struck === 'SIGHUP' || struck === 'SIGTERM';
   return isHot && !isSignal && duties.includes('counts_limited_tenant');
