--- a/src/chaos/auditor.ts
+++ b/src/chaos/auditor.ts
@@ -2,7 +2,7 @@
  * Counts violations of the service's guarantees. The evidence is the logs of the
  * engines and the records of the callers; reports of the daemons are not used.
  */
-import type { ModelAnswer } from '../client/model-client.js';
+import type { ModelResponse } from '../client/model-client.js';
 import type { EngineLogEvent } from '../standin/engine-stand-in-options.js';
 
 /** Milliseconds that a request may end after its deadline: delay of timers and of the loopback. */
@@ -23,7 +23,7 @@
   /** Unix milliseconds. */
   readonly deadlineAt: number;
   readonly expectedText: string;
-  readonly answer: ModelAnswer;
+  readonly answer: ModelResponse;
 }
 
 /** A daemon that a scenario stopped. */
@@ -35,19 +35,19 @@
 }
 
 /** How long one accepted change took to be in force. */
-export interface ConfigurationTrial {
+export interface ConfigurationChangeRecord {
   /** Milliseconds until all reachable daemons had applied the change; undefined on timeout. */
   readonly inForceMs: number | undefined;
 }
 
 /** The logs and records of one scenario. */
-export interface Evidence {
+export interface AuditEvidence {
   readonly engineEvents: readonly EngineLogEvent[];
   readonly callers: readonly CallerRecord[];
   /** The highest number of replicas that was ever decided, by tenant. */
-  readonly caps: ReadonlyMap<string, number>;
+  readonly maxDecidedReplicas: ReadonlyMap<string, number>;
   readonly stopped: readonly StoppedDaemon[];
-  readonly trials: readonly ConfigurationTrial[];
+  readonly changeRecords: readonly ConfigurationChangeRecord[];
   /** How often a ready daemon went back to a lower configuration revision. */
   readonly reversions: number;
 }
@@ -72,7 +72,7 @@
 }
 
 /** Counts the violations of each kind. */
-export function audit(evidence: Evidence): Findings {
+export function audit(evidence: AuditEvidence): Findings {
   return {
     replicasBeyondDecided: countReplicasBeyondDecided(evidence),
     memoryBeyondCapacity: evidence.engineEvents.filter(isOverCapacity).length,
@@ -84,7 +84,7 @@
     workForLeaving: countWorkForLeaving(evidence.engineEvents),
     streamsCutByPlannedStop: evidence.callers.filter((call) => wasCutByPlannedStop(call, evidence))
       .length,
-    configurationLate: evidence.trials.filter(isConfigurationLate).length,
+    configurationLate: evidence.changeRecords.filter(isConfigurationLate).length,
     reversions: evidence.reversions,
   };
 }
@@ -95,11 +95,11 @@
 }
 
 /** Whether the call never reached a daemon because the connection was refused. */
-export function wasNotTaken(call: CallerRecord): boolean {
+export function wasConnectionRefused(call: CallerRecord): boolean {
   return call.answer.outcome === 'lost' && call.answer.reason.includes('ECONNREFUSED');
 }
 
-function countReplicasBeyondDecided(evidence: Evidence): number {
+function countReplicasBeyondDecided(evidence: AuditEvidence): number {
   const enginesByTenant = new Map<string, Set<string>>();
   let violations = 0;
   for (const event of evidence.engineEvents) {
@@ -114,7 +114,7 @@
     if (event.event === 'release') engines.delete(event.engine);
     if (event.event !== 'hold') continue;
     engines.add(event.engine);
-    if (engines.size > (evidence.caps.get(event.tenant) ?? 0)) violations += 1;
+    if (engines.size > (evidence.maxDecidedReplicas.get(event.tenant) ?? 0)) violations += 1;
   }
   return violations;
 }
@@ -124,13 +124,13 @@
 }
 
 /** A caller whose daemon was killed loses its connection, so its lost request is not counted. */
-function hasNoEnd(call: CallerRecord, evidence: Evidence): boolean {
-  if (call.answer.outcome !== 'lost' || wasNotTaken(call)) return false;
+function hasNoEnd(call: CallerRecord, evidence: AuditEvidence): boolean {
+  if (call.answer.outcome !== 'lost' || wasConnectionRefused(call)) return false;
   return !evidence.stopped.some((stop) => stop.daemon === call.daemon);
 }
 
-function wasCutByPlannedStop(call: CallerRecord, evidence: Evidence): boolean {
-  if (call.answer.outcome !== 'lost' || wasNotTaken(call)) return false;
+function wasCutByPlannedStop(call: CallerRecord, evidence: AuditEvidence): boolean {
+  if (call.answer.outcome !== 'lost' || wasConnectionRefused(call)) return false;
   const stops = evidence.stopped.filter((stop) => stop.daemon === call.daemon);
   return stops.length > 0 && stops.every((stop) => stop.planned);
 }
@@ -160,12 +160,12 @@
   return runs;
 }
 
-function countFalseNotRun(evidence: Evidence): number {
+function countFalseNotRun(evidence: AuditEvidence): number {
   const runs = runsByCaller(evidence.engineEvents);
   return evidence.callers.filter((call) => call.answer.ran === 'no' && runs.has(call.id)).length;
 }
 
-function countRepeatedRuns(evidence: Evidence): number {
+function countRepeatedRuns(evidence: AuditEvidence): number {
   const runs = runsByCaller(evidence.engineEvents);
   let repeated = 0;
   const byKey = new Map<string, number>();
@@ -192,6 +192,6 @@
   return violations;
 }
 
-function isConfigurationLate(trial: ConfigurationTrial): boolean {
+function isConfigurationLate(trial: ConfigurationChangeRecord): boolean {
   return trial.inForceMs === undefined || trial.inForceMs > CONFIGURATION_LIMIT_MS;
 }
--- a/src/chaos/chaos-run.ts
+++ b/src/chaos/chaos-run.ts
@@ -5,9 +5,9 @@
 import { ADMIN_KEY, LocalCluster, waitFor, type ClusterDaemon } from '../testbed/local-cluster.js';
 import {
   audit,
-  wasNotTaken,
+  wasConnectionRefused,
   type CallerRecord,
-  type Evidence,
+  type AuditEvidence,
   type Findings,
   type StoppedDaemon,
 } from './auditor.js';
@@ -53,12 +53,12 @@
   readonly probe: ConfigurationProbe;
   readonly load: LoadGenerator;
   /** A tenant whose model is cold until the scenario sends requests for it. */
-  readonly rare: LoadTenant;
+  readonly coldTenant: LoadTenant;
   /**
    * Applies a configuration change and measures when it is in force at `targets`, by default
    * at all running daemons. Resolves with false if the change was not accepted.
    */
-  change(via?: ClusterDaemon, targets?: readonly ClusterDaemon[]): Promise<boolean>;
+  applyChange(via?: ClusterDaemon, targets?: readonly ClusterDaemon[]): Promise<boolean>;
   /** Returns the daemon that currently owns the pool of a zone. */
   ownerOf(zone: string): Promise<ClusterDaemon>;
   /** Kills a daemon with SIGKILL; its callers lose their connections. */
@@ -68,7 +68,7 @@
   /** Starts a daemon again and waits until it is ready. */
   startDaemon(daemon: ClusterDaemon): Promise<void>;
   /** Records that a pool loses its owner now, and schedules requests for cold tenants. */
-  ownerLost(zone: string): void;
+  recordOwnerLoss(zone: string): void;
 }
 
 /** One failure scenario. */
@@ -77,7 +77,7 @@
   /** Seconds of load; `injectFault` starts at the same time. */
   readonly seconds: number;
   /** Injects the fault. */
-  readonly act: (context: ChaosContext) => Promise<void>;
+  readonly injectFault: (context: ChaosContext) => Promise<void>;
 }
 
 /** The audit and the measurements of one scenario. */
@@ -124,7 +124,7 @@
   if (template.isErr) throw new Error(template.error.message);
   client.close();
   for (const tenant of TENANTS) {
-    if (!(await probe.tryChange(first, cluster.daemons, tenantDocument(tenant)))) {
+    if (!(await probe.applyAndMeasure(first, cluster.daemons, tenantDocument(tenant)))) {
       throw new Error(`tenant ${tenant.name} was not accepted`);
     }
   }
@@ -171,17 +171,17 @@
   const context = makeContext({ cluster, probe, load, tenants, stopped, ownerLosses });
   const revisionPoller = pollRevisions(cluster, probe);
   const loadDone = load.run();
-  await scenario.act(context);
+  await scenario.injectFault(context);
   const records = await loadDone;
   await revisionPoller.stop();
   await sleep(SETTLE_MS);
   const caps = new Map<string, number>(TENANTS.map(({ name, maxReplicas }) => [name, maxReplicas]));
-  const evidence: Evidence = {
+  const evidence: AuditEvidence = {
     engineEvents: cluster.engineEvents(),
     callers: records,
-    caps,
+    maxDecidedReplicas: caps,
     stopped,
-    trials: probe.trials,
+    changeRecords: probe.changeRecords,
     reversions: probe.reversions,
   };
   return summarize(scenario.name, evidence, placementGap(cluster, ownerLosses));
@@ -195,7 +195,7 @@
   const done = (async () => {
     while (polling) {
       await Promise.race([
-        Promise.all(cluster.daemons.map((daemon) => probe.look(daemon))),
+        Promise.all(cluster.daemons.map((daemon) => probe.readRevision(daemon))),
         sleep(REVISION_POLL_MS * 2),
       ]);
       await sleep(REVISION_POLL_MS);
@@ -225,8 +225,8 @@
     cluster,
     probe,
     load,
-    rare: tenants[RARE_TENANT_INDEX] ?? { name: 'rare', key: TENANT_KEY },
-    change: (via, targets) => {
+    coldTenant: tenants[RARE_TENANT_INDEX] ?? { name: 'rare', key: TENANT_KEY },
+    applyChange: (via, targets) => {
       const daemon = via ?? cluster.daemons[0];
       if (daemon === undefined) return Promise.resolve(false);
       changeCount += 1;
@@ -235,7 +235,7 @@
         TENANTS[changeCount % TENANTS.length] ?? TENANTS[0],
         `k${changeCount}`,
       );
-      return probe.tryChange(daemon, targets ?? runningDaemons, document);
+      return probe.applyAndMeasure(daemon, targets ?? runningDaemons, document);
     },
     ownerOf: (zone) => findOwner(cluster, zone),
     killDaemon: async (daemon) => {
@@ -253,11 +253,11 @@
       cluster.restartDaemon(daemon);
       await cluster.waitUntilDaemonReady(daemon);
     },
-    ownerLost: (zone) => {
+    recordOwnerLoss: (zone) => {
       ownerLosses.push({ zone, at: Date.now() });
       // Requests for cold tenants require model loads, which show when placement works again.
       tenants.slice(RARE_TENANT_INDEX + 1).forEach((tenant, index) => {
-        setTimeout(() => load.single(tenant), (index + 1) * COLD_REQUEST_INTERVAL_MS);
+        setTimeout(() => load.sendOne(tenant), (index + 1) * COLD_REQUEST_INTERVAL_MS);
       });
     },
   };
@@ -326,11 +326,11 @@
 
 function summarize(
   name: string,
-  evidence: Evidence,
+  evidence: AuditEvidence,
   placementGapMs: number | undefined,
 ): ScenarioResult {
-  const accepted = evidence.callers.filter((call) => !wasNotTaken(call));
-  const changeDurationsMs = evidence.trials.map((trial) => trial.inForceMs ?? Infinity);
+  const accepted = evidence.callers.filter((call) => !wasConnectionRefused(call));
+  const changeDurationsMs = evidence.changeRecords.map((trial) => trial.inForceMs ?? Infinity);
   return {
     name,
     findings: audit(evidence),
--- a/src/chaos/configuration-probe.ts
+++ b/src/chaos/configuration-probe.ts
@@ -5,14 +5,14 @@
 import { AdminClient } from '../client/admin-client.js';
 import { sleep } from '../common/process.js';
 import { ADMIN_KEY, type ClusterDaemon } from '../testbed/local-cluster.js';
-import type { ConfigurationTrial } from './auditor.js';
+import type { ConfigurationChangeRecord } from './auditor.js';
 
 const POLL_MS = 40;
 const POLL_TIMEOUT_MS = 8_000;
 
 /** Polls the configuration revisions of daemons through their administration interface. */
 export class ConfigurationProbe {
-  readonly trials: ConfigurationTrial[] = [];
+  readonly changeRecords: ConfigurationChangeRecord[] = [];
   /** How often a ready daemon reported a lower revision than before. */
   reversions = 0;
   private readonly clients = new Map<string, AdminClient>();
@@ -27,7 +27,7 @@
    * Applies a change through one daemon and measures the time until all of `targets`
    * have reached its revision. Resolves with false if the change was not accepted.
    */
-  async tryChange(
+  async applyAndMeasure(
     via: ClusterDaemon,
     targets: readonly ClusterDaemon[],
     document: { readonly name: string },
@@ -41,12 +41,12 @@
     const delaysMs = await Promise.all(pendingDelays);
     const timedOut = delaysMs.some((milliseconds) => milliseconds === undefined);
     const inForceMs = Math.max(...delaysMs.map((milliseconds) => milliseconds ?? 0));
-    this.trials.push({ inForceMs: timedOut ? undefined : inForceMs });
+    this.changeRecords.push({ inForceMs: timedOut ? undefined : inForceMs });
     return true;
   }
 
   /** Reads a daemon's revision once; undefined if the daemon is not ready. */
-  async look(daemon: ClusterDaemon): Promise<number | undefined> {
+  async readRevision(daemon: ClusterDaemon): Promise<number | undefined> {
     const status = await this.clientFor(daemon).status();
     if (status.isErr || !status.value.ready) return undefined;
     const revision = status.value.configurationRevision;
@@ -62,7 +62,7 @@
     since: number,
   ): Promise<number | undefined> {
     while (Date.now() - since < POLL_TIMEOUT_MS) {
-      const revision = await this.look(daemon);
+      const revision = await this.readRevision(daemon);
       if (revision !== undefined && revision >= version) return Date.now() - since;
       await sleep(POLL_MS);
     }
--- a/src/chaos/load.ts
+++ b/src/chaos/load.ts
@@ -68,12 +68,12 @@
   }
 
   /** Sends one request for a tenant to each daemon at the same time. */
-  burst(tenant: LoadTenant): void {
+  sendToAllDaemons(tenant: LoadTenant): void {
     for (const daemon of this.options.daemons) this.send(daemon, tenant, undefined);
   }
 
   /** Sends one request for a tenant to a daemon chosen by the seeded generator. */
-  single(tenant: LoadTenant): void {
+  sendOne(tenant: LoadTenant): void {
     const { daemons } = this.options;
     this.send(daemons[this.nextInteger(0, daemons.length - 1)] ?? '', tenant, undefined);
   }
--- a/src/chaos/scenarios.ts
+++ b/src/chaos/scenarios.ts
@@ -27,23 +27,23 @@
 async function killOwner(context: ChaosContext, zone: string): Promise<void> {
   const owner = await context.ownerOf(zone);
   await sleep(FAULT_DELAY_MS);
-  context.ownerLost(zone);
+  context.recordOwnerLoss(zone);
   await context.killDaemon(owner);
   const others = othersThan(context, owner);
-  await context.change(others[0], others);
+  await context.applyChange(others[0], others);
 }
 
 async function pauseOwner(context: ChaosContext): Promise<void> {
   const owner = await context.ownerOf('a');
   await sleep(FAULT_DELAY_MS);
-  context.ownerLost('a');
+  context.recordOwnerLoss('a');
   owner.process.signal('SIGSTOP');
   const others = othersThan(context, owner);
-  await context.change(others[0], others);
+  await context.applyChange(others[0], others);
   await sleep(OWNER_PAUSE_MS);
   owner.process.signal('SIGCONT');
   await sleep(FAULT_DELAY_MS);
-  await context.change();
+  await context.applyChange();
 }
 
 async function killRouter(context: ChaosContext): Promise<void> {
@@ -51,9 +51,9 @@
   await sleep(FAULT_DELAY_MS * 2);
   await context.killDaemon(router);
   const others = othersThan(context, router);
-  await context.change(others[0], others);
+  await context.applyChange(others[0], others);
   await context.startDaemon(router);
-  await context.change();
+  await context.applyChange();
 }
 
 async function restartEngines(context: ChaosContext): Promise<void> {
@@ -64,7 +64,7 @@
     await sleep(FAULT_DELAY_MS / 2);
     context.cluster.restartEngine(engine);
   }
-  await context.change();
+  await context.applyChange();
 }
 
 async function cutOwnerFromEngine(context: ChaosContext): Promise<void> {
@@ -76,7 +76,7 @@
   await context.cluster.setLinkFaults(owner, [], [engine.address]);
   await sleep(2_000);
   await context.cluster.setLinkFaults(owner, [], []);
-  await context.change();
+  await context.applyChange();
 }
 
 async function cutDaemonFromPeers(context: ChaosContext): Promise<void> {
@@ -84,23 +84,23 @@
   const others = othersThan(context, owner);
   const peers = others.map((daemon) => daemon.peers);
   await sleep(FAULT_DELAY_MS);
-  context.ownerLost('b');
+  context.recordOwnerLoss('b');
   await context.cluster.setLinkFaults(owner, peers, peers);
-  await context.change(others[0], others);
+  await context.applyChange(others[0], others);
   await sleep(3_500);
   await context.cluster.setLinkFaults(owner, [], []);
   await sleep(2_500);
-  await context.change();
+  await context.applyChange();
 }
 
 async function platformDown(context: ChaosContext): Promise<void> {
   await sleep(FAULT_DELAY_MS);
   await context.cluster.setPlatformFaults({ down: true });
-  await context.change();
+  await context.applyChange();
   await sleep(5_000);
   await context.cluster.setPlatformFaults({ down: false });
   await sleep(3_500);
-  await context.change();
+  await context.applyChange();
 }
 
 async function platformSlow(context: ChaosContext): Promise<void> {
@@ -114,7 +114,7 @@
   await context.cluster.setPlatformFaults({ loseReplies: 3 });
   await killOwner(context, 'a');
   await context.cluster.setPlatformFaults({ loseReplies: 2 });
-  await context.change(othersThan(context, await context.ownerOf('c'))[0]).catch(() => false);
+  await context.applyChange(othersThan(context, await context.ownerOf('c'))[0]).catch(() => false);
   await sleep(1_000);
   await context.cluster.setPlatformFaults({ loseReplies: 0 });
 }
@@ -124,7 +124,7 @@
   await context.cluster.setWeightStoreStalled(true);
   await sleep(4_000);
   await context.cluster.setWeightStoreStalled(false);
-  await context.change();
+  await context.applyChange();
 }
 
 async function machineReclaimed(context: ChaosContext): Promise<void> {
@@ -136,12 +136,12 @@
   await sleep(2_500);
   await engine.process.kill();
   await context.cluster.setMachineStates([engine.address], [markedLeaving.address]);
-  await context.change();
+  await context.applyChange();
 }
 
 async function operatorsRace(context: ChaosContext): Promise<void> {
   for (let round = 0; round < 5; round++) {
-    await Promise.all(context.cluster.daemons.slice(0, 3).map((daemon) => context.change(daemon)));
+    await Promise.all(context.cluster.daemons.slice(0, 3).map((daemon) => context.applyChange(daemon)));
     await sleep(300);
   }
 }
@@ -151,7 +151,7 @@
     await context.stopDaemon(daemon);
     await context.startDaemon(daemon);
   }
-  await context.change();
+  await context.applyChange();
 }
 
 async function zoneCutOff(context: ChaosContext): Promise<void> {
@@ -172,19 +172,19 @@
     await context.cluster.setLinkFaults(daemon, outsideAddresses, outsideAddresses);
   for (const daemon of outside)
     await context.cluster.setLinkFaults(daemon, insideAddresses, insideAddresses);
-  await context.change(outside[0], outside);
+  await context.applyChange(outside[0], outside);
   await sleep(4_000);
   for (const daemon of context.cluster.daemons) await context.cluster.setLinkFaults(daemon, [], []);
   await sleep(4_500);
-  await context.change();
+  await context.applyChange();
 }
 
 async function burstForColdModel(context: ChaosContext): Promise<void> {
   for (let round = 0; round < 3; round++) {
-    context.load.burst(context.rare);
+    context.load.sendToAllDaemons(context.coldTenant);
     await sleep(2_200);
   }
-  await context.change();
+  await context.applyChange();
 }
 
 async function engineLosesReplies(context: ChaosContext): Promise<void> {
@@ -202,7 +202,7 @@
       await context.cluster.setEngineFaults(engine, { cutStreams: true });
     }
   }
-  await context.change();
+  await context.applyChange();
 }
 
 async function engineFrozen(context: ChaosContext): Promise<void> {
@@ -211,7 +211,7 @@
   engine.process.signal('SIGSTOP');
   await sleep(5_000);
   engine.process.signal('SIGCONT');
-  await context.change();
+  await context.applyChange();
 }
 
 async function severalAtOnce(context: ChaosContext): Promise<void> {
@@ -227,7 +227,7 @@
   await sleep(1_000);
   await context.cluster.setWeightStoreStalled(false);
   await context.cluster.setPlatformFaults({ delayMs: 0, loseReplies: 0 });
-  await context.change(others[0], others);
+  await context.applyChange(others[0], others);
   await context.startDaemon(owner);
 }
 
@@ -239,25 +239,25 @@
 
 /** All scenarios, in the order in which they are run. */
 export const SCENARIOS: readonly Scenario[] = [
-  { name: 'calm', seconds: 5, act: async (context) => void (await context.change()) },
-  { name: 'owner-killed', seconds: 8, act: (context) => killOwner(context, 'a') },
-  { name: 'owner-paused', seconds: 9, act: pauseOwner },
-  { name: 'router-killed', seconds: 8, act: killRouter },
-  { name: 'engines-restarted', seconds: 8, act: restartEngines },
-  { name: 'engine-frozen', seconds: 9, act: engineFrozen },
-  { name: 'link-owner-engine-cut', seconds: 9, act: cutOwnerFromEngine },
-  { name: 'daemon-cut-off', seconds: 10, act: cutDaemonFromPeers },
-  { name: 'platform-down', seconds: 10, act: platformDown },
-  { name: 'platform-slow', seconds: 9, act: platformSlow },
-  { name: 'platform-loses-replies', seconds: 9, act: platformLosesReplies },
-  { name: 'weight-store-stalled', seconds: 8, act: weightStoreStalled },
-  { name: 'machine-reclaimed', seconds: 9, act: machineReclaimed },
-  { name: 'operators-race', seconds: 7, act: operatorsRace },
-  { name: 'rolling-restart', seconds: 16, act: rollingRestart },
-  { name: 'zone-cut-off', seconds: 12, act: zoneCutOff },
-  { name: 'cold-burst', seconds: 8, act: burstForColdModel },
-  { name: 'engine-loses-replies', seconds: 9, act: engineLosesReplies },
-  { name: 'streams-cut', seconds: 6, act: streamsCut },
-  { name: 'several-at-once', seconds: 9, act: severalAtOnce },
-  { name: 'several-twice', seconds: 16, act: severalAtOnceTwice },
+  { name: 'calm', seconds: 5, injectFault: async (context) => void (await context.applyChange()) },
+  { name: 'owner-killed', seconds: 8, injectFault: (context) => killOwner(context, 'a') },
+  { name: 'owner-paused', seconds: 9, injectFault: pauseOwner },
+  { name: 'router-killed', seconds: 8, injectFault: killRouter },
+  { name: 'engines-restarted', seconds: 8, injectFault: restartEngines },
+  { name: 'engine-frozen', seconds: 9, injectFault: engineFrozen },
+  { name: 'link-owner-engine-cut', seconds: 9, injectFault: cutOwnerFromEngine },
+  { name: 'daemon-cut-off', seconds: 10, injectFault: cutDaemonFromPeers },
+  { name: 'platform-down', seconds: 10, injectFault: platformDown },
+  { name: 'platform-slow', seconds: 9, injectFault: platformSlow },
+  { name: 'platform-loses-replies', seconds: 9, injectFault: platformLosesReplies },
+  { name: 'weight-store-stalled', seconds: 8, injectFault: weightStoreStalled },
+  { name: 'machine-reclaimed', seconds: 9, injectFault: machineReclaimed },
+  { name: 'operators-race', seconds: 7, injectFault: operatorsRace },
+  { name: 'rolling-restart', seconds: 16, injectFault: rollingRestart },
+  { name: 'zone-cut-off', seconds: 12, injectFault: zoneCutOff },
+  { name: 'cold-burst', seconds: 8, injectFault: burstForColdModel },
+  { name: 'engine-loses-replies', seconds: 9, injectFault: engineLosesReplies },
+  { name: 'streams-cut', seconds: 6, injectFault: streamsCut },
+  { name: 'several-at-once', seconds: 9, injectFault: severalAtOnce },
+  { name: 'several-twice', seconds: 16, injectFault: severalAtOnceTwice },
 ];
--- a/src/cli/daemon-command.ts
+++ b/src/cli/daemon-command.ts
@@ -6,7 +6,7 @@
 import { loadSettings, type DaemonSettings } from '../daemon/settings.js';
 import { HttpEngineClient } from '../engines/http-engine-client.js';
 import { HttpPlatformClient } from '../platform/http-platform-client.js';
-import { fail } from './output.js';
+import { reportError } from './output.js';
 
 interface DaemonFlags {
   readonly settings: string;
@@ -48,7 +48,7 @@
 
 async function runDaemon(flags: DaemonFlags): Promise<void> {
   const settings = loadSettings(flags.settings, overridesOf(flags));
-  if (settings.isErr) return fail(settings.error);
+  if (settings.isErr) return reportError(settings.error);
   const daemon = makeDaemon(settings.value);
   process.on('uncaughtException', (fault) => {
     const logger = createLogger({ daemon: settings.value.name });
--- a/src/cli/losses-command.ts
+++ b/src/cli/losses-command.ts
@@ -5,8 +5,8 @@
 import { Result } from 'true-myth';
 import { serviceError, type ServiceError } from '../common/errors.js';
 import { parseLogLine, type LogEvent } from '../diagnosis/log-line.js';
-import { lossReport, type Spread } from '../diagnosis/loss-report.js';
-import { fail } from './output.js';
+import { lossReport, type Percentiles } from '../diagnosis/loss-report.js';
+import { reportError } from './output.js';
 
 /** File name that stands for standard input. */
 const STANDARD_INPUT = '-';
@@ -21,7 +21,7 @@
       const events: LogEvent[] = [];
       for (const file of files) {
         const read = await readEvents(file);
-        if (read.isErr) return fail(read.error);
+        if (read.isErr) return reportError(read.error);
         events.push(...read.value);
       }
       printReport(events);
@@ -78,7 +78,7 @@
   }
 }
 
-function printSpreads(title: string, spreads: ReadonlyMap<string, Spread>): void {
+function printSpreads(title: string, spreads: ReadonlyMap<string, Percentiles>): void {
   console.log(`${title}:`);
   for (const [key, { count, p50, p95 }] of [...spreads].sort()) {
     console.log(`  ${key}: ${count}, p50 ${p50}, p95 ${p95}`);
--- a/src/cli/operator-commands.ts
+++ b/src/cli/operator-commands.ts
@@ -9,13 +9,13 @@
 import { readText } from '../daemon/settings.js';
 import type { StatusReport } from '../daemon/status.js';
 import { readDocuments } from './document-files.js';
-import { fail, printJson, printTable, type OutputForm } from './output.js';
+import { reportError, printJson, printTable, type OutputFormat } from './output.js';
 
 interface ConnectionFlags {
   readonly server: string;
   readonly key?: string;
   readonly keyFile?: string;
-  readonly output: OutputForm;
+  readonly output: OutputFormat;
 }
 
 function withConnection(command: Command): Command {
@@ -39,7 +39,7 @@
   action: (client: AdminClient) => Promise<void>,
 ): Promise<void> {
   const key = flags.keyFile === undefined ? undefined : readText(flags.keyFile);
-  if (key?.isErr) return fail(key.error);
+  if (key?.isErr) return reportError(key.error);
   const client = new AdminClient(flags.server, key?.isOk ? key.value.trim() : (flags.key ?? ''));
   await action(client);
   client.close();
@@ -48,7 +48,7 @@
 function collectionFor(kind: string): Collection | undefined {
   if (/^templates?$/i.test(kind)) return 'templates';
   if (/^tenants?$/i.test(kind)) return 'tenants';
-  fail(serviceError('malformed_request', `"${kind}": expected "template" or "tenant"`));
+  reportError(serviceError('malformed_request', `"${kind}": expected "template" or "tenant"`));
   return undefined;
 }
 
@@ -64,14 +64,14 @@
   flags: ConnectionFlags & { ifVersion?: string },
 ): Promise<void> {
   const documents = readDocuments(file);
-  if (documents.isErr) return fail(documents.error);
+  if (documents.isErr) return reportError(documents.error);
   const version = flags.ifVersion === undefined ? undefined : Number(flags.ifVersion);
   await withClient(flags, async (client) => {
     const applied: { kind: string; name: string; version: number }[] = [];
     for (const document of templatesFirst(documents.value)) {
       const { kind, name } = document;
       const written = await client.put(collectionOf(document), name, document, version);
-      if (written.isErr) return fail(written.error);
+      if (written.isErr) return reportError(written.error);
       applied.push({ kind, name, version: written.value.version });
     }
     if (flags.output === 'json') return printJson(applied);
@@ -87,12 +87,12 @@
   flags: ConnectionFlags & { offline?: boolean },
 ): Promise<void> {
   const documents = readDocuments(file);
-  if (documents.isErr) return fail(documents.error);
+  if (documents.isErr) return reportError(documents.error);
   if (flags.offline !== true) {
     await withClient(flags, async (client) => {
       for (const document of documents.value) {
         const checked = await client.check(document);
-        if (checked.isErr) return fail(checked.error);
+        if (checked.isErr) return reportError(checked.error);
       }
     });
   }
@@ -103,11 +103,11 @@
 
 async function diffFile(file: string, flags: ConnectionFlags): Promise<void> {
   const documents = readDocuments(file);
-  if (documents.isErr) return fail(documents.error);
+  if (documents.isErr) return reportError(documents.error);
   await withClient(flags, async (client) => {
     for (const document of documents.value) {
       const found = await client.get(collectionOf(document), document.name);
-      if (found.isErr && found.error.kind !== 'not_found') return fail(found.error);
+      if (found.isErr && found.error.kind !== 'not_found') return reportError(found.error);
       const before = found.isOk ? stringify(found.value.document) : '';
       printDifference(`${document.kind} ${document.name}`, before, stringify(document));
     }
@@ -148,7 +148,7 @@
       name === undefined
         ? await client.list(collection)
         : (await client.get(collection, name)).map((item) => [item]);
-    if (found.isErr) return fail(found.error);
+    if (found.isErr) return reportError(found.error);
     if (flags.output === 'json') return printJson(found.value);
     printTable(['KIND', 'NAME', 'TEMPLATE', 'VERSION'], found.value.map(summaryRow));
   });
@@ -159,7 +159,7 @@
   if (collection === undefined) return;
   await withClient(flags, async (client) => {
     const found = await client.get(collection, name);
-    if (found.isErr) return fail(found.error);
+    if (found.isErr) return reportError(found.error);
     const status = collection === 'tenants' ? await client.status() : undefined;
     const state = status?.isOk ? status.value.tenants.find((t) => t.name === name) : undefined;
     const description = { ...found.value, ...(state === undefined ? {} : { state }) };
@@ -178,7 +178,7 @@
   const version = flags.ifVersion === undefined ? undefined : Number(flags.ifVersion);
   await withClient(flags, async (client) => {
     const removed = await client.remove(collection, name, version);
-    if (removed.isErr) return fail(removed.error);
+    if (removed.isErr) return reportError(removed.error);
     process.stdout.write(`deleted ${name}\n`);
   });
 }
@@ -186,7 +186,7 @@
 async function showStatus(flags: ConnectionFlags): Promise<void> {
   await withClient(flags, async (client) => {
     const status = await client.status();
-    if (status.isErr) return fail(status.error);
+    if (status.isErr) return reportError(status.error);
     if (flags.output === 'json') return printJson(status.value);
     printStatus(status.value);
   });
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -2,7 +2,7 @@
 import type { ServiceError } from '../common/errors.js';
 
 /** Output formats. */
-export type OutputForm = 'table' | 'json';
+export type OutputFormat = 'table' | 'json';
 
 /** Exit codes, which let scripts distinguish version conflicts and outages from other errors. */
 export const EXIT_CODES = { ok: 0, failed: 1, conflict: 3, unavailable: 4 } as const;
@@ -24,7 +24,7 @@
 }
 
 /** Prints an error to standard error and sets the exit code. */
-export function fail(error: ServiceError): void {
+export function reportError(error: ServiceError): void {
   const retry =
     error.retryAfterSeconds === undefined ? '' : ` (retry after ${error.retryAfterSeconds} s)`;
   process.stderr.write(`error: ${error.kind}: ${error.message}${retry}\n`);
--- a/src/client/model-client.ts
+++ b/src/client/model-client.ts
@@ -23,7 +23,7 @@
 }
 
 /** Result of a call as the caller observed it. Times are Unix milliseconds. */
-export interface ModelAnswer {
+export interface ModelResponse {
   /** `whole`: the response is complete. `refused`: the service returned an error. `lost`: the response never finished. */
   readonly outcome: 'whole' | 'refused' | 'lost';
   readonly status: number;
@@ -72,7 +72,7 @@
   }
 
   /** The result, once the connection has ended. */
-  result(incoming: http.IncomingMessage | undefined, reason: string): ModelAnswer {
+  result(incoming: http.IncomingMessage | undefined, reason: string): ModelResponse {
     if (this.pending !== '') this.readBody(this.pending);
     const retryAfter = incoming?.headers['retry-after'];
     const requestId = incoming?.headers['x-request-id'];
@@ -92,7 +92,7 @@
     };
   }
 
-  private outcome(): ModelAnswer['outcome'] {
+  private outcome(): ModelResponse['outcome'] {
     if (this.error !== undefined) return 'refused';
     return this.finished ? 'whole' : 'lost';
   }
@@ -118,7 +118,7 @@
 }
 
 /** Makes a call. Never throws. */
-export function callModel(call: ModelCall): Promise<ModelAnswer> {
+export function callModel(call: ModelCall): Promise<ModelResponse> {
   const reader = new ResponseReader(call.onToken ?? (() => {}));
   const [host, port] = splitAddress(call.server);
   const payload = JSON.stringify({
--- a/src/common/errors.ts
+++ b/src/common/errors.ts
@@ -10,7 +10,7 @@
 export type Ran = 'no' | 'yes' | 'unknown';
 
 /** The HTTP response for one kind of error. */
-export interface ErrorAnswer {
+export interface ErrorResponse {
   /** HTTP status code. */
   readonly status: number;
   /** Whether the request ran. */
@@ -20,7 +20,7 @@
 }
 
 /** HTTP response by error kind; the only place that defines `status` and `ran`. */
-export const ERROR_ANSWERS = {
+export const ERROR_RESPONSES = {
   malformed_request: { status: 400, ran: 'no', retryAfterSeconds: 0 },
   unauthorized: { status: 401, ran: 'no', retryAfterSeconds: 0 },
   forbidden: { status: 403, ran: 'no', retryAfterSeconds: 0 },
@@ -51,10 +51,10 @@
   platform_outcome_unknown: { status: 504, ran: 'unknown', retryAfterSeconds: 5 },
   settings_invalid: { status: 500, ran: 'no', retryAfterSeconds: 0 },
   internal: { status: 500, ran: 'unknown', retryAfterSeconds: 0 },
-} as const satisfies Record<string, ErrorAnswer>;
+} as const satisfies Record<string, ErrorResponse>;
 
 /** Kind of an error. */
-export type ErrorKind = keyof typeof ERROR_ANSWERS;
+export type ErrorKind = keyof typeof ERROR_RESPONSES;
 
 /** An error with a kind of {@link ERROR_RESPONSES}. */
 export interface ServiceError {
@@ -82,13 +82,13 @@
 }
 
 /** The HTTP response for an error kind. */
-export function answerFor(kind: ErrorKind): ErrorAnswer {
-  return ERROR_ANSWERS[kind];
+export function responseFor(kind: ErrorKind): ErrorResponse {
+  return ERROR_RESPONSES[kind];
 }
 
 /** Value of the Retry-After header in whole seconds, rounded up; 0 omits the header. */
 export function retryAfterOf(error: ServiceError): number {
-  const seconds = error.retryAfterSeconds ?? answerFor(error.kind).retryAfterSeconds;
+  const seconds = error.retryAfterSeconds ?? responseFor(error.kind).retryAfterSeconds;
   return Math.max(0, Math.ceil(seconds));
 }
 
@@ -112,7 +112,7 @@
       type: error.kind,
       code: error.kind,
       message: error.message,
-      ran: answerFor(error.kind).ran,
+      ran: responseFor(error.kind).ran,
       retry_after: retryAfter > 0 ? retryAfter : null,
       ...(error.currentVersion === undefined ? {} : { current_version: error.currentVersion }),
     },
--- a/src/common/http-client.ts
+++ b/src/common/http-client.ts
@@ -15,7 +15,7 @@
 }
 
 /** A response with its complete body. */
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
@@ -81,10 +81,10 @@
   }
 
   /** Sends a request and reads the complete response. */
-  async send(request: HttpRequest): Promise<Result<HttpAnswer, TransportFailure>> {
+  async send(request: HttpRequest): Promise<Result<HttpResponse, TransportFailure>> {
     return new Promise((resolve) => {
       let finished = false;
-      const finish = (result: Result<HttpAnswer, TransportFailure>): void => {
+      const finish = (result: Result<HttpResponse, TransportFailure>): void => {
         if (finished) return;
         finished = true;
         clearTimeout(timer);
@@ -179,7 +179,7 @@
 
   private start(
     request: HttpRequest,
-    fail: (result: Result<HttpAnswer, TransportFailure>) => void,
+    fail: (result: Result<HttpResponse, TransportFailure>) => void,
     onAnswer: (incoming: http.IncomingMessage) => void,
   ): http.ClientRequest | undefined {
     if (this.options.faults?.blocksOutbound(request.address)) return undefined;
@@ -247,6 +247,6 @@
   outgoing?.destroy();
 }
 
-function lostFailure(fault: Error): Result<HttpAnswer, TransportFailure> {
+function lostFailure(fault: Error): Result<HttpResponse, TransportFailure> {
   return Result.err({ reason: 'lost', message: fault.message });
 }
--- a/src/common/http-server.ts
+++ b/src/common/http-server.ts
@@ -1,7 +1,7 @@
 /** Helpers for Node's `http` server: size-limited bodies, JSON responses, and listening with a promise. */
 import http from 'node:http';
 import { Result } from 'true-myth';
-import { answerFor, errorBody, retryAfterOf, serviceError, type ServiceError } from './errors.js';
+import { responseFor, errorBody, retryAfterOf, serviceError, type ServiceError } from './errors.js';
 import { parseJson } from './http-client.js';
 
 /** Reads a body of at most `limit` bytes. Fails with `body_too_large` or `malformed_request`. */
@@ -67,7 +67,7 @@
   headers: Readonly<Record<string, string>> = {},
 ): void {
   const retryAfter = retryAfterOf(error);
-  const answer = answerFor(error.kind);
+  const answer = responseFor(error.kind);
   const allHeaders: Record<string, string> = { ...headers };
   allHeaders['x-ran'] = answer.ran;
   allHeaders['x-error-kind'] = error.kind;
--- a/src/common/lease-clock.ts
+++ b/src/common/lease-clock.ts
@@ -12,7 +12,7 @@
 /** Measures an upper bound of the elapsed time. */
 export class LeaseClock {
   /** Called with the milliseconds of each forward step of the wall clock. */
-  onLeap: (milliseconds: number) => void = () => {};
+  onForwardStep: (milliseconds: number) => void = () => {};
   private totalStepMs = 0;
   private offset: number;
 
@@ -40,7 +40,7 @@
 
   private recordStep(milliseconds: number): void {
     this.totalStepMs += milliseconds;
-    this.onLeap(Math.round(milliseconds));
+    this.onForwardStep(Math.round(milliseconds));
   }
 }
 
--- a/src/common/line-budget.ts
+++ b/src/common/log-rate-limiter.ts
@@ -5,7 +5,7 @@
 const LINES_PER_SECOND = 50;
 
 /** Decision about one log line. */
-export interface LineGrant {
+export interface LogLineDecision {
   readonly written: boolean;
   /** Lines of this event dropped since the last one that was written. */
   readonly leftOut: number;
@@ -18,7 +18,7 @@
 }
 
 /** Holds a token bucket for each event name. */
-export class LineBudget {
+export class LogRateLimiter {
   private readonly buckets = new Map<string, EventBucket>();
 
   /**
@@ -27,7 +27,7 @@
    * @param now - Monotonic time in milliseconds.
    * @param isBlocked - The reader of the log is too slow; the line is dropped regardless of the limit.
    */
-  take(event: string, now: number, isBlocked: boolean): LineGrant {
+  take(event: string, now: number, isBlocked: boolean): LogLineDecision {
     const bucket = this.buckets.get(event) ?? { tokens: BURST_LINES, updatedAt: now, leftOut: 0 };
     this.buckets.set(event, bucket);
     const added = ((now - bucket.updatedAt) / 1_000) * LINES_PER_SECOND;
--- a/src/common/logger.ts
+++ b/src/common/logger.ts
@@ -3,7 +3,7 @@
  * Prompts and keys are never logged. The rate of lines is limited for each event name.
  */
 import winston from 'winston';
-import { LineBudget } from './line-budget.js';
+import { LogRateLimiter } from './log-rate-limiter.js';
 
 /** Values that a log line may carry. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
@@ -57,7 +57,7 @@
     format: winston.format.combine(winston.format.timestamp(), line),
     transports: [new winston.transports.Console()],
   });
-  const lineLimiter = new LineBudget();
+  const lineLimiter = new LogRateLimiter();
   const write = (level: LogLevel, event: string, fields: LogFields = {}): void => {
     // If the reader of standard output is too slow, lines are dropped instead of delaying the process.
     const isFull = process.stdout.writableLength > MAX_BACKLOG_BYTES;
--- a/src/core/pool-messages.ts
+++ b/src/core/pool-messages.ts
@@ -2,7 +2,7 @@
 import type {
   EngineOrder,
   EngineReport,
-  OrderAnswer,
+  OrderReply,
   OrderFence,
 } from '../engines/engine-client.js';
 import type { TenantSpec } from './documents.js';
@@ -66,7 +66,7 @@
       readonly type: 'order_answered';
       readonly engine: string;
       readonly fence: OrderFence;
-      readonly answer: OrderAnswer;
+      readonly answer: OrderReply;
     }
   | { readonly type: 'report'; readonly engine: string; readonly report: EngineReport }
   | { readonly type: 'engine_unreachable'; readonly engine: string }
--- a/src/core/pool-owner.ts
+++ b/src/core/pool-owner.ts
@@ -10,7 +10,7 @@
  */
 import type {
   EngineOrder,
-  OrderAnswer,
+  OrderReply,
   OrderFence,
   ReplicaSpec,
 } from '../engines/engine-client.js';
@@ -212,7 +212,7 @@
   private orderAnswered(
     address: string,
     fence: OrderFence,
-    answer: OrderAnswer,
+    answer: OrderReply,
     now: number,
   ): void {
     const engine = this.engines.get(address);
--- a/src/core/router.ts
+++ b/src/core/router.ts
@@ -8,7 +8,7 @@
  * have been sent, the router sends the request again only if the engine confirms that
  * it did not run.
  */
-import { answerFor, type ErrorKind } from '../common/errors.js';
+import { responseFor, type ErrorKind } from '../common/errors.js';
 import type { ReplicaLoad, RequestRefusal } from '../engines/engine-client.js';
 import type { TenantSpec } from './documents.js';
 import { isRefusal, type TenantLocation } from './pool-messages.js';
@@ -405,7 +405,7 @@
     retryAfterMs?: number,
   ): void {
     const retry = retryAfterMs === undefined ? {} : { retryAfterMs };
-    const claimsNotRun = answerFor(kind).ran === 'no';
+    const claimsNotRun = responseFor(kind).ran === 'no';
     const reportedKind = claimsNotRun && state.mayHaveRun ? 'engine_outcome_unknown' : kind;
     this.effects.push({
       type: 'refuse',
--- a/src/daemon/caller-api.ts
+++ b/src/daemon/caller-api.ts
@@ -77,7 +77,7 @@
   readonly requests: RequestService;
   readonly bodyLimitBytes: number;
   /** Returns the error to refuse requests with; undefined if the daemon is ready. */
-  readonly unready: () => ServiceError | undefined;
+  readonly notReadyError: () => ServiceError | undefined;
 }
 
 /** Handles the requests of callers. */
@@ -124,7 +124,7 @@
     request: http.IncomingMessage,
   ): Promise<Result<AcceptedCall, ServiceError>> {
     const body = await readJson(request, this.options.bodyLimitBytes);
-    const unready = this.options.unready();
+    const unready = this.options.notReadyError();
     if (unready !== undefined) return Result.err(unready);
     if (body.isErr) return Result.err(body.error);
     const parsed = chat ? parseChat(body.value) : parseCompletion(body.value);
@@ -168,7 +168,7 @@
       includeUsage: call.body.includeUsage,
     });
     response.on('close', () => {
-      if (!exchange.isEnded) this.options.requests.callerGone(request.id);
+      if (!exchange.isEnded) this.options.requests.callerDisconnected(request.id);
     });
     const caller: CallerRequest = { request, exchange, prompt, maxTokens };
     this.options.requests.submit(caller);
--- a/src/daemon/caller-exchange.ts
+++ b/src/daemon/caller-exchange.ts
@@ -8,7 +8,7 @@
 import { sendError, sendJson } from '../common/http-server.js';
 
 /** Properties of the requested response. */
-export interface AnswerShape {
+export interface ResponseOptions {
   readonly id: string;
   /** Name of the tenant; the value of `model` in the response. */
   readonly model: string;
@@ -28,7 +28,7 @@
 
   constructor(
     private readonly response: http.ServerResponse,
-    readonly shape: AnswerShape,
+    readonly responseOptions: ResponseOptions,
   ) {}
 
   /** Whether the response is complete or has failed; nothing more is written. */
@@ -47,7 +47,7 @@
   addToken(offset: number, text: string): boolean {
     if (this.ended || offset !== this.texts.length) return false;
     this.texts.push(text);
-    if (this.shape.stream) {
+    if (this.responseOptions.stream) {
       this.startStream();
       this.writeEvent(this.chunk({ content: text }, null));
     }
@@ -58,13 +58,13 @@
   finish(finishReason: 'stop' | 'length'): void {
     if (this.ended) return;
     this.ended = true;
-    if (!this.shape.stream) {
+    if (!this.responseOptions.stream) {
       sendJson(this.response, 200, this.fullResponse(finishReason), this.headers());
       return;
     }
     this.startStream();
     this.writeEvent(this.chunk({}, finishReason));
-    if (this.shape.includeUsage) this.writeEvent({ ...this.frame([]), usage: this.usage() });
+    if (this.responseOptions.includeUsage) this.writeEvent({ ...this.frame([]), usage: this.usage() });
     this.response.end('data: [DONE]\n\n');
   }
 
@@ -79,11 +79,11 @@
       this.response.end();
       return;
     }
-    sendError(this.response, error, { 'x-request-id': this.shape.id });
+    sendError(this.response, error, { 'x-request-id': this.responseOptions.id });
   }
 
   private headers(): Record<string, string> {
-    return { 'x-request-id': this.shape.id, 'x-ran': 'yes' };
+    return { 'x-request-id': this.responseOptions.id, 'x-ran': 'yes' };
   }
 
   private startStream(): void {
@@ -101,19 +101,19 @@
   }
 
   private object(): string {
-    if (!this.shape.chat) return 'text_completion';
-    return this.shape.stream ? 'chat.completion.chunk' : 'chat.completion';
+    if (!this.responseOptions.chat) return 'text_completion';
+    return this.responseOptions.stream ? 'chat.completion.chunk' : 'chat.completion';
   }
 
   private frame(choices: readonly unknown[]): object {
-    const { id, created, model } = this.shape;
-    const prefix = this.shape.chat ? 'chatcmpl' : 'cmpl';
+    const { id, created, model } = this.responseOptions;
+    const prefix = this.responseOptions.chat ? 'chatcmpl' : 'cmpl';
     return { id: `${prefix}-${id}`, object: this.object(), created, model, choices };
   }
 
   private chunk(delta: { content?: string }, finishReason: string | null): object {
     const head = { index: 0, finish_reason: finishReason };
-    if (!this.shape.chat) return this.frame([{ ...head, text: delta.content ?? '' }]);
+    if (!this.responseOptions.chat) return this.frame([{ ...head, text: delta.content ?? '' }]);
     const first = this.texts.length === 1 && delta.content !== undefined;
     const role = first ? { role: 'assistant' } : {};
     return this.frame([{ ...head, delta: { ...role, ...delta } }]);
@@ -123,12 +123,12 @@
     const text = this.texts.join('');
     const head = { index: 0, finish_reason: finishReason };
     const message = { role: 'assistant', content: text };
-    const choice = this.shape.chat ? { ...head, message } : { ...head, text };
+    const choice = this.responseOptions.chat ? { ...head, message } : { ...head, text };
     return { ...this.frame([choice]), usage: this.usage() };
   }
 
   private usage(): object {
-    const { promptTokens } = this.shape;
+    const { promptTokens } = this.responseOptions;
     return {
       prompt_tokens: promptTokens,
       completion_tokens: this.texts.length,
--- a/src/daemon/conditional-update.ts
+++ b/src/daemon/conditional-update.ts
@@ -19,11 +19,11 @@
   /** Returns the new value for the current one, or undefined if no write is needed. */
   readonly change: (current: Value | undefined) => Value | undefined;
   /** Whether a value that was read back comes from the write in question. */
-  readonly isOwn: (written: Value, found: Value) => boolean;
+  readonly isSameWrite: (written: Value, found: Value) => boolean;
 }
 
 /** An object after an update. */
-export interface Updated<Value> {
+export interface UpdateResult<Value> {
   readonly version: number;
   readonly value: Value | undefined;
   /** False if no write was needed. */
@@ -38,7 +38,7 @@
 export async function updateObject<Value>(
   platform: PlatformClient,
   update: ConditionalUpdate<Value>,
-): Promise<Result<Updated<Value>, ServiceError>> {
+): Promise<Result<UpdateResult<Value>, ServiceError>> {
   const { kind, name } = update;
   for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
     const current = await readObject<Value>(platform, kind, name);
@@ -61,11 +61,11 @@
   platform: PlatformClient,
   update: ConditionalUpdate<Value>,
   value: Value,
-): Promise<Result<Updated<Value> | undefined, ServiceError>> {
+): Promise<Result<UpdateResult<Value> | undefined, ServiceError>> {
   for (let attempt = 0; attempt < READ_BACK_ATTEMPTS; attempt++) {
     const found = await readObject<Value>(platform, update.kind, update.name);
     if (found.isOk) {
-      const isOwn = found.value.value !== undefined && update.isOwn(value, found.value.value);
+      const isOwn = found.value.value !== undefined && update.isSameWrite(value, found.value.value);
       return Result.ok(isOwn ? { version: found.value.version, value, written: true } : undefined);
     }
     await sleep(READ_BACK_PAUSE_MS);
--- a/src/daemon/configuration-service.ts
+++ b/src/daemon/configuration-service.ts
@@ -88,7 +88,7 @@
     this.configuration.setUpstreams(upstreams);
     this.machines.setUpstreams(upstreams);
     for (const relay of [this.configuration, this.machines]) {
-      for (const subscriber of relay.subscriberList()) {
+      for (const subscriber of relay.subscriberAddresses()) {
         // A subscriber considered dead may only be paused, so it is kept while it is a known
         // member.
         if (!membership.isKnown(subscriber)) relay.dropSubscriber(subscriber);
@@ -104,15 +104,15 @@
   }
 
   /** Subscribes again to upstreams that have sent nothing recently. */
-  renewSilent(): void {
-    this.configuration.renewSilent();
-    this.machines.renewSilent();
+  resubscribeSilentUpstreams(): void {
+    this.configuration.resubscribeSilentUpstreams();
+    this.machines.resubscribeSilentUpstreams();
   }
 
   /** Sends this daemon's positions in the feeds to its subscribers. */
   sendHeartbeats(): void {
     const relays = [this.configuration, this.machines];
-    const subscribers = new Set(relays.flatMap((relay) => relay.subscriberList()));
+    const subscribers = new Set(relays.flatMap((relay) => relay.subscriberAddresses()));
     for (const to of subscribers) {
       const positions = relays.flatMap((relay) => relay.positionFor(to) ?? []);
       const value = create(RelayHeartbeatSchema, { positions });
@@ -139,7 +139,7 @@
   }
 
   /** Queries the revisions of the other daemons while the platform is unavailable. */
-  askPeers(): void {
+  queryPeerRevisions(): void {
     const now = this.options.clock.now();
     if (this.isCurrent() || now - this.startedAt < QUERY_PEERS_AFTER_MS) return;
     if (now - this.lastQueryAt < QUERY_PERIOD_MS) return;
--- a/src/daemon/front-door.ts
+++ b/src/daemon/daemon-http-server.ts
@@ -14,15 +14,15 @@
 const FAULTS_BODY_LIMIT_BYTES = 64 * 1024;
 
 /** Dependencies and settings of the HTTP server. */
-export interface FrontDoorOptions {
+export interface DaemonHttpServerOptions {
   readonly host: string;
   readonly port: number;
   readonly logger: Logger;
   readonly metrics: DaemonMetrics;
   readonly callers: CallerApi;
-  readonly operators: AdminApi;
+  readonly adminApi: AdminApi;
   /** Returns the error to refuse requests with; undefined if the daemon is ready. */
-  readonly unready: () => ServiceError | undefined;
+  readonly notReadyError: () => ServiceError | undefined;
   /** Updates the gauges before the metrics are rendered. */
   readonly refreshMetrics: () => void;
   /** Link faults that tests inject; undefined in production. */
@@ -30,10 +30,10 @@
 }
 
 /** Routes HTTP requests to the APIs by path. */
-export class FrontDoor {
+export class DaemonHttpServer {
   private readonly server: http.Server;
 
-  constructor(private readonly options: FrontDoorOptions) {
+  constructor(private readonly options: DaemonHttpServerOptions) {
     this.server = http.createServer((request, response) => {
       this.route(request, response).catch((fault: unknown) => {
         options.logger.error('http_fault', { reason: faultText(fault) });
@@ -70,10 +70,10 @@
 
   private async route(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     const path = (request.url ?? '/').split('?')[0] ?? '/';
-    if (this.options.unready()?.kind === 'draining') response.setHeader('connection', 'close');
+    if (this.options.notReadyError()?.kind === 'draining') response.setHeader('connection', 'close');
     if (path.startsWith('/v1/')) return this.options.callers.handle(path, request, response);
     if (path.startsWith('/admin/v1/')) {
-      return this.options.operators.handle(path, request, response);
+      return this.options.adminApi.handle(path, request, response);
     }
     if (path === '/healthz') return sendJson(response, 200, { alive: true });
     if (path === '/readyz') return this.readiness(response);
@@ -85,7 +85,7 @@
   }
 
   private readiness(response: http.ServerResponse): void {
-    const unready = this.options.unready();
+    const unready = this.options.notReadyError();
     if (unready !== undefined) return sendError(response, unready);
     sendJson(response, 200, { ready: true });
   }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -28,7 +28,7 @@
 import { performMembershipEffects } from './membership-transport.js';
 import { ConfigurationService, RELAY_HEARTBEAT_MS } from './configuration-service.js';
 import { Directory } from './directory.js';
-import { FrontDoor } from './front-door.js';
+import { DaemonHttpServer } from './daemon-http-server.js';
 import { KeyClaims } from './key-claims.js';
 import { DaemonMetrics } from './metrics.js';
 import { PeerTransport, type PeerBody } from './peer-transport.js';
@@ -37,7 +37,7 @@
 import { QuotaReconciler } from './quota-reconciler.js';
 import { RequestService } from './request-service.js';
 import type { DaemonSettings } from './settings.js';
-import { makeStatus, type StatusReport } from './status.js';
+import { buildStatusReport, type StatusReport } from './status.js';
 
 /** Milliseconds between two ticks of the membership protocol. */
 const MEMBERSHIP_TICK_MS = 50;
@@ -80,7 +80,7 @@
   readonly metrics = new DaemonMetrics();
   private readonly keyClaims: KeyClaims;
   private readonly quotas: QuotaReconciler;
-  private readonly frontDoor: FrontDoor;
+  private readonly frontDoor: DaemonHttpServer;
   private readonly clock: Clock;
   private readonly tickers: Ticker[] = [];
   private readonly seenPools = new Set<string>();
@@ -179,14 +179,14 @@
       startTicker(MEMBERSHIP_TICK_MS, () => this.membershipTick(), onError),
       startTicker(DUTY_TICK_MS, () => this.evaluateDuties(), onError),
       startTicker(RELAY_HEARTBEAT_MS, () => this.configuration.sendHeartbeats(), onError),
-      startTicker(CLEANUP_MS, () => this.keyClaims.expire(), onError),
+      startTicker(CLEANUP_MS, () => this.keyClaims.deleteExpired(), onError),
     );
     this.offerSeeds();
     this.membersChanged();
   }
 
   /** Returns the error to refuse requests with; undefined if the daemon is ready. */
-  unready(): ServiceError | undefined {
+  notReadyError(): ServiceError | undefined {
     if (this.draining) return serviceError('draining', 'this daemon is stopping');
     if (this.configuration.isCurrent()) return undefined;
     return serviceError('not_ready', 'the configuration has not been confirmed yet');
@@ -207,7 +207,7 @@
     const { logger } = this.dependencies;
     logger.info('drain_started', { unfinished: this.requests.unfinished });
     this.membershipEvent({ type: 'leave' });
-    this.keyClaims.handOver();
+    this.keyClaims.transferClaims();
     await this.claims.release();
     await this.requests.drain();
     await new Promise((resolve) => setTimeout(resolve, DRAIN_REFUSAL_MS));
@@ -225,9 +225,9 @@
 
   /** Builds the status report. */
   status(): StatusReport {
-    return makeStatus({
+    return buildStatusReport({
       daemon: this.settings.name,
-      ready: this.unready() === undefined,
+      ready: this.notReadyError() === undefined,
       configurationRevision: this.configuration.configuration.state.revision,
       members: this.membership.all(),
       directory: this.directory,
@@ -248,10 +248,10 @@
     this.dependencies.platform.close();
   }
 
-  private makeFrontDoor(faults: LinkFaults): FrontDoor {
+  private makeFrontDoor(faults: LinkFaults): DaemonHttpServer {
     const { settings, dependencies, directory, clock } = this;
-    const unready = (): ServiceError | undefined => this.unready();
-    return new FrontDoor({
+    const notReadyError = (): ServiceError | undefined => this.notReadyError();
+    return new DaemonHttpServer({
       host: settings.address,
       port: settings.callerPort,
       logger: dependencies.logger,
@@ -261,16 +261,16 @@
         directory,
         requests: this.requests,
         bodyLimitBytes: settings.bodyLimitBytes,
-        unready,
+        notReadyError: notReadyError,
       }),
-      operators: new AdminApi({
+      adminApi: new AdminApi({
         platform: dependencies.platform,
         directory,
         adminKeyHashes: settings.adminKeyHashes,
         bodyLimitBytes: settings.bodyLimitBytes,
         status: () => this.status(),
       }),
-      unready,
+      notReadyError: notReadyError,
       refreshMetrics: () => this.refreshMetrics(),
       faults: settings.faultInjection ? faults : undefined,
     });
@@ -298,7 +298,7 @@
       }),
       remoteLoads: this.remoteLoadsFor(record),
       pushLocation: (router, location) => this.transport.send(router, encodeLocation(location)),
-      onLost: (pool, epoch) => this.claims.lost(pool, epoch),
+      onLost: (pool, epoch) => this.claims.removeLostOwner(pool, epoch),
     });
   }
 
@@ -327,7 +327,7 @@
       case 'claimKey':
         return this.keyClaims.handleClaim(from, body.value);
       case 'claimKeyAnswer':
-        return this.keyClaims.handleAnswer(from, body.value);
+        return this.keyClaims.handleVote(from, body.value);
       case 'claimTransfer':
         return this.keyClaims.handleTransfer(from, body.value);
       case 'claimRelease':
@@ -368,9 +368,9 @@
   }
 
   private evaluateDuties(): void {
-    this.configuration.askPeers();
-    this.configuration.renewSilent();
-    this.keyClaims.pull();
+    this.configuration.queryPeerRevisions();
+    this.configuration.resubscribeSilentUpstreams();
+    this.keyClaims.pullClaims();
     this.offerSeeds();
     if (this.draining || !this.configuration.isCurrent()) return;
     this.claims.evaluate();
@@ -395,14 +395,14 @@
     const name = key.slice(slash + 1);
     if (kind === 'tenant' || kind === 'quota') this.quotas.check(name);
     if (kind === 'pool') this.poolChanged(name);
-    if (kind === 'template') this.quotas.checkAllSoon();
+    if (kind === 'template') this.quotas.scheduleCheckAll();
     this.requests.configurationChanged();
   }
 
   private poolChanged(pool: string): void {
     if (this.seenPools.has(pool)) return;
     this.seenPools.add(pool);
-    this.quotas.checkAllSoon();
+    this.quotas.scheduleCheckAll();
   }
 
   private machineChanged(address: string): void {
--- a/src/daemon/feed-relay.ts
+++ b/src/daemon/feed-relay.ts
@@ -111,7 +111,7 @@
    * Subscribes again to upstreams that have sent nothing recently: while this daemon
    * was paused, an upstream may have considered it dead and dropped its subscription.
    */
-  renewSilent(): void {
+  resubscribeSilentUpstreams(): void {
     const now = this.options.clock.now();
     for (const address of this.upstreams) {
       const silentMs = now - (this.lastContactAt.get(address) ?? 0);
@@ -125,7 +125,7 @@
   }
 
   /** Addresses of the daemons that subscribe to this relay. */
-  subscriberList(): string[] {
+  subscriberAddresses(): string[] {
     return [...this.subscribers.keys()];
   }
 
--- a/src/daemon/key-claims.ts
+++ b/src/daemon/key-claims.ts
@@ -142,7 +142,7 @@
    * Keeps the key of an ended request claimed until it expires, because the request has run or may
    * have run.
    */
-  keep(request: string): void {
+  keepUntilExpiry(request: string): void {
     this.voters.delete(request);
   }
 
@@ -168,7 +168,7 @@
   }
 
   /** Counts a voter's vote in the open round of its request. */
-  handleAnswer(from: string, message: ClaimKeyAnswer): void {
+  handleVote(from: string, message: ClaimKeyAnswer): void {
     const open = this.rounds.get(message.request);
     if (open === undefined) return;
     // A router that was paused must not count votes that arrive after the round's timeout.
@@ -220,7 +220,7 @@
   }
 
   /** Requests the claims of all other daemons while this voter's table may lack claims. */
-  pull(): void {
+  pullClaims(): void {
     const now = this.options.clock.now();
     if (!this.table.mayLackClaims(now) || now - this.startedAt < PULL_DELAY_MS) return;
     if (now - this.lastPullAt < this.pullPeriodMs) return;
@@ -240,7 +240,7 @@
   }
 
   /** Sends this daemon's claims to the daemons that vote on their keys once it has left. */
-  handOver(): void {
+  transferClaims(): void {
     const self = this.options.membership.ownView.address;
     const remaining = this.options.listed().filter((member) => member.address !== self);
     const byVoter = new Map<string, KeyClaim[]>();
@@ -256,7 +256,7 @@
   }
 
   /** Deletes expired claims. */
-  expire(): void {
+  deleteExpired(): void {
     this.table.deleteExpired(this.options.clock.now());
   }
 }
--- a/src/daemon/metrics.ts
+++ b/src/daemon/metrics.ts
@@ -16,7 +16,7 @@
     buckets: COLD_START_BUCKETS,
     registers: [this.registry],
   });
-  readonly addedTime = new Histogram({
+  readonly dispatchTime = new Histogram({
     name: 'scaleslip_dispatch_seconds',
     help: 'Time from arrival to the send to an engine, for warm tenants',
     buckets: DISPATCH_TIME_BUCKETS,
@@ -56,7 +56,7 @@
     help: 'Requests waiting at this router',
     registers: [this.registry],
   });
-  readonly running = new Gauge({
+  readonly unfinishedRequests = new Gauge({
     name: 'scaleslip_unfinished_requests',
     help: 'Requests that have not ended',
     registers: [this.registry],
--- a/src/daemon/pool-claims.ts
+++ b/src/daemon/pool-claims.ts
@@ -18,7 +18,7 @@
 import type { PlatformClient } from '../platform/platform-client.js';
 import { updateObject } from './conditional-update.js';
 import type { Directory } from './directory.js';
-import { PoolOwnerProcess, sameWrite } from './pool-owner-process.js';
+import { PoolOwnerProcess, isSameWrite } from './pool-owner-process.js';
 
 /** Milliseconds before a failed claim of a pool is retried. */
 const CLAIM_RETRY_MS = 500;
@@ -61,7 +61,7 @@
   }
 
   /** Removes the owner process that has lost its pool. */
-  lost(pool: string, epoch: number): void {
+  removeLostOwner(pool: string, epoch: number): void {
     if (this.owners.get(pool)?.epoch === epoch) this.owners.delete(pool);
   }
 
@@ -122,7 +122,7 @@
         if (owner !== '' && owner !== self && membership.isLive(owner)) return undefined;
         return this.claimOf(pool, current, found);
       },
-      isOwn: sameWrite,
+      isSameWrite: isSameWrite,
     });
     if (claimed.isErr) {
       logger.warn('claim_failed', { pool: pool.pool, kind: claimed.error.kind });
--- a/src/daemon/pool-owner-process.ts
+++ b/src/daemon/pool-owner-process.ts
@@ -136,7 +136,7 @@
         if (current === undefined || !this.isOwnRecord(current)) return undefined;
         return { ...current, owner: '', writeId: randomUUID() };
       },
-      isOwn: sameWrite,
+      isSameWrite: isSameWrite,
     });
   }
 
@@ -416,7 +416,7 @@
           if (current === undefined || isOwnedElsewhere) return undefined;
           return { ...change(current), writeId: randomUUID() };
         },
-        isOwn: sameWrite,
+        isSameWrite: isSameWrite,
       });
       if (isOwnedElsewhere) {
         this.reportOwnershipLost('the record names a newer owner');
@@ -430,7 +430,7 @@
 }
 
 /** Whether a record that was read back comes from the given write. */
-export function sameWrite(written: PoolRecord, found: PoolRecord): boolean {
+export function isSameWrite(written: PoolRecord, found: PoolRecord): boolean {
   return written.writeId === found.writeId;
 }
 
--- a/src/daemon/quota-reconciler.ts
+++ b/src/daemon/quota-reconciler.ts
@@ -87,11 +87,11 @@
   private refreshPartitions(): void {
     const before = this.partitions;
     this.partitions = quotaPartitionsOf(this.options.self, this.options.membership.live());
-    if ([...this.partitions].some((partition) => !before.has(partition))) this.checkAllSoon();
+    if ([...this.partitions].some((partition) => !before.has(partition))) this.scheduleCheckAll();
   }
 
   /** Schedules a check of all tenants; one check covers all calls until then. */
-  checkAllSoon(): void {
+  scheduleCheckAll(): void {
     if (this.checkAllTimer !== undefined || this.stopped) return;
     this.checkAllTimer = setTimeout(() => {
       this.checkAllTimer = undefined;
--- a/src/daemon/request-service.ts
+++ b/src/daemon/request-service.ts
@@ -4,7 +4,7 @@
  * callers.
  */
 import type { Clock } from '../common/clock.js';
-import { answerFor, serviceError, type ErrorKind } from '../common/errors.js';
+import { responseFor, serviceError, type ErrorKind } from '../common/errors.js';
 import { faultText, type Logger } from '../common/logger.js';
 import { Mailbox, startConsumer, startTicker } from '../common/process.js';
 import { PRIORITY_CLASSES } from '../core/documents.js';
@@ -106,11 +106,11 @@
   }
 
   /** Ends a request whose caller has closed the connection. */
-  callerGone(id: string): void {
+  callerDisconnected(id: string): void {
     const running = this.running.get(id);
     if (running === undefined) return;
     this.events.offer({ type: 'caller_gone', id });
-    this.options.claims.keep(id);
+    this.options.claims.keepUntilExpiry(id);
     this.removeRequest(running);
   }
 
@@ -157,7 +157,7 @@
   private tick(): void {
     this.events.offer({ type: 'tick' });
     this.options.metrics.waiting.set(this.router.waitingCount());
-    this.options.metrics.running.set(this.running.size);
+    this.options.metrics.unfinishedRequests.set(this.running.size);
   }
 
   private handle(event: RouterEvent): void {
@@ -208,7 +208,7 @@
     const seconds = (running.sentAt - running.arrivedAt) / 1000;
     const priority = priorityName(running.request.priority);
     if (running.waitedForLoad) this.options.metrics.coldStarts.observe({ priority }, seconds);
-    else this.options.metrics.addedTime.observe(seconds);
+    else this.options.metrics.dispatchTime.observe(seconds);
   }
 
   private resume(id: string, engine: string, delayMs: number): void {
@@ -267,7 +267,7 @@
       return;
     }
     running.exchange.finish(reason);
-    this.options.claims.keep(id);
+    this.options.claims.keepUntilExpiry(id);
     const milliseconds = this.options.clock.now() - running.arrivedAt;
     const waitedMs = running.sentAt - running.arrivedAt;
     this.options.logger.info('request_done', {
@@ -301,9 +301,9 @@
   private settleKey(request: RoutedRequest, kind: ErrorKind): void {
     const { id, tenant, idempotencyKey } = request;
     if (idempotencyKey === undefined) return;
-    const neverRuns = answerFor(kind).ran === 'no' || kind === 'duplicate_request';
+    const neverRuns = responseFor(kind).ran === 'no' || kind === 'duplicate_request';
     if (neverRuns) this.options.claims.release(tenant, idempotencyKey, id);
-    else this.options.claims.keep(id);
+    else this.options.claims.keepUntilExpiry(id);
   }
 
   private removeRequest(running: RunningRequest): void {
--- a/src/daemon/status.ts
+++ b/src/daemon/status.ts
@@ -53,7 +53,7 @@
 }
 
 /** Builds the status report. */
-export function makeStatus(sources: StatusSources): StatusReport {
+export function buildStatusReport(sources: StatusSources): StatusReport {
   const { daemon, ready, configurationRevision, members, directory } = sources;
   const pools = directory.pools().map((record): PoolStatus => ({
     pool: record.pool,
--- a/src/demo/main.ts
+++ b/src/demo/main.ts
@@ -7,7 +7,7 @@
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { promisify } from 'node:util';
-import { callModel, promptAtEngine, type ModelAnswer } from '../client/model-client.js';
+import { callModel, promptAtEngine, type ModelResponse } from '../client/model-client.js';
 import { hashKey } from '../core/admission/api-keys.js';
 import { expectedAnswer } from '../standin/expected-answer.js';
 import { ADMIN_KEY, LocalCluster, waitFor, type ClusterDaemon } from '../testbed/local-cluster.js';
@@ -58,7 +58,7 @@
   return value;
 }
 
-function expectCompleteAnswer(answer: ModelAnswer, prompt: string): void {
+function expectCompleteAnswer(answer: ModelResponse, prompt: string): void {
   const expected = expectedAnswer(promptAtEngine(prompt), MAX_TOKENS);
   if (answer.outcome === 'whole' && answer.text === expected) return;
   throw new Error(
@@ -66,7 +66,7 @@
   );
 }
 
-function callTenant(daemon: ClusterDaemon, prompt: string): Promise<ModelAnswer> {
+function callTenant(daemon: ClusterDaemon, prompt: string): Promise<ModelResponse> {
   return callModel({
     server: daemon.callers,
     key: TENANT_KEY,
@@ -78,7 +78,7 @@
   });
 }
 
-function firstTokenMs(answer: ModelAnswer): number {
+function firstTokenMs(answer: ModelResponse): number {
   return (answer.firstTokenAt ?? answer.endedAt) - answer.startedAt;
 }
 
@@ -144,7 +144,7 @@
   try {
     await demonstrate(cluster);
   } catch (fault) {
-    for (const daemon of cluster.daemons) process.stderr.write(cluster.logOf(daemon.name));
+    for (const daemon of cluster.daemons) process.stderr.write(cluster.readLog(daemon.name));
     throw fault;
   } finally {
     await cluster.stop();
--- a/src/diagnosis/loss-report.ts
+++ b/src/diagnosis/loss-report.ts
@@ -6,7 +6,7 @@
 import { numberField, type LogEvent } from './log-line.js';
 
 /** Percentiles of load times, response times or forecast errors, in milliseconds. */
-export interface Spread {
+export interface Percentiles {
   readonly count: number;
   readonly p50: number;
   readonly p95: number;
@@ -50,13 +50,13 @@
   /** Number of refusals by route and cause; causes of refused retries end in " (came back)". */
   readonly refusals: ReadonlyMap<string, ReadonlyMap<string, number>>;
   /** Time to the first part of served requests, by route. */
-  readonly firstPart: ReadonlyMap<string, Spread>;
+  readonly firstPart: ReadonlyMap<string, Percentiles>;
   /** Number of served streams by route and timing. */
   readonly streams: ReadonlyMap<string, ReadonlyMap<string, number>>;
   /** Load times by the location of the copy. */
-  readonly loads: ReadonlyMap<string, Spread>;
+  readonly loads: ReadonlyMap<string, Percentiles>;
   /** Actual minus forecast load completion for first attempts, by the location of the copy. */
-  readonly forecastErrors: ReadonlyMap<string, Spread>;
+  readonly forecastErrors: ReadonlyMap<string, Percentiles>;
 }
 
 /** A successful load. */
@@ -159,11 +159,11 @@
   else known.push(value);
 }
 
-function percentilesByKey(values: ReadonlyMap<string, readonly number[]>): Map<string, Spread> {
+function percentilesByKey(values: ReadonlyMap<string, readonly number[]>): Map<string, Percentiles> {
   return new Map([...values].map(([key, list]) => [key, percentilesOf(list)]));
 }
 
-function percentilesOf(values: readonly number[]): Spread {
+function percentilesOf(values: readonly number[]): Percentiles {
   const sorted = [...values].sort((a, b) => a - b);
   const at = (quantile: number): number => {
     return Math.round(
--- a/src/engines/engine-client.ts
+++ b/src/engines/engine-client.ts
@@ -76,7 +76,7 @@
   'stale_epoch' | 'wrong_incarnation' | 'stale_sequence' | 'leaving' | 'not_sealed';
 
 /** Reply of the engine to an order. */
-export type OrderAnswer =
+export type OrderReply =
   | { readonly accepted: true; readonly report: EngineReport }
   | { readonly accepted: false; readonly refusal: OrderRefusal; readonly incarnation: string };
 
@@ -112,7 +112,7 @@
 }
 
 /** Reply of the engine to a cancellation. */
-export interface CancelAnswer {
+export interface CancelReply {
   readonly ran: 'no' | 'yes';
   /** The engine process that replied; `ran` does not cover runs on other incarnations. */
   readonly incarnation: string;
@@ -137,7 +137,7 @@
     engine: string,
     fence: OrderFence,
     order: EngineOrder,
-  ): Promise<Result<OrderAnswer, TransportFailure>>;
+  ): Promise<Result<OrderReply, TransportFailure>>;
   /** Subscribes to an engine's reports: the full state immediately and after each change. */
   watchReports(engine: string, handler: ReportHandler): RequestStream;
   run(engine: string, request: EngineRequest, handler: RequestHandler): RequestStream;
@@ -147,6 +147,6 @@
    * Cancels a request. From then on the engine refuses this id, even if the
    * request arrives later. The reply tells whether the request ran before.
    */
-  cancel(engine: string, id: string): Promise<Result<CancelAnswer, TransportFailure>>;
+  cancel(engine: string, id: string): Promise<Result<CancelReply, TransportFailure>>;
   close(): void;
 }
--- a/src/engines/http-engine-client.ts
+++ b/src/engines/http-engine-client.ts
@@ -8,12 +8,12 @@
   type TransportFailure,
 } from '../common/http-client.js';
 import type {
-  CancelAnswer,
+  CancelReply,
   EngineClient,
   EngineOrder,
   EngineReport,
   EngineRequest,
-  OrderAnswer,
+  OrderReply,
   OrderFence,
   ReplicaLoad,
   ReportHandler,
@@ -69,8 +69,8 @@
     engine: string,
     fence: OrderFence,
     order: EngineOrder,
-  ): Promise<Result<OrderAnswer, TransportFailure>> {
-    return this.call<OrderAnswer>({
+  ): Promise<Result<OrderReply, TransportFailure>> {
+    return this.call<OrderReply>({
       method: 'POST',
       address: engine,
       path: '/orders',
@@ -117,9 +117,9 @@
     );
   }
 
-  async cancel(engine: string, id: string): Promise<Result<CancelAnswer, TransportFailure>> {
+  async cancel(engine: string, id: string): Promise<Result<CancelReply, TransportFailure>> {
     const path = `/requests/${encodeURIComponent(id)}`;
-    return this.call<CancelAnswer>({
+    return this.call<CancelReply>({
       method: 'DELETE',
       address: engine,
       path,
--- a/src/gateway/answer-buffer.ts
+++ b/src/gateway/answer-buffer.ts
@@ -13,7 +13,7 @@
 
 /** Options of {@link AnswerBuffer}. */
 export interface AnswerBufferOptions {
-  readonly room: AnswerMemoryLimits;
+  readonly limits: AnswerMemoryLimits;
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
 }
@@ -42,7 +42,7 @@
   private timer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: AnswerBufferOptions) {
-    this.budget = new AnswerBudget(options.room);
+    this.budget = new AnswerBudget(options.limits);
   }
 
   /** Buffered bytes of answers and request bodies. */
@@ -57,7 +57,7 @@
   }
 
   /** Adds to the buffered bytes of request bodies and incomplete answers; a negative value subtracts. */
-  hold(bytes: number): void {
+  addBuffered(bytes: number): void {
     this.budget.addBuffered(bytes);
   }
 
@@ -108,7 +108,7 @@
     this.timer = undefined;
     const now = steadyNow();
     this.updateAllProgress(now);
-    const { daemonBytes } = this.options.room;
+    const { daemonBytes } = this.options.limits;
     const heldBytes = this.budget.heldBytes;
     for (const caller of this.budget.removeSlowCallers(now))
       this.disconnect(caller, heldBytes, daemonBytes);
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -11,7 +11,7 @@
   type Route,
 } from '../core/service-configuration.js';
 import { BackendExchange, type ExchangeFailure } from './backend-exchange.js';
-import { forwardedHeaders, type CallerAnswer, type WholeAnswer } from './caller-answer.js';
+import { forwardedHeaders, type CallerAnswer, type CompleteAnswer } from './caller-answer.js';
 import type { GatewayContext } from './gateway-context.js';
 import type { AnswerHead } from './ports.js';
 import type { CallerRequest } from './caller-request.js';
@@ -28,15 +28,15 @@
       readonly reached: boolean;
       readonly reason: string;
       /** The backend could not be reached, or sent nothing before the timeout. */
-      readonly silent: boolean;
+      readonly unresponsive: boolean;
       /** The backend closed the connection before the answer began. */
-      readonly broken: boolean;
+      readonly closedBeforeAnswer: boolean;
       /** The connection was closed during the request, before or after the answer began. */
-      readonly cutOff: boolean;
+      readonly connectionLost: boolean;
       /** The backend refused the request because it lacks the model or is a different process. */
       readonly lacksModel: boolean;
       /** An error answer signed by the backend, which may be forwarded to the caller. */
-      readonly answer?: WholeAnswer;
+      readonly answer?: CompleteAnswer;
     };
 
 /** Options of {@link Attempt}. */
@@ -50,15 +50,15 @@
    * Priority sent to the backend instead of the tenant's or the route's. Undefined if slots are not allocated
    * across daemons; the backend then orders its requests itself.
    */
-  readonly urgency: number | undefined;
+  readonly priority: number | undefined;
   /** Time left until the request's deadline. */
   readonly remainingMs: number;
   /** Id of the event after which the stream resumes. */
   readonly lastEventId: string | undefined;
   /** Timeout for the first byte of the answer. */
-  readonly silentAfterMs: number;
+  readonly firstByteTimeoutMs: number;
   /** Timeout for each further byte of a stream. */
-  readonly stalledAfterMs: number;
+  readonly stallTimeoutMs: number;
   /** Returns whether another backend could take the request now. */
   readonly hasAlternative: () => boolean;
   /** Called when any answer of the backend announces that the backend is leaving. */
@@ -68,7 +68,7 @@
   /** Called when the backend requests a backoff of this many milliseconds. */
   readonly onBackoff: (backoffMs: number) => void;
   /** Called once when the timeout has passed and no other backend can take the request. */
-  readonly onSilent: () => void;
+  readonly onTimeout: () => void;
   /** Records the gaps between events; undefined if the gaps say nothing about the backend. */
   readonly gaps: StreamGaps | undefined;
   readonly answer: CallerAnswer;
@@ -104,7 +104,7 @@
     private readonly options: AttemptOptions,
   ) {
     const { backend, request } = options;
-    this.startTimeout(options.silentAfterMs);
+    this.startTimeout(options.firstByteTimeoutMs);
     this.exchange = new BackendExchange(
       {
         address: backend.address,
@@ -154,7 +154,7 @@
       backend: backend.id,
       remainingMs,
       lastEventId,
-      priority: this.options.urgency ?? tenant?.priority ?? route.priority,
+      priority: this.options.priority ?? tenant?.priority ?? route.priority,
       tenant: tenant?.name,
     });
     const replaced = new Set([
@@ -193,7 +193,7 @@
     if (status < FIRST_FAILURE_STATUS && !head.signed) {
       return this.fail('unknown', 'the answer is not signed', {});
     }
-    this.startTimeout(this.isEventStream() ? this.options.stalledAfterMs : Infinity);
+    this.startTimeout(this.isEventStream() ? this.options.stallTimeoutMs : Infinity);
   }
 
   /**
@@ -216,10 +216,10 @@
     if (!this.isEventStream()) {
       this.chunks.push(chunk);
       this.bufferedBytes += chunk.length;
-      this.context.answers.hold(chunk.length);
+      this.context.answers.addBuffered(chunk.length);
       return;
     }
-    if (!this.isPaused) this.startTimeout(this.options.stalledAfterMs);
+    if (!this.isPaused) this.startTimeout(this.options.stallTimeoutMs);
     const events = this.parser.push(chunk);
     this.options.gaps?.recordRead(events.length, steadyNow());
     for (const event of events) this.forwardEvent(event);
@@ -250,11 +250,11 @@
     this.isPaused = paused;
     this.options.gaps?.interrupt();
     this.exchange.setPaused(paused);
-    this.startTimeout(paused ? Infinity : this.options.stalledAfterMs);
+    this.startTimeout(paused ? Infinity : this.options.stallTimeoutMs);
   }
 
   private releaseBuffered(): void {
-    this.context.answers.hold(-this.bufferedBytes);
+    this.context.answers.addBuffered(-this.bufferedBytes);
     this.bufferedBytes = 0;
   }
 
@@ -262,18 +262,18 @@
     if (this.ended) return;
     const status = this.incoming?.statusCode ?? 0;
     if (this.isEventStream()) return this.endStream(status);
-    const complete: WholeAnswer = {
+    const complete: CompleteAnswer = {
       status,
       rawHeaders: this.incoming?.rawHeaders ?? [],
       body: Buffer.concat(this.chunks),
     };
     if (status < FIRST_FAILURE_STATUS) {
-      this.end({ type: 'done', status }, () => this.options.answer.sendWhole(complete));
+      this.end({ type: 'done', status }, () => this.options.answer.sendComplete(complete));
       return;
     }
     const isForwardable = this.head?.signed === true && !NOT_RUN_STATUSES.has(status);
     if (isForwardable && status < FIRST_SERVER_FAILURE_STATUS) {
-      this.end({ type: 'done', status }, () => this.options.answer.sendWhole(complete));
+      this.end({ type: 'done', status }, () => this.options.answer.sendComplete(complete));
       return;
     }
     this.end({
@@ -281,9 +281,9 @@
       ran: this.head?.signed === true ? 'yes' : 'unknown',
       reached: true,
       reason: `answered with status ${status}`,
-      silent: false,
-      broken: false,
-      cutOff: false,
+      unresponsive: false,
+      closedBeforeAnswer: false,
+      connectionLost: false,
       lacksModel: false,
       ...(isForwardable ? { answer: complete } : {}),
     });
@@ -304,9 +304,9 @@
       ran: reached ? 'unknown' : 'no',
       reached,
       reason,
-      silent: !reached,
-      broken: reached && this.incoming === undefined,
-      cutOff: reached,
+      unresponsive: !reached,
+      closedBeforeAnswer: reached && this.incoming === undefined,
+      connectionLost: reached,
       lacksModel: false,
     });
   }
@@ -324,9 +324,9 @@
       ran,
       reached: true,
       reason,
-      silent: extra.silent === true,
-      broken: false,
-      cutOff: false,
+      unresponsive: extra.silent === true,
+      closedBeforeAnswer: false,
+      connectionLost: false,
       lacksModel: extra.lacksModel === true,
     });
   }
@@ -352,7 +352,7 @@
    * place in the backend's queue.
    */
   private handleTimeout(limitMs: number): void {
-    const remainingMs = this.exchange.bodyTakenUntil + limitMs - steadyNow();
+    const remainingMs = this.exchange.bodyReadUntil + limitMs - steadyNow();
     if (remainingMs > 0) {
       this.timer = setTimeout(() => this.handleTimeout(limitMs), remainingMs);
       return;
@@ -360,7 +360,7 @@
     if (this.options.hasAlternative()) {
       return this.fail('unknown', `silent for ${Math.round(limitMs)} ms`, { silent: true });
     }
-    if (!this.timeoutReported) this.options.onSilent();
+    if (!this.timeoutReported) this.options.onTimeout();
     this.timeoutReported = true;
     this.timer = setTimeout(() => this.handleTimeout(limitMs), ALTERNATIVE_CHECK_MS);
   }
--- a/src/gateway/backend-agent.ts
+++ b/src/gateway/backend-agent.ts
@@ -17,7 +17,7 @@
 /** Options of {@link BackendAgent}. */
 export interface BackendAgentOptions {
   /** Called with "ip:port" when an idle connection received bytes. */
-  readonly onUnaskedBytes: (address: string) => void;
+  readonly onUnexpectedBytes: (address: string) => void;
 }
 
 /** Node's HTTP agent with stricter rules for connection reuse. */
@@ -64,7 +64,7 @@
 
   private watchIdle(socket: Socket): void {
     const listener = (): void => {
-      this.backendOptions.onUnaskedBytes(`${socket.remoteAddress}:${socket.remotePort}`);
+      this.backendOptions.onUnexpectedBytes(`${socket.remoteAddress}:${socket.remotePort}`);
       socket.destroy();
     };
     this.idleListeners.set(socket, listener);
--- a/src/gateway/backend-exchange.ts
+++ b/src/gateway/backend-exchange.ts
@@ -73,8 +73,8 @@
    * Steady time until which the backend is known or expected to read a long body; -Infinity if the body is
    * short.
    */
-  get bodyTakenUntil(): number {
-    return this.sender.takenUntil;
+  get bodyReadUntil(): number {
+    return this.sender.readUntil;
   }
 
   /** Closes the connection without a callback. */
--- a/src/gateway/backend-permits.ts
+++ b/src/gateway/backend-permits.ts
@@ -17,7 +17,7 @@
 import type { BackendRateLimits as RateLimitsMessage } from '../proto/gen/internal_pb.js';
 import { DigestGossip, type GossipLinks } from './digest-gossip.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
-import { decodeRateLimits, encodeRateLimitQuestion, encodeRateLimits } from './rate-limit-codec.js';
+import { decodeRateLimits, encodeRateLimitDigest, encodeRateLimits } from './rate-limit-codec.js';
 import type { SharedLimits } from './shared-limits.js';
 import { steadyNow } from './steady-clock.js';
 
@@ -50,17 +50,17 @@
   ) {}
 
   /** Whether the decision is pending. */
-  get isWanted(): boolean {
+  get isPending(): boolean {
     return this.state === 'asked';
   }
 
   /** Applies the decision. Returns false if the request no longer waits for it; a granted permit is then returned. */
   settle(decision: LimitDecision): boolean {
-    const { isWanted } = this;
+    const { isWanted: isPending } = this;
     const isGranted = decision.type === 'granted';
-    if (isWanted) this.state = isGranted ? 'granted' : 'done';
+    if (isPending) this.state = isGranted ? 'granted' : 'done';
     else if (isGranted) this.limits.giveBack(this.name, 1);
-    return isWanted;
+    return isPending;
   }
 
   /** Marks the permit as used: the request is sent. */
@@ -86,14 +86,14 @@
     this.gossip = new DigestGossip({
       ...options,
       digest: () => this.rates.stateDigest(),
-      all: () => this.rates.all(),
+      allEntries: () => this.rates.all(),
       encode: encodeRateLimits,
-      encodeQuestion: encodeRateLimitQuestion,
+      encodeRequest: encodeRateLimitDigest,
     });
   }
 
   /** Returns the recorded limit of a backend. The caller stores it with each request that it sends. */
-  believed(backend: BackendProcess): RecordedRateLimit | undefined {
+  recordedLimit(backend: BackendProcess): RecordedRateLimit | undefined {
     return this.rates.limitOf(backend);
   }
 
@@ -116,7 +116,7 @@
   }
 
   /** Records the limit that a backend announces in its answer to a request. `sentUnder` is the limit recorded when the request was sent. */
-  answered(
+  recordAnswer(
     backend: BackendRecord,
     notice: RateLimitNotice,
     sentUnder: RecordedRateLimit | undefined,
@@ -126,12 +126,12 @@
     const recorded = this.rates.recordAnswer(backendProcessOf(backend), notice, sentUnder);
     if (recorded === undefined) return;
     this.log(recorded, former, { source: 'answer', request });
-    this.gossip.tell(recorded);
+    this.gossip.publish(recorded);
     this.options.onChange();
   }
 
   /** Requests a permit for a backend that announces a limit. `onDecision` is called in a later turn of the event loop. */
-  ask(
+  request(
     backend: BackendRecord,
     request: string | undefined,
     onDecision: (decision: PermitDecision) => void,
@@ -141,7 +141,7 @@
     const permit = new BackendPermit(name, limits);
     // The decision is made in a later turn of the event loop, when the caller has the permit object.
     setImmediate(() => {
-      if (!permit.isWanted) return;
+      if (!permit.isPending) return;
       limits.admit(name, 1, (decision) => {
         if (permit.settle(decision)) onDecision(this.handleDecision(name, request, decision));
       });
@@ -159,7 +159,7 @@
     if (body.case !== 'backendRateLimits') return false;
     const { knownDigest } = body.value;
     if (knownDigest === undefined) this.mergeFrom(from, body.value);
-    else this.gossip.answer(from, knownDigest);
+    else this.gossip.reply(from, knownDigest);
     return true;
   }
 
--- a/src/gateway/backend-restarts.ts
+++ b/src/gateway/backend-restarts.ts
@@ -9,7 +9,7 @@
  * Clears the health record, closes the idle connections and notifies the requests in flight of the earlier
  * process.
  */
-export function forgetEarlierStart(context: GatewayContext, restart: BackendRestart): void {
+export function clearEarlierStart(context: GatewayContext, restart: BackendRestart): void {
   const { backend, earlierStart, earlierAddress } = restart;
   const { id, start, revision, address } = backend;
   const inFlight = context.tracker.inFlightAt(id);
--- a/src/gateway/body-sender.ts
+++ b/src/gateway/body-sender.ts
@@ -19,7 +19,7 @@
    * Steady time until which the backend is known or expected to read the body; -Infinity if the body is
    * written at once.
    */
-  takenUntil = -Infinity;
+  readUntil = -Infinity;
   private readonly startedAt = steadyNow();
   private offset = 0;
 
@@ -37,7 +37,7 @@
 
   private writeMore(): void {
     const { outgoing, body } = this;
-    this.takenUntil = steadyNow();
+    this.readUntil = steadyNow();
     while (this.offset < body.length && !outgoing.destroyed) {
       const chunk = body.subarray(this.offset, this.offset + CHUNK_BYTES);
       this.offset += chunk.length;
@@ -45,7 +45,7 @@
         if (!outgoing.write(chunk)) return;
         continue;
       }
-      this.takenUntil += this.expectedRemainingMs();
+      this.readUntil += this.expectedRemainingMs();
       outgoing.end(chunk);
     }
   }
--- a/src/gateway/caller-admission.ts
+++ b/src/gateway/caller-admission.ts
@@ -40,12 +40,12 @@
    */
   readonly configurationMs: number;
   /** Returns whether this daemon's configuration may be assumed to be the newest if no lease proves it. */
-  readonly isInformed: () => boolean;
+  readonly isProbablyCurrent: () => boolean;
   /**
    * Called when the lease has expired, or when a request needs something that this daemon's configuration
    * lacks.
    */
-  readonly onDoubt: () => void;
+  readonly onMaybeStale: () => void;
 }
 
 /** Admission checks of one daemon. */
@@ -105,7 +105,7 @@
 
   /** Returns whether the configuration is recent enough to deny a key or route that it lacks. */
   private mayDeny(): boolean {
-    if (!this.needsLease) return this.options.isInformed();
+    if (!this.needsLease) return this.options.isProbablyCurrent();
     const limitMs = Math.min(this.options.configurationMs, this.options.revocationMs);
     return this.options.lease.ageMs(leaseNow()) <= limitMs - LEASE_MARGIN_MS;
   }
@@ -132,7 +132,7 @@
   }
 
   private denyNotReady(): Denial<never> {
-    if (this.needsLease) this.options.onDoubt();
+    if (this.needsLease) this.options.onMaybeStale();
     return { type: 'refused', kind: 'not_ready', retryAfterMs: NOT_READY_RETRY_MS };
   }
 }
--- a/src/gateway/caller-answer.ts
+++ b/src/gateway/caller-answer.ts
@@ -1,6 +1,6 @@
 /** Writes the answer to one caller: either a complete answer at once, or a stream of complete events. */
 import type http from 'node:http';
-import { answerFor, errorBody, serviceError, type ErrorKind } from '../common/errors.js';
+import { responseFor, errorBody, serviceError, type ErrorKind } from '../common/errors.js';
 import type { StreamEvent } from '../core/event-stream.js';
 import type { AnswerAccount } from './answer-buffer.js';
 import type { GatewayContext } from './gateway-context.js';
@@ -22,7 +22,7 @@
 ]);
 
 /** A complete answer of a backend. */
-export interface WholeAnswer {
+export interface CompleteAnswer {
   readonly status: number;
   /** Alternating names and values. */
   readonly rawHeaders: readonly string[];
@@ -62,7 +62,7 @@
 /** Writes the answer to one caller. */
 export class CallerAnswer {
   /** Steady time at which the head of the answer was sent. */
-  begunAt: number | undefined;
+  headSentAt: number | undefined;
   /** Id of the last event sent to the caller. */
   lastEventId: string | undefined;
   /** Longest time between two events of a stream, in milliseconds. */
@@ -82,7 +82,7 @@
   }
 
   /** Sends a complete answer. */
-  sendWhole(answer: WholeAnswer): void {
+  sendComplete(answer: CompleteAnswer): void {
     const headers = forwardedHeaders(answer.rawHeaders, CONTENT_LENGTH_HEADER);
     headers.push('Content-Length', String(answer.body.length));
     this.writeHead(answer.status, headers);
@@ -126,14 +126,14 @@
   }
 
   /** Closes the connection so that the caller can tell that the answer is incomplete. */
-  breakOff(): void {
+  disconnect(): void {
     this.response.destroy();
   }
 
   /** Sends an error of the given kind, unless the answer has begun. */
   sendError(kind: ErrorKind, retryAfterMs: number | undefined): void {
     if (this.response.headersSent || this.response.destroyed) return;
-    const { status, ran } = answerFor(kind);
+    const { status, ran } = responseFor(kind);
     const error = serviceError(kind, kind.replaceAll('_', ' '));
     const body = Buffer.from(JSON.stringify(errorBody(error)));
     const headers = ['Content-Type', 'application/json', 'X-Error-Kind', kind, 'X-Ran', ran];
@@ -149,7 +149,7 @@
   }
 
   private writeHead(status: number, headers: string[]): void {
-    this.begunAt = steadyNow();
+    this.headSentAt = steadyNow();
     if (this.context.isDraining()) headers.push('Connection', 'close');
     this.response.writeHead(status, headers);
   }
--- a/src/gateway/caller-front.ts
+++ b/src/gateway/caller-server.ts
@@ -19,7 +19,7 @@
 const BODY_TIMEOUT_MS = 30_000;
 
 /** HTTP server for callers. */
-export class CallerFront {
+export class CallerServer {
   private readonly server: http.Server;
 
   constructor(
--- a/src/gateway/capacity-watch.ts
+++ b/src/gateway/capacity-tracker.ts
@@ -10,7 +10,7 @@
 const RECOMPUTE_INTERVAL_MS = 250;
 
 /** Options of {@link CapacityTracker}. */
-export interface CapacityWatchOptions {
+export interface CapacityTrackerOptions {
   readonly service: string;
   readonly epoch: number;
   readonly logger: Logger;
@@ -20,11 +20,11 @@
 }
 
 /** The capacity estimate of one owner. It is discarded with the owner. */
-export class CapacityWatch {
+export class CapacityTracker {
   private readonly estimate = new CapacityEstimate();
   private recomputedAt = -Infinity;
 
-  constructor(private readonly options: CapacityWatchOptions) {}
+  constructor(private readonly options: CapacityTrackerOptions) {}
 
   /** The current estimate, which the owner sends to the daemons. */
   get figures(): CapacityFigures {
@@ -32,13 +32,13 @@
   }
 
   /** Returns the capacity that the planner uses. */
-  planned(): PlanningCapacity {
+  planningCapacity(): PlanningCapacity {
     const { estimate } = this;
     return { view: estimate.steadyView(), pauseGoalMs: (model) => estimate.pauseGoalMs(model) };
   }
 
   /** Adds the gaps between stream events that a daemon has measured. */
-  hear(report: DemandReport, now: number): void {
+  addReport(report: DemandReport, now: number): void {
     if (report.gaps === undefined) return;
     const { service, epoch, logger, isListed } = this.options;
     const samples = report.gaps.samples.filter(({ backend }) => isListed(backend));
@@ -54,7 +54,7 @@
   }
 
   /** Recomputes the estimate if the interval has passed; call it in each planning round. */
-  settle(now: number): void {
+  recompute(now: number): void {
     if (now - this.recomputedAt < RECOMPUTE_INTERVAL_MS) return;
     this.recomputedAt = now;
     const { service, epoch, logger, metrics } = this.options;
--- a/src/gateway/configuration-exchange.ts
+++ b/src/gateway/configuration-exchange.ts
@@ -36,7 +36,7 @@
   constructor(private readonly options: ConfigurationExchangeOptions) {}
 
   /** Handles a peer's announcement of the version that it has in force. Requests that configuration if it is newer. */
-  hearVersion(from: string, version: number): void {
+  onPeerVersion(from: string, version: number): void {
     const { directory, logger, send } = this.options;
     const knownVersion = this.options.version();
     const now = steadyNow();
@@ -63,7 +63,7 @@
       return true;
     }
     if (body.case !== 'configurationDocument') return false;
-    this.options.directory.takeConfigurationDocument(body.value.document);
+    this.options.directory.applyConfigurationDocument(body.value.document);
     return true;
   }
 
--- a/src/gateway/currency-proofs.ts
+++ b/src/gateway/configuration-lease-renewal.ts
@@ -44,12 +44,12 @@
 /** Period at which the common order is recomputed. */
 const ORDER_PERIOD_MS = 500;
 
-/** Options of {@link CurrencyProofs}. */
-export interface CurrencyProofsOptions {
+/** Options of {@link ConfigurationLeaseRenewal}. */
+export interface ConfigurationLeaseRenewalOptions {
   readonly self: string;
   readonly logger: Logger;
   /** If false, each daemon reads the store itself. */
-  readonly asksPeers: boolean;
+  readonly usesPeers: boolean;
   readonly live: () => readonly MemberView[];
   /** Version of the newest configuration in force on this daemon; 0 for none. */
   readonly version: () => number;
@@ -57,7 +57,7 @@
   /** Reads the configuration from the store. Resolves to true if the store responded. */
   readonly readStore: () => Promise<boolean>;
   /** Called when a peer reports the version that it has in force. */
-  readonly hearVersion: (from: string, version: number) => void;
+  readonly onPeerVersion: (from: string, version: number) => void;
 }
 
 interface ProofRequest {
@@ -68,7 +68,7 @@
 }
 
 /** Renews the configuration lease of one daemon. */
-export class CurrencyProofs {
+export class ConfigurationLeaseRenewal {
   readonly lease = new ConfigurationLease();
   private order: string[] = [];
   private orderedAt = -Infinity;
@@ -85,7 +85,7 @@
   /** Number of consecutive reads without a response of the store. */
   private failures = 0;
 
-  constructor(private readonly options: CurrencyProofsOptions) {}
+  constructor(private readonly options: ConfigurationLeaseRenewalOptions) {}
 
   /** Starts reads and requests that are due. Call it ten times per second. */
   tick(): void {
@@ -100,7 +100,7 @@
   }
 
   /** Records that the platform had no configuration newer than `version` at `askedAt`, a time of the lease clock. */
-  confirmed(version: number, askedAt: number): void {
+  addStoreProof(version: number, askedAt: number): void {
     this.lease.addProof({ version, provenAt: askedAt });
   }
 
@@ -117,7 +117,7 @@
   }
 
   private mustRead(ageMs: number, position: number, count: number): boolean {
-    if (!this.options.asksPeers || position < READERS) return ageMs >= READ_AGE_MS;
+    if (!this.options.usesPeers || position < READERS) return ageMs >= READ_AGE_MS;
     return ageMs >= FALLBACK_READ_AGE_MS + (FALLBACK_READ_SPREAD_MS * position) / count;
   }
 
@@ -135,7 +135,7 @@
 
   /** A reader whose read failed also requests a proof, because another daemon may have reached the store. */
   private requestProof(order: readonly string[], position: number, now: number): void {
-    if (!this.options.asksPeers || this.pendingRequest !== undefined) return;
+    if (!this.options.usesPeers || this.pendingRequest !== undefined) return;
     const isReader = position < READERS;
     if (isReader && this.failures === 0) return;
     const parent = isReader ? order[position + 1] : order[parentOf(position)];
@@ -169,7 +169,7 @@
       return;
     this.pendingRequest = undefined;
     this.lease.addProof({ version, provenAt: pendingRequest.sentAt - ageMs });
-    this.options.hearVersion(from, version);
+    this.options.onPeerVersion(from, version);
     if (ageMs > USEFUL_AGE_MS) this.skip(from, `its proof was ${ageMs} ms old`, leaseNow());
   }
 
--- a/src/gateway/crash-codec.ts
+++ b/src/gateway/crash-codec.ts
@@ -21,7 +21,7 @@
 }
 
 /** Encodes a request for the records of a daemon whose digest differs from `knownDigest`. */
-export function encodeCrashQuestion(knownDigest: number): PeerBody {
+export function encodeCrashDigest(knownDigest: number): PeerBody {
   return { case: 'crashNews', value: create(CrashNewsSchema, { knownDigest }) };
 }
 
--- a/src/gateway/crash-watch.ts
+++ b/src/gateway/crash-tracker.ts
@@ -9,7 +9,7 @@
 import { CrashRecords, type CrashRecord, type CrashVerdict } from '../core/crash-records.js';
 import type { BackendRecord } from '../core/service-configuration.js';
 import type { PeerBody } from '../daemon/peer-transport.js';
-import { decodeCrashes, encodeCrashes, encodeCrashQuestion } from './crash-codec.js';
+import { decodeCrashes, encodeCrashes, encodeCrashDigest } from './crash-codec.js';
 import { DigestGossip, type GossipLinks } from './digest-gossip.js';
 import type { CrashNews } from '../proto/gen/internal_pb.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
@@ -21,13 +21,13 @@
 const PROBE_REUSE_MS = 200;
 
 /** Options of {@link CrashTracker}. */
-export interface CrashWatchOptions extends GossipLinks {
+export interface CrashTrackerOptions extends GossipLinks {
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
   /** Returns the current directory entry of a backend. */
   readonly listed: (backend: string) => BackendRecord | undefined;
   /** Called when the set of refused requests has changed, so that waiting and running requests check again whether they may be sent. */
-  readonly onCondemned: () => void;
+  readonly onRefusedChange: () => void;
 }
 
 /** A request under suspicion of crashing backends. No other suspect runs at its backend until the answer has begun. */
@@ -42,7 +42,7 @@
 }
 
 /** The crash records of one daemon. */
-export class CrashWatch {
+export class CrashTracker {
   private readonly records = new CrashRecords();
   /** Exchanges records with the other daemons; modelled in `spec/crashes.pml`. */
   private readonly gossip: DigestGossip<CrashRecord>;
@@ -52,13 +52,13 @@
   private readonly running = new Map<string, SuspectRequest>();
   private condemned = new Set<string>();
 
-  constructor(private readonly options: CrashWatchOptions) {
+  constructor(private readonly options: CrashTrackerOptions) {
     this.gossip = new DigestGossip({
       ...options,
       digest: () => this.records.stateDigest(),
-      all: (now) => this.records.all(now),
+      allEntries: (now) => this.records.all(now),
       encode: encodeCrashes,
-      encodeQuestion: encodeCrashQuestion,
+      encodeRequest: encodeCrashDigest,
     });
   }
 
@@ -83,7 +83,7 @@
   }
 
   /** Returns the number of crashes attributed to a request. */
-  crashesOf(digest: string): number {
+  attributedCrashes(digest: string): number {
     return this.records.attributedCrashes(digest);
   }
 
@@ -91,7 +91,7 @@
    * Records that a backend has aborted a request. Resolves when the daemon has determined whether the backend's process has
    * ended. Only an ended process counts as a crash, because connections break for other reasons too.
    */
-  async brokeOff(
+  async recordAbort(
     backend: BackendRecord,
     digest: string,
     request: string | undefined,
@@ -105,13 +105,13 @@
     if (record === undefined) return;
     const crashes = this.records.attributedCrashes(digest);
     this.options.logger.warn('crash_met', { request, digest, backend: backend.id, crashes });
-    this.options.metrics.crashesMet.inc();
-    this.gossip.tell(record);
+    this.options.metrics.crashedRequests.inc();
+    this.gossip.publish(record);
     this.updateCondemned();
   }
 
   /** Records that a backend has answered the request completely. */
-  answered(digest: string): void {
+  recordAnswer(digest: string): void {
     this.clearCrashes(digest, 'crash_excused');
   }
 
@@ -131,31 +131,31 @@
     const record = this.records.recordAnswer(digest, steadyNow());
     if (record === undefined) return false;
     this.options.logger.info(event, { digest, starts: record.excused.length });
-    this.gossip.tell(record);
+    this.gossip.publish(record);
     this.updateCondemned();
     return true;
   }
 
   /** Records that a caller has repeated a refused request. */
-  repeated(digest: string): void {
+  recordRepeat(digest: string): void {
     this.records.recordRepeat(digest, steadyNow());
   }
 
   /** Returns whether a suspect may run at a backend. It may not while another suspect runs there whose answer has not begun. */
-  isPlaceFree(backend: string, suspect: SuspectRequest): boolean {
+  canReserve(backend: string, suspect: SuspectRequest): boolean {
     const holder = this.running.get(backend);
     return holder === undefined || holder === suspect || holder.hasBegun;
   }
 
   /** Reserves a backend for a suspect. Returns false if another suspect has reserved it. */
-  takePlace(backend: string, suspect: SuspectRequest): boolean {
-    if (!this.isPlaceFree(backend, suspect)) return false;
+  reserve(backend: string, suspect: SuspectRequest): boolean {
+    if (!this.canReserve(backend, suspect)) return false;
     this.running.set(backend, suspect);
     return true;
   }
 
   /** Releases all reservations of a suspect that no longer runs. */
-  leavePlace(suspect: SuspectRequest): void {
+  release(suspect: SuspectRequest): void {
     for (const [backend, holder] of this.running) {
       if (holder === suspect) this.running.delete(backend);
     }
@@ -166,7 +166,7 @@
     if (body.case !== 'crashNews') return false;
     const { knownDigest } = body.value;
     if (knownDigest === undefined) this.mergeFrom(from, body.value);
-    else this.gossip.answer(from, knownDigest);
+    else this.gossip.reply(from, knownDigest);
     return true;
   }
 
@@ -178,12 +178,12 @@
   }
 
   private updateCondemned(): void {
-    const { logger, metrics, onCondemned } = this.options;
+    const { logger, metrics, onRefusedChange: onCondemned } = this.options;
     const condemned = new Set(this.records.condemnedDigests());
     const added = [...condemned].filter((digest) => !this.condemned.has(digest));
     const lifted = [...this.condemned].filter((digest) => !condemned.has(digest));
     this.condemned = condemned;
-    metrics.condemnedRequests.set(condemned.size);
+    metrics.blockedRequests.set(condemned.size);
     for (const digest of added) {
       logger.warn('request_condemned', { digest, crashes: this.records.attributedCrashes(digest) });
     }
--- a/src/gateway/request-beliefs.ts
+++ b/src/gateway/decision-state.ts
@@ -8,7 +8,7 @@
  * @param configuration - Version of the configuration that chose the route.
  * @param now - Steady time in milliseconds.
  */
-export function beliefsOf(
+export function decisionState(
   context: GatewayContext,
   service: Service,
   configuration: number,
--- a/src/gateway/digest-gossip.ts
+++ b/src/gateway/digest-gossip.ts
@@ -37,9 +37,9 @@
   /** Digest of all entries of this daemon: equal on daemons with equal entries, 0 without entries. */
   readonly digest: () => number;
   /** All entries of this daemon; `now` is a steady time. */
-  readonly all: (now: number) => readonly Entry[];
+  readonly allEntries: (now: number) => readonly Entry[];
   readonly encode: (entries: readonly Entry[]) => PeerBody;
-  readonly encodeQuestion: (digest: number) => PeerBody;
+  readonly encodeRequest: (digest: number) => PeerBody;
 }
 
 /** Gossips the entries of one daemon. */
@@ -53,7 +53,7 @@
   constructor(private readonly options: DigestGossipOptions<Entry>) {}
 
   /** Broadcasts the entry to all others. Entries of one turn of the event loop are sent as one message. */
-  tell(entry: Entry): void {
+  publish(entry: Entry): void {
     this.unsent.push(entry);
     if (this.unsent.length > 1) return;
     setImmediate(() => {
@@ -68,7 +68,7 @@
     const now = steadyNow();
     if (now < this.nextRequestAt) return;
     this.nextRequestAt = now + REQUEST_PERIOD_MS;
-    const { others, sendDatagram, encodeQuestion, digest } = this.options;
+    const { others, sendDatagram, encodeRequest: encodeQuestion, digest } = this.options;
     const candidates = others();
     this.deleteUnreachable(new Set(candidates));
     this.turn += 1;
@@ -77,8 +77,8 @@
   }
 
   /** Replies to a digest request with all entries if `requestDigest` differs from this daemon's. */
-  answer(requester: string, requestDigest: number): void {
-    const { digest, all, encode, send } = this.options;
+  reply(requester: string, requestDigest: number): void {
+    const { digest, allEntries: all, encode, send } = this.options;
     const now = steadyNow();
     const replyDigest = digest();
     if (requestDigest === replyDigest) return;
--- a/src/gateway/directory-duty.ts
+++ b/src/gateway/directory-follower.ts
@@ -19,10 +19,10 @@
 import { eraOf, revisionOf, type StorePosition } from '../core/store-position.js';
 import { RecentChanges } from '../core/recent-changes.js';
 import type { DirectoryNews } from '../proto/gen/internal_pb.js';
-import { decodeNews, encodeNews } from './gateway-codec.js';
+import { decodeDirectoryReport, encodeDirectoryReport } from './gateway-codec.js';
 import { KnownReaders } from './known-readers.js';
 import type { PeerGroup } from './peer-group.js';
-import type { DirectoryAttention, PlatformDirectory } from './ports.js';
+import type { DirectoryReadMode, PlatformDirectory } from './ports.js';
 import { steadyNow } from './steady-clock.js';
 
 /** Number of daemons, besides the owners, that follow the directory closely. */
@@ -37,8 +37,8 @@
 /** Period of updates without changes: twice within the silence after which a reader no longer counts. */
 const PUBLISH_PERIOD_MS = 700;
 
-/** Options of {@link DirectoryDuty}. */
-export interface DirectoryDutyOptions {
+/** Options of {@link DirectoryFollower}. */
+export interface DirectoryFollowerOptions {
   readonly directory: PlatformDirectory;
   readonly backends: BackendDirectory;
   readonly peers: PeerGroup;
@@ -64,8 +64,8 @@
   | 'reader';
 
 /** Follows the directory for one daemon. */
-export class DirectoryDuty {
-  private attention: DirectoryAttention = 'alone';
+export class DirectoryFollower {
+  private attention: DirectoryReadMode = 'alone';
   /** Whether this daemon owns a service or ranks high enough to read closely and publish what it reads. */
   private isDesignatedReader = false;
   private readonly readers = new KnownReaders();
@@ -78,12 +78,12 @@
   /** Whether the last published update said that the platform does not respond. */
   private publishedPlatformAway = false;
 
-  constructor(private readonly options: DirectoryDutyOptions) {}
+  constructor(private readonly options: DirectoryFollowerOptions) {}
 
   /** Updates the state of the readers and publishes if due. Call it a few times per second. */
   tick(): void {
     const knownAt = leaseNow();
-    this.readers.forgetSilent(knownAt);
+    this.readers.deleteExpired(knownAt);
     this.checkOwnRead(knownAt);
     this.checkDifference(knownAt);
     this.chooseAttention(knownAt);
@@ -98,9 +98,9 @@
    * Whether this daemon's view of the directory counts as current: it was read recently, by this daemon
    * or by a reader, and no reader has a newer configuration.
    */
-  isInformed(): boolean {
+  isCurrent(): boolean {
     const isAnswered =
-      this.attention === 'relaxed' ? this.hearsAnsweredReader() : !this.isPlatformAway();
+      this.attention === 'relaxed' ? this.hasWorkingReader() : !this.isPlatformAway();
     return isAnswered && this.readers.newestVersion() <= this.options.version();
   }
 
@@ -108,18 +108,18 @@
    * Milliseconds since the platform responded to this daemon, without delay, or since the last update of a
    * reader to which it responds; infinite if neither is known.
    */
-  knowledgeAgeMs(): number {
-    const updateAgeMs = leaseNow() - this.readers.answeredHeardAt();
-    return Math.min(this.options.directory.readingAgeMs(), updateAgeMs);
+  directoryAgeMs(): number {
+    const updateAgeMs = leaseNow() - this.readers.workingReaderUpdatedAt();
+    return Math.min(this.options.directory.lastReadAgeMs(), updateAgeMs);
   }
 
   /** Whether this daemon receives updates of a reader to which the platform responds. */
-  hearsAnsweredReader(): boolean {
-    return this.readers.hearsAnswered(leaseNow());
+  hasWorkingReader(): boolean {
+    return this.readers.hasWorkingReader(leaseNow());
   }
 
   /** Applies a changed list of the platform. */
-  takeList(list: BackendList): void {
+  applyList(list: BackendList): void {
     this.listedAt = list.revision;
     const changes = this.options.backends.setBackends(list, steadyNow());
     if (this.isDesignatedReader) this.announceLeaving(changes);
@@ -139,10 +139,10 @@
   }
 
   /** Applies the update of another daemon that reads the directory closely. */
-  hear(from: string, message: DirectoryNews): void {
+  applyUpdate(from: string, message: DirectoryNews): void {
     const { backends, ownsService, onChange } = this.options;
     const now = steadyNow();
-    const update = decodeNews(message, eraOf(this.listedAt));
+    const update = decodeDirectoryReport(message, eraOf(this.listedAt));
     const { platformAway, configurationVersion: version, servingDigest } = update;
     const ended = update.ended.filter((end) => backends.markEnded(end));
     // An owner plans with complete records, which its own reads return just as early.
@@ -150,7 +150,7 @@
       ? []
       : update.started.filter((record) => backends.addAnnounced(record, now));
     const status = { platformAway, version, servingDigest };
-    this.readers.hear(from, status, backends.servingDigest(), leaseNow());
+    this.readers.recordStatus(from, status, backends.servingDigest(), leaseNow());
     if (ended.length + started.length === 0) return;
     // Designated readers publish the change too, because the reader that published it first may not reach all daemons.
     this.recent.add({ ended, started }, now);
@@ -180,11 +180,11 @@
       platformAway,
       servingDigest: this.options.backends.servingDigest(),
     };
-    this.options.peers.broadcast(encodeNews(update));
+    this.options.peers.broadcast(encodeDirectoryReport(update));
   }
 
   private isPlatformAway(): boolean {
-    return this.options.directory.readingAgeMs() > MAX_CURRENT_AGE_MS;
+    return this.options.directory.lastReadAgeMs() > MAX_CURRENT_AGE_MS;
   }
 
   /** If its backends differ from a reader's list, this daemon reads the directory once before it relies on readers again. */
@@ -199,10 +199,10 @@
 
   private checkOwnRead(now: number): void {
     if (this.mustReadSince === undefined) return;
-    const readAt = now - this.options.directory.readingAgeMs();
+    const readAt = now - this.options.directory.lastReadAgeMs();
     if (readAt <= this.mustReadSince) return;
     this.mustReadSince = undefined;
-    this.readers.settleDifferences(now);
+    this.readers.markDifferencesChecked(now);
   }
 
   private chooseAttention(now: number): void {
@@ -210,10 +210,10 @@
     if (attention === this.attention) return;
     this.attention = attention;
     this.options.logger.info('directory_attention', { attention, ...this.readers.counts(now) });
-    this.options.directory.setAttention(attention);
+    this.options.directory.setReadMode(attention);
   }
 
-  private wantedAttention(now: number): DirectoryAttention {
+  private wantedAttention(now: number): DirectoryReadMode {
     const ownsService = this.options.ownsService();
     const ranked = this.readersAndStandbys();
     const position = ranked.indexOf(this.options.peers.address);
@@ -238,7 +238,7 @@
 
   /** Whether the platform responds to a designated reader. Standbys do not count, or they would replace one another. */
   private hasWorkingDesignatedReader(ranked: readonly string[], now: number): boolean {
-    return this.readers.hearsAnswered(now, new Set(ranked.slice(CLOSE_READERS)));
+    return this.readers.hasWorkingReader(now, new Set(ranked.slice(CLOSE_READERS)));
   }
 
   /**
--- a/src/gateway/expected-capacity.ts
+++ b/src/gateway/expected-capacity.ts
@@ -14,7 +14,7 @@
 import type { GatewayContext } from './gateway-context.js';
 
 /** The properties of a request that the capacity estimates depend on. */
-export interface CapacityNeed {
+export interface CapacityQuery {
   readonly service: string;
   readonly route: Route;
   /** Undefined if the service's backends do not load models. */
@@ -30,7 +30,7 @@
 /** Returns a function that estimates each backend's capacity at `now`. */
 export function capacityFor(
   context: GatewayContext,
-  query: CapacityNeed,
+  query: CapacityQuery,
   now: number,
 ): (backend: string) => CandidateCapacity {
   const { service, route, model } = query;
@@ -51,7 +51,7 @@
  * Returns the backends of `usable` that may be sent requests although they are ejected, because more of the
  * service's backends are ejected than the limit allows. Call it only if no other backend can take the request.
  */
-export function sparedOf(
+export function exemptFromEjection(
   context: GatewayContext,
   service: string,
   usable: readonly BackendRecord[],
@@ -71,9 +71,9 @@
  * Returns the recorder for the gaps of a request's stream; undefined if the gaps say nothing about the backend.
  * A resumed stream is not recorded, because the events that the caller already has arrive at once.
  */
-export function watchedGaps(
+export function gapRecorder(
   context: GatewayContext,
-  query: CapacityNeed,
+  query: CapacityQuery,
   backend: string,
   isResumed: boolean,
 ): StreamGaps | undefined {
--- a/src/gateway/gateway-codec.ts
+++ b/src/gateway/gateway-codec.ts
@@ -141,7 +141,7 @@
 }
 
 /** Encodes a directory report. */
-export function encodeNews(news: DirectoryReport): PeerBody {
+export function encodeDirectoryReport(news: DirectoryReport): PeerBody {
   const ends = news.ended.map(({ id, revision: position }) =>
     create(BackendEndSchema, { backend: id, ...placeOf(position) }),
   );
@@ -166,7 +166,7 @@
  *
  * @param presentEra - The era of the store that the receiver knows. It applies to entries of earlier builds, which have no era.
  */
-export function decodeNews(message: DirectoryNews, presentEra: number): DirectoryReport {
+export function decodeDirectoryReport(message: DirectoryNews, presentEra: number): DirectoryReport {
   const ended = message.ends.map(({ backend, revision, era = presentEra }) => {
     return { id: backend, revision: positionOf(era, revision) };
   });
--- a/src/gateway/gateway-context.ts
+++ b/src/gateway/gateway-context.ts
@@ -10,9 +10,9 @@
 import type { BackendAgent } from './backend-agent.js';
 import type { BackendPermits } from './backend-permits.js';
 import type { CallerAdmission } from './caller-admission.js';
-import type { CrashWatch } from './crash-watch.js';
+import type { CrashTracker } from './crash-tracker.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
-import type { LeavingNews } from './leaving-news.js';
+import type { ShutdownAnnouncer } from './shutdown-announcer.js';
 import type { GatewaySettings } from './gateway-settings.js';
 import type { RequestDialect } from './ports.js';
 import type { RequestExchange } from './request-exchange.js';
@@ -37,8 +37,8 @@
   readonly limits: SharedLimits;
   /** Permits for backends that have announced rate limits. */
   readonly permits: BackendPermits;
-  readonly crashes: CrashWatch;
-  readonly leavings: LeavingNews;
+  readonly crashes: CrashTracker;
+  readonly leavingNotices: ShutdownAnnouncer;
   readonly backoffs: BackendBackoffs;
   /** Allocates the backends' slots across all daemons; undefined if each daemon decides alone. */
   readonly slots: SlotAdmission | undefined;
@@ -55,11 +55,11 @@
    */
   budgetParts(): number;
   /** Records a caller's deadline. Returns true if the caller was most likely refused before. */
-  noteCaller(route: string, deadlineMs: number | undefined): boolean;
+  recordCaller(route: string, deadlineMs: number | undefined): boolean;
   /** Sends the service's demand to its owner at once because a request has started to wait. */
-  demandUrgent(service: string): void;
+  sendDemandNow(service: string): void;
   /** Schedules one recheck of the waiting requests for all recent changes. */
-  lookAgain(): void;
+  recheckWaiting(): void;
   /** Whether answers ask callers to close their connections. */
   isDraining(): boolean;
   /** Whether new requests are refused because the daemon is about to stop. */
--- a/src/gateway/gateway-metrics.ts
+++ b/src/gateway/gateway-metrics.ts
@@ -38,12 +38,12 @@
     help: 'Refusals in which a backend has asked this daemon for rest',
     registers: [this.registry],
   });
-  readonly crashesMet = new Counter({
+  readonly crashedRequests = new Counter({
     name: 'scaleslip_gateway_crashes_met_total',
     help: 'Requests that this daemon had at a backend when it crashed',
     registers: [this.registry],
   });
-  readonly condemnedRequests = new Gauge({
+  readonly blockedRequests = new Gauge({
     name: 'scaleslip_gateway_condemned_requests',
     help: 'Requests that are refused because backends have crashed under them',
     registers: [this.registry],
@@ -85,12 +85,12 @@
     buckets: SECONDS_BUCKETS,
     registers: [this.registry],
   });
-  readonly slotAsksUnanswered = new Counter({
+  readonly unansweredSlotRequests = new Counter({
     name: 'scaleslip_gateway_slot_asks_unanswered_total',
     help: 'Asks for slots that no keeper answered in time: the daemon decided alone',
     registers: [this.registry],
   });
-  readonly slotOverfill = new Gauge({
+  readonly excessSlotRequests = new Gauge({
     name: 'scaleslip_gateway_slot_overfill_requests',
     help: 'Requests in flight beyond the slots of backends whose slots this daemon keeps',
     registers: [this.registry],
@@ -107,7 +107,7 @@
     labelNames: ['backend'],
     registers: [this.registry],
   });
-  readonly leaseAge = new Gauge({
+  readonly configurationAge = new Gauge({
     name: 'scaleslip_gateway_configuration_age_seconds',
     help: 'Time since the configuration was proved current; -1 if it never was, or keys are not needed',
     registers: [this.registry],
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -20,15 +20,15 @@
 import type { PeerBody } from '../daemon/peer-transport.js';
 import type { BackendAgent } from './backend-agent.js';
 import { AnswerBuffer } from './answer-buffer.js';
-import { forgetEarlierStart } from './backend-restarts.js';
+import { clearEarlierStart } from './backend-restarts.js';
 import { CallerAdmission } from './caller-admission.js';
-import { CallerFront } from './caller-front.js';
-import { CrashWatch } from './crash-watch.js';
+import { CallerServer } from './caller-server.js';
+import { CrashTracker } from './crash-tracker.js';
 import { decodeDemand, decodePlacement, encodeDemand } from './gateway-codec.js';
 import { ConfigurationExchange } from './configuration-exchange.js';
-import { CurrencyProofs } from './currency-proofs.js';
+import { ConfigurationLeaseRenewal } from './configuration-lease-renewal.js';
 import type { GossipLinks } from './digest-gossip.js';
-import { DirectoryDuty } from './directory-duty.js';
+import { DirectoryFollower } from './directory-follower.js';
 import type { GatewayContext } from './gateway-context.js';
 import { GatewayMetrics } from './gateway-metrics.js';
 import type { GatewaySettings } from './gateway-settings.js';
@@ -44,10 +44,10 @@
 } from './ports.js';
 import type { RequestExchange } from './request-exchange.js';
 import { RequestTracker } from './request-tracker.js';
-import { ServiceDuties } from './service-duties.js';
+import { ServiceOwnerships } from './service-ownerships.js';
 import { SlotAdmission, slotsOf } from './slot-admission.js';
 import { steadyNow } from './steady-clock.js';
-import { LeavingNews } from './leaving-news.js';
+import { ShutdownAnnouncer } from './shutdown-announcer.js';
 import { StatusPorts } from './status-ports.js';
 import { RateLimiting } from './rate-limiting.js';
 
@@ -88,16 +88,16 @@
   private readonly shares: LimitShares;
   private readonly members: MemberList;
   private readonly configurations: ConfigurationExchange;
-  private readonly proofs: CurrencyProofs;
+  private readonly proofs: ConfigurationLeaseRenewal;
   private readonly admission: CallerAdmission;
   private readonly limits: RateLimiting;
   private readonly slots: SlotAdmission | undefined;
-  private readonly crashes: CrashWatch;
-  private readonly leavings: LeavingNews;
-  private readonly directoryReader: DirectoryDuty;
-  private readonly ownerships: ServiceDuties;
+  private readonly crashes: CrashTracker;
+  private readonly leavings: ShutdownAnnouncer;
+  private readonly directoryReader: DirectoryFollower;
+  private readonly ownerships: ServiceOwnerships;
   private readonly placements: PlacementExchange;
-  private readonly front: CallerFront;
+  private readonly front: CallerServer;
   private readonly status: StatusPorts;
   private readonly startedAt = steadyNow();
   private routing: RoutingTable | undefined;
@@ -147,14 +147,14 @@
       logger: systems.logger,
       revocationMs: settings.bounds.revocationMs,
       configurationMs: settings.bounds.configurationMs,
-      isInformed: () => this.directoryReader.isInformed(),
-      onDoubt: () => this.proofs.tick(),
+      isProbablyCurrent: () => this.directoryReader.isCurrent(),
+      onMaybeStale: () => this.proofs.tick(),
     });
     this.limits = this.makeLimits();
     this.crashes = this.makeCrashWatch();
     this.leavings = this.makeLeavingNotices();
     this.slots = settings.policies.sharedSlots ? this.makeSlots() : undefined;
-    this.ownerships = new ServiceDuties({
+    this.ownerships = new ServiceOwnerships({
       settings,
       peers: this.peers,
       store: systems.store,
@@ -163,12 +163,12 @@
       logger,
       metrics: systems.metrics,
       listed: () => this.members.listed,
-      platformAnswersOthers: () => this.directoryReader.hearsAnsweredReader(),
+      othersReachPlatform: () => this.directoryReader.hasWorkingReader(),
       publish: (update) => this.placements.publish(update),
     });
     this.placements = this.makePlacements();
     this.context = this.makeContext();
-    this.directoryReader = new DirectoryDuty({
+    this.directoryReader = new DirectoryFollower({
       directory: systems.directory,
       backends: this.backends,
       peers: this.peers,
@@ -179,7 +179,7 @@
       onLeaving: (backend) => this.leavings.announce(backend),
       onChange: () => this.backendsChanged(),
     });
-    this.front = new CallerFront(this.context, () => this.routing);
+    this.front = new CallerServer(this.context, () => this.routing);
     this.status = this.makeStatusPorts();
   }
 
@@ -198,9 +198,9 @@
       onConfiguration: (configuration, source) => this.configure(configuration, source),
       onBackends: (list) => {
         this.hasBackendList = true;
-        this.directoryReader.takeList(list);
+        this.directoryReader.applyList(list);
       },
-      onConfirmed: (version, askedAt) => this.proofs.confirmed(version, askedAt),
+      onConfirmed: (version, askedAt) => this.proofs.addStoreProof(version, askedAt),
     });
     this.members.start();
     this.limits.start();
@@ -208,7 +208,7 @@
       systems.logger.error('tick_fault', { reason: faultText(fault) });
     };
     this.ticker = startTicker(TICK_MS, () => this.tick(), onFault);
-    leaseClock.onLeap = (milliseconds) => systems.logger.warn('time_leap', { milliseconds });
+    leaseClock.onForwardStep = (milliseconds) => systems.logger.warn('time_leap', { milliseconds });
     for (const name of settings.retiredPolicies) systems.logger.warn('policy_retired', { name });
     systems.logger.info('started', { milliseconds: Math.round(steadyNow()) });
   }
@@ -260,17 +260,17 @@
     this.peers.stop();
   }
 
-  private makeProofs(): CurrencyProofs {
+  private makeProofs(): ConfigurationLeaseRenewal {
     const { settings, systems, peers } = this;
-    return new CurrencyProofs({
+    return new ConfigurationLeaseRenewal({
       self: peers.address,
       logger: systems.logger,
-      asksPeers: settings.policies.proofsFromPeers,
+      usesPeers: settings.policies.proofsFromPeers,
       live: () => peers.live(),
       version: () => this.version,
       sendDatagram: (to, body) => peers.sendDatagram(to, body),
       readStore: () => systems.directory.confirmConfiguration(),
-      hearVersion: (from, version) => this.configurations.hearVersion(from, version),
+      onPeerVersion: (from, version) => this.configurations.onPeerVersion(from, version),
     });
   }
 
@@ -309,14 +309,14 @@
     });
   }
 
-  private makeCrashWatch(): CrashWatch {
+  private makeCrashWatch(): CrashTracker {
     const { logger, metrics } = this.systems;
-    return new CrashWatch({
+    return new CrashTracker({
       ...this.gossipLinks(),
       logger,
       metrics,
       listed: (backend) => this.backends.get(backend),
-      onCondemned: () => this.scheduleRecheck(),
+      onRefusedChange: () => this.scheduleRecheck(),
     });
   }
 
@@ -330,8 +330,8 @@
     };
   }
 
-  private makeLeavingNotices(): LeavingNews {
-    return new LeavingNews({
+  private makeLeavingNotices(): ShutdownAnnouncer {
+    return new ShutdownAnnouncer({
       directory: this.backends,
       logger: this.systems.logger,
       broadcast: (body) => this.peers.broadcast(body),
@@ -345,12 +345,12 @@
       self: peers.address,
       logger: this.systems.logger,
       directory: this.backends,
-      everythingOf: (service) => this.ownerships.everythingOf(service),
+      fullUpdateOf: (service) => this.ownerships.fullUpdateOf(service),
       version: () => this.version,
       send: (to, body) => peers.send(to, body),
       broadcast: (body) => peers.broadcast(body),
       onNewOwner: (service, now) => {
-        if (this.settings.policies.recallDemand) this.context.tracker.recall(service, now);
+        if (this.settings.policies.recallDemand) this.context.tracker.addRecentArrivals(service, now);
       },
       onApplied: () => this.scheduleRecheck(),
     });
@@ -386,21 +386,21 @@
       limits: this.limits.tenants,
       permits: this.limits.permits,
       crashes: this.crashes,
-      leavings: this.leavings,
+      leavingNotices: this.leavings,
       backoffs: new BackendBackoffs(),
       slots: this.slots,
       answers: new AnswerBuffer({
-        room: answerMemoryLimitsFor(settings.memoryMegabytes),
+        limits: answerMemoryLimitsFor(settings.memoryMegabytes),
         logger,
         metrics,
       }),
       exchanges: new Set<RequestExchange>(),
-      backendsAgeMs: () => this.directoryReader.knowledgeAgeMs(),
+      backendsAgeMs: () => this.directoryReader.directoryAgeMs(),
       budgetOf: (service) => this.budgetOf(service),
       budgetParts: () => 1 / this.shares.ownShare(leaseNow()),
-      noteCaller: (route, deadlineMs) => this.recordCallerDeadline(route, deadlineMs),
-      demandUrgent: (service) => this.reportDemand(service),
-      lookAgain: () => this.scheduleRecheck(),
+      recordCaller: (route, deadlineMs) => this.recordCallerDeadline(route, deadlineMs),
+      sendDemandNow: (service) => this.reportDemand(service),
+      recheckWaiting: () => this.scheduleRecheck(),
       isDraining: () => this.drainingSince !== undefined,
       refusesRequests: () => this.refusesRequests(),
     };
@@ -445,7 +445,7 @@
   }
 
   private backendsChanged(): void {
-    for (const restart of this.backends.takeRestarts()) forgetEarlierStart(this.context, restart);
+    for (const restart of this.backends.takeRestarts()) clearEarlierStart(this.context, restart);
     this.context.health.keepOnly(new Set(this.backends.all().map((backend) => backend.id)));
     this.ownerships.backendsChanged();
     this.scheduleRecheck();
@@ -461,7 +461,7 @@
 
   private tick(): void {
     const now = steadyNow();
-    this.peers.look();
+    this.peers.tick();
     this.ownerships.tick();
     if (this.admission.needsLease) this.proofs.tick();
     this.limits.tick();
@@ -488,7 +488,7 @@
   private reportDemand(service: string): void {
     const failing = this.context.health.failingBackends(steadyNow());
     const report = this.context.tracker.report(service, this.peers.address, failing, steadyNow());
-    if (this.ownerships.hear(service, report)) return;
+    if (this.ownerships.applyDemand(service, report)) return;
     const owner = this.ownerships.ownerAddress(service);
     if (owner === undefined) return;
     this.peers.send(owner, encodeDemand(service, report, this.version));
@@ -504,20 +504,20 @@
     if (this.slots?.receive(from, body) || this.crashes.receive(from, body)) return;
     if (this.leavings.receive(from, body)) return;
     if (body.case === 'serviceDemand') {
-      this.ownerships.hear(body.value.service, decodeDemand(from, body.value));
-      this.configurations.hearVersion(from, body.value.configurationVersion);
+      this.ownerships.applyDemand(body.value.service, decodeDemand(from, body.value));
+      this.configurations.onPeerVersion(from, body.value.configurationVersion);
     }
     if (body.case === 'directoryNews') {
-      this.directoryReader.hear(from, body.value);
-      this.configurations.hearVersion(from, body.value.configurationVersion);
+      this.directoryReader.applyUpdate(from, body.value);
+      this.configurations.onPeerVersion(from, body.value.configurationVersion);
     }
     if (body.case === 'servicePlacement') {
       const update = decodePlacement(body.value);
-      this.ownerships.hearOwner(from, update.service, update.epoch);
-      this.placements.hear(from, update);
-      this.configurations.hearVersion(from, body.value.configurationVersion);
+      this.ownerships.applyAnnouncement(from, update.service, update.epoch);
+      this.placements.applyUpdate(from, update);
+      this.configurations.onPeerVersion(from, body.value.configurationVersion);
     }
-    if (body.case === 'placementRequest') this.placements.answerRequest(from, body.value.service);
+    if (body.case === 'placementRequest') this.placements.replyToRequest(from, body.value.service);
   }
 
   /** Lets waiting requests check for a backend again, once for all changes in one turn of the event loop. */
@@ -526,7 +526,7 @@
     this.recheckScheduled = true;
     setImmediate(() => {
       this.recheckScheduled = false;
-      for (const exchange of [...this.context.exchanges]) exchange.look();
+      for (const exchange of [...this.context.exchanges]) exchange.recheck();
     });
   }
 
@@ -540,7 +540,7 @@
   }
 
   private refreshMetrics(): void {
-    const { inFlight, leaseAge, controlBytes, heldBytes } = this.systems.metrics;
+    const { inFlight, configurationAge: leaseAge, controlBytes, heldBytes } = this.systems.metrics;
     heldBytes.set(this.context.answers.heldBytes);
     this.limits.refreshMetrics(this.backends.all());
     inFlight.set(this.context.exchanges.size);
--- a/src/gateway/holder-leases.ts
+++ b/src/gateway/holder-leases.ts
@@ -49,7 +49,7 @@
   readonly members: () => readonly ShareMember[];
   readonly live: () => readonly Pick<ShareMember, 'address'>[];
   /** Milliseconds for which voters keep the records of previous holders. */
-  readonly rememberMs: number;
+  readonly retentionMs: number;
   /**
    * Start of this process in Unix milliseconds, which is higher at each start of this daemon. Requests are numbered
    * from it on, and it identifies the process to the voters and the members ({@link HolderLeases.process}).
@@ -61,17 +61,17 @@
 }
 
 /** Callbacks of the user of one lease. */
-export interface HeldDuty {
+export interface LeaseCallbacks {
   /** Returns the maximum number of units that the holder would grant to itself now. Voters report it to the holder's successor. */
   readonly ownCeiling: (now: number) => number;
   /** Called when a voter has replied and the lease is held: first when a majority is reached, then after each reply. */
-  readonly onAnswered: (now: number) => void;
+  readonly onVote: (now: number) => void;
   /** Called when the lease is granted, after `missingMs` milliseconds without it. */
   readonly onGained: (history: LeaseHistory, missingMs: number, now: number) => void;
 }
 
 interface RequestedLease {
-  readonly handler: HeldDuty;
+  readonly handler: LeaseCallbacks;
   readonly lease: HolderLease;
   /** Time at which the lease was first requested or was last lost. */
   missingSince: number;
@@ -96,12 +96,12 @@
   private readonly votersByName = new Map<string, readonly string[]>();
 
   constructor(private readonly options: HolderLeasesOptions) {
-    this.voter = new LeaseVoter(options.processStartedAt, options.rememberMs);
+    this.voter = new LeaseVoter(options.processStartedAt, options.retentionMs);
     this.sequence = options.firstSequence;
   }
 
   /** Requests the lease on a name and renews it until it is released. */
-  want(name: string, handler: HeldDuty): void {
+  acquire(name: string, handler: LeaseCallbacks): void {
     if (this.requested.has(name)) return;
     const now = steadyNow();
     const lease = new HolderLease();
@@ -116,7 +116,7 @@
   }
 
   /** Returns whether this daemon may grant units now. Call it in the same event loop turn as the grant. */
-  holds(name: string): boolean {
+  isHeld(name: string): boolean {
     return this.requested.get(name)?.lease.isHeld(leaseNow()) ?? false;
   }
 
@@ -126,7 +126,7 @@
   }
 
   /** Requests a higher ceiling from the voters, because this daemon would grant itself more units than its ceiling allows. */
-  raise(name: string, units: number): void {
+  raiseCeiling(name: string, units: number): void {
     const entry = this.requested.get(name);
     if (entry === undefined) return;
     if (entry.lease.hasRequested(units, RETRY_INTERVAL_MS, leaseNow())) return;
@@ -219,7 +219,7 @@
     const history = entry.lease.recordVote(voter, sequence, vote);
     if (history === undefined || !entry.lease.isHeld(leaseNow())) return;
     if (!hadLease) this.recordGain(name, entry, history, now);
-    entry.handler.onAnswered(now);
+    entry.handler.onVote(now);
   }
 
   private recordGain(
@@ -239,11 +239,11 @@
 
   /** Logs the loss of a lease, and at intervals that it is not granted. */
   private updateLease(name: string, entry: RequestedLease, now: number): void {
-    const holds = entry.lease.isHeld(leaseNow());
-    const isLost = entry.held && !holds;
-    entry.held = holds;
+    const isHeld = entry.lease.isHeld(leaseNow());
+    const isLost = entry.held && !isHeld;
+    entry.held = isHeld;
     if (isLost) entry.missingSince = now;
-    if (holds || (!isLost && now - entry.loggedAt < LOG_INTERVAL_MS)) return;
+    if (isHeld || (!isLost && now - entry.loggedAt < LOG_INTERVAL_MS)) return;
     entry.loggedAt = now;
     const age = entry.lease.ageMs(leaseNow());
     const ageMs = Number.isFinite(age) ? Math.round(age) : undefined;
--- a/src/gateway/known-readers.ts
+++ b/src/gateway/known-readers.ts
@@ -16,7 +16,7 @@
 const CHECKED_DIFFERENCE_VALID_MS = 10_000;
 
 /** The status that a reader reports of itself. */
-export interface ReaderNews {
+export interface ReaderStatus {
   /** Version of the newest configuration that it has in force. */
   readonly version: number;
   readonly platformAway: boolean;
@@ -24,7 +24,7 @@
   readonly servingDigest: number | undefined;
 }
 
-interface KnownReader extends ReaderNews {
+interface KnownReader extends ReaderStatus {
   readonly updatedAt: number;
   /** Time since which its list has differed from this daemon's backends; undefined if it does not. */
   readonly differsSince: number | undefined;
@@ -50,7 +50,7 @@
   private readonly readers = new Map<string, KnownReader>();
 
   /** Records a reader's status; `ownDigest` is the digest of this daemon's backends after the same update. */
-  hear(address: string, status: ReaderNews, ownDigest: number, now: number): void {
+  recordStatus(address: string, status: ReaderStatus, ownDigest: number, now: number): void {
     const known = this.readers.get(address);
     const differs = !status.platformAway && differsFrom(status, ownDigest);
     const isChecked =
@@ -61,7 +61,7 @@
   }
 
   /** Deletes readers without a recent update. */
-  forgetSilent(now: number): void {
+  deleteExpired(now: number): void {
     for (const [address, reader] of this.readers) {
       if (!isActive(reader, now)) this.readers.delete(address);
     }
@@ -74,14 +74,14 @@
   }
 
   /** Whether any reader, except those in `excluded`, sends updates and gets responses from the platform. */
-  hearsAnswered(now: number, excluded: ReadonlySet<string> = new Set()): boolean {
+  hasWorkingReader(now: number, excluded: ReadonlySet<string> = new Set()): boolean {
     return [...this.readers].some(([address, reader]) => {
       return !excluded.has(address) && isActive(reader, now) && !reader.platformAway;
     });
   }
 
   /** Time of the last update of a reader to which the platform responds; -Infinity if there is none. */
-  answeredHeardAt(): number {
+  workingReaderUpdatedAt(): number {
     const answered = [...this.readers.values()].filter(({ platformAway }) => !platformAway);
     return Math.max(-Infinity, ...answered.map(({ updatedAt }) => updatedAt));
   }
@@ -101,7 +101,7 @@
   }
 
   /** Called after this daemon read the directory itself. Differences that remain are not due to changes that it missed. */
-  settleDifferences(now: number): void {
+  markDifferencesChecked(now: number): void {
     for (const [address, reader] of this.readers) {
       const checked = { digest: reader.servingDigest, at: now };
       this.readers.set(address, { ...reader, differsSince: undefined, checked });
@@ -113,7 +113,7 @@
   return now - reader.updatedAt <= READER_TIMEOUT_MS;
 }
 
-function differsFrom({ servingDigest }: ReaderNews, ownDigest: number): boolean {
+function differsFrom({ servingDigest }: ReaderStatus, ownDigest: number): boolean {
   return servingDigest !== undefined && servingDigest !== ownDigest;
 }
 
--- a/src/gateway/limit-group.ts
+++ b/src/gateway/limit-group.ts
@@ -5,7 +5,7 @@
 import type { HolderView, RateLimit } from '../core/admission/rate-ledger.js';
 import { highCapacityMembers } from '../core/duties.js';
 import type { MemberView } from '../core/membership-messages.js';
-import { heldName, type LimitKind } from './limit-kind.js';
+import { resourceName, type LimitKind } from './limit-kind.js';
 
 /** Options of {@link LimitGroup}. */
 export interface LimitGroupOptions {
@@ -39,12 +39,12 @@
   }
 
   /** Notes that the set of live daemons or the share record has changed. */
-  changed(): void {
+  markChanged(): void {
     this.hasChanged = true;
   }
 
   /** Applies a noted change. Returns whether the candidates for holder have changed. */
-  follow(now: number): boolean {
+  update(now: number): boolean {
     if (!this.hasChanged) return false;
     this.hasChanged = false;
     const live = this.options.live();
@@ -63,7 +63,7 @@
   /** Returns the holder of a name: the daemon that counts units under its limit. */
   holderOf(name: string): string {
     const { kind, self } = this.options;
-    return firstCandidate(heldName(kind, name), this.candidates) ?? self;
+    return firstCandidate(resourceName(kind, name), this.candidates) ?? self;
   }
 
   /** Returns whether this daemon is the holder of a name. */
@@ -72,7 +72,7 @@
   }
 
   /** Whether this daemon may use its share, and so may grant units as a holder. */
-  get mayCount(): boolean {
+  get mayUseShare(): boolean {
     return this.options.shares.mayUseShare(leaseNow());
   }
 
@@ -82,7 +82,7 @@
   }
 
   /** Returns the units per window that each daemon with a share may admit without the holder. */
-  usualShare(limit: RateLimit): number {
+  memberShare(limit: RateLimit): number {
     return this.unitsOf(limit) * this.options.shares.sharePerMember;
   }
 
--- a/src/gateway/limit-holder.ts
+++ b/src/gateway/limit-holder.ts
@@ -10,11 +10,11 @@
 import { LimitAnswerSchema, LimitNewsSchema, type LimitCharge } from '../proto/gen/internal_pb.js';
 import type { HolderLeases } from './holder-leases.js';
 import type { LimitGroup } from './limit-group.js';
-import { heldName, type LimitKind } from './limit-kind.js';
+import { resourceName, type LimitKind } from './limit-kind.js';
 import { steadyNow } from './steady-clock.js';
 
 /** Timeout of a request to the holder. Without a reply by then the requesting daemon decides by its own share. */
-export const ANSWER_WITHIN_MS = 200;
+export const HOLDER_TIMEOUT_MS = 200;
 /** Number of windows without use after which a ledger is deleted. */
 const UNUSED_LEDGER_WINDOWS = 2;
 /** Maximum number of requests per name that wait for the lease. A daemon that gets no reply sends its request again. */
@@ -80,12 +80,12 @@
   }
 
   /** Counts units that this daemon admitted before it became the holder. */
-  recallOwn(name: string, units: number, now: number): void {
+  countOwnReported(name: string, units: number, now: number): void {
     this.held(name, now)?.ledger.countReported(units, now);
   }
 
   /** Requests and releases leases after the candidates for holder have changed. */
-  followGroup(): void {
+  updateLeases(): void {
     for (const [name, held] of this.ledgers) this.updateLease(name, held);
   }
 
@@ -95,7 +95,7 @@
   }
 
   /** Counts units that a daemon reports, or replies to its request. */
-  hearCharge(from: string, charge: LimitCharge): void {
+  handleCharge(from: string, charge: LimitCharge): void {
     const { tenant: name, units, question, isRecalled } = charge;
     const now = steadyNow();
     const held = this.held(name, now);
@@ -116,7 +116,7 @@
   /** Returns whether this daemon may grant units to others now: it holds the lease and may use its share. */
   private mayGrant(name: string): boolean {
     const { group, leases } = this.options;
-    return group.mayCount && leases.holds(this.leaseName(name));
+    return group.mayUseShare && leases.isHeld(this.leaseName(name));
   }
 
   /** Returns whether this daemon may grant units to its own callers. They must be within the ceiling, from which its successor learns of them. */
@@ -138,7 +138,7 @@
     const { tenant: name, units } = charge;
     if (from !== this.options.self || !this.mayGrant(name)) return;
     const own = this.options.ownUnits(name, now);
-    this.options.leases.raise(this.leaseName(name), own + units);
+    this.options.leases.raiseCeiling(this.leaseName(name), own + units);
   }
 
   private replyToWaiting(held: HeldLedger, now: number): void {
@@ -146,14 +146,14 @@
     const waiting = [...held.waiting.values()];
     held.waiting.clear();
     for (const { from, charge, arrivedAt } of waiting) {
-      if (now - arrivedAt < ANSWER_WITHIN_MS) this.hearCharge(from, charge);
+      if (now - arrivedAt < HOLDER_TIMEOUT_MS) this.handleCharge(from, charge);
     }
   }
 
   /** Deletes requests that have timed out. The requesting daemon has decided by its own share. */
   private deleteTimedOut({ waiting }: HeldLedger, now: number): void {
     for (const [key, { arrivedAt }] of waiting) {
-      if (now - arrivedAt >= ANSWER_WITHIN_MS) waiting.delete(key);
+      if (now - arrivedAt >= HOLDER_TIMEOUT_MS) waiting.delete(key);
     }
   }
 
@@ -180,10 +180,10 @@
   private updateLease(name: string, held: HeldLedger): void {
     const { leases, group } = this.options;
     if (!group.isHolder(name)) return leases.release(this.leaseName(name));
-    leases.want(this.leaseName(name), {
+    leases.acquire(this.leaseName(name), {
       ownCeiling: (now) => this.ownCeiling(name, held, now),
       onGained: (history, missingMs, now) => this.leaseGained(name, held, history, missingMs, now),
-      onAnswered: (now) => this.replyToWaiting(held, now),
+      onVote: (now) => this.replyToWaiting(held, now),
     });
   }
 
@@ -191,7 +191,7 @@
   private ownCeiling(name: string, held: HeldLedger, now: number): number {
     const { self, group, limitOf, ownUnits } = this.options;
     const limit = limitOf(name);
-    const share = limit === undefined ? 0 : group.usualShare(limit);
+    const share = limit === undefined ? 0 : group.memberShare(limit);
     const own = ownUnits(name, now);
     const waiting = [...held.waiting.values()].filter(({ from }) => from === self);
     const wanted = waiting.reduce((sum, { charge }) => sum + charge.units, own);
@@ -208,10 +208,10 @@
     const { limitOf, kind, group, logger } = this.options;
     const limit = limitOf(name);
     // Requests were not answered in the meantime, so other daemons may have used their own shares.
-    const wasUnanswered = missingMs >= ANSWER_WITHIN_MS;
+    const wasUnanswered = missingMs >= HOLDER_TIMEOUT_MS;
     const mayHaveOthersUnits = wasUnanswered || history.soleMs < kind.windowMs;
     if (limit === undefined || !mayHaveOthersUnits) return;
-    const unseen = this.departedHolderUnits(history, group.usualShare(limit));
+    const unseen = this.departedHolderUnits(history, group.memberShare(limit));
     const forgotten = this.previousProcessUnits(history);
     held.ledger.restartFrom(now, unseen);
     if (forgotten > 0) held.ledger.countReported(forgotten, now);
@@ -281,6 +281,6 @@
 
   /** Returns the name of the lease on a limit. */
   private leaseName(name: string): string {
-    return heldName(this.options.kind, name);
+    return resourceName(this.options.kind, name);
   }
 }
--- a/src/gateway/limit-kind.ts
+++ b/src/gateway/limit-kind.ts
@@ -41,6 +41,6 @@
 };
 
 /** Returns the name of a limit's lease, which is also the key that ranks its holders. */
-export function heldName({ leasePrefix }: LimitKind, name: string): string {
+export function resourceName({ leasePrefix }: LimitKind, name: string): string {
   return `${leasePrefix}/${name}`;
 }
--- a/src/gateway/load-watch.ts
+++ b/src/gateway/load-tracker.ts
@@ -23,8 +23,8 @@
   readonly startedAt: number;
 }
 
-/** Options of {@link LoadWatch}. */
-export interface LoadWatchOptions {
+/** Options of {@link LoadTracker}. */
+export interface LoadTrackerOptions {
   readonly service: string;
   readonly epoch: number;
   readonly limit: StoreLoadLimit;
@@ -33,13 +33,13 @@
 }
 
 /** Tracks the running loads at the backends of one service. A backend runs one load at a time. */
-export class LoadWatch {
+export class LoadTracker {
   readonly unloadTimes = new UnloadTimeEstimator();
   private readonly loads = new Map<string, TrackedLoad>();
   /** Unloads that wait for running requests to finish, by backend id. */
   private readonly unloads = new Map<string, TrackedUnload>();
 
-  constructor(private readonly options: LoadWatchOptions) {}
+  constructor(private readonly options: LoadTrackerOptions) {}
 
   /** Returns the expected remaining milliseconds of each load from the weight store. */
   storeLoadEnds(now: number): number[] {
@@ -101,7 +101,7 @@
   }
 
   /** Ends the loads and unloads that have finished since the last call. */
-  settle(ledgers: ReadonlyMap<string, BackendLedger>, now: number): void {
+  endFinished(ledgers: ReadonlyMap<string, BackendLedger>, now: number): void {
     this.settleUnloads(ledgers, now);
     for (const [backend, load] of this.loads) {
       const ledger = ledgers.get(backend);
--- a/src/gateway/member-codec.ts
+++ b/src/gateway/member-codec.ts
@@ -2,7 +2,7 @@
 import type { ShareMember } from '../core/admission/limit-shares.js';
 
 /** Decodes a daemon's record; undefined if the value is not one. */
-export function readMember(value: unknown): ShareMember | undefined {
+export function decodeMember(value: unknown): ShareMember | undefined {
   const { address, zone } = (value ?? {}) as Partial<ShareMember>;
   if (typeof address !== 'string' || typeof zone !== 'string') return undefined;
   return { address, zone };
--- a/src/gateway/owner-record.ts
+++ b/src/gateway/owner-record.ts
@@ -13,7 +13,7 @@
 }
 
 /** Parses a stored record; undefined if there is none or it is invalid. */
-export function ownerRecord(value: unknown): OwnerRecord | undefined {
+export function parseOwnerRecord(value: unknown): OwnerRecord | undefined {
   if (typeof value !== 'object' || value === null) return undefined;
   const { address, incarnation, epoch, claim } = value as Partial<OwnerRecord>;
   if (typeof address !== 'string' || typeof epoch !== 'number') return undefined;
--- a/src/gateway/ownership-proofs.ts
+++ b/src/gateway/ownership-proofs.ts
@@ -4,7 +4,7 @@
  */
 import type { Logger } from '../common/logger.js';
 import type { OwnershipLease } from '../core/ownership-lease.js';
-import { ownerRecord } from './owner-record.js';
+import { parseOwnerRecord } from './owner-record.js';
 import type { RecordStore } from './ports.js';
 import { leaseNow } from '../common/lease-clock.js';
 import { steadyNow } from './steady-clock.js';
@@ -62,7 +62,7 @@
     const { store, service, lease, onOtherOwner } = this.options;
     const response = await store.read('owners', service);
     if (response.isErr || claim !== this.claim) return;
-    if (ownerRecord(response.value?.value)?.claim === claim) return lease.addProof(askedAt);
+    if (parseOwnerRecord(response.value?.value)?.claim === claim) return lease.addProof(askedAt);
     onOtherOwner();
   }
 
--- a/src/gateway/ownership.ts
+++ b/src/gateway/ownership.ts
@@ -12,7 +12,7 @@
 import type { MemberView } from '../core/membership-messages.js';
 import { TAKEOVER_DELAY_MS, ORDER_LEASE_MS, OwnershipLease } from '../core/ownership-lease.js';
 import { positionOf, type StorePosition } from '../core/store-position.js';
-import { ownerRecord, type OwnerRecord } from './owner-record.js';
+import { parseOwnerRecord, type OwnerRecord } from './owner-record.js';
 import { OwnershipProofs } from './ownership-proofs.js';
 import type { RecordStore } from './ports.js';
 import { leaseNow } from '../common/lease-clock.js';
@@ -69,7 +69,7 @@
   /** Whether backends refuse orders with a lower epoch; if not, an owner needs a lease. */
   readonly backendsCheckEpochs: boolean;
   /** Whether this daemon receives messages from another one that the platform responds to. */
-  readonly platformAnswersOthers: () => boolean;
+  readonly othersReachPlatform: () => boolean;
   /** Daemons that the platform's store lists. */
   readonly listed: () => readonly DutyMember[];
   /** Called with the epoch when this daemon becomes the owner, and with undefined when it no longer is. */
@@ -193,7 +193,7 @@
 
   private maintainLease(now: number): void {
     this.proofs.tick();
-    if (this.lease.ageMs(leaseNow()) <= ORDER_LEASE_MS || !this.options.platformAnswersOthers()) {
+    if (this.lease.ageMs(leaseNow()) <= ORDER_LEASE_MS || !this.options.othersReachPlatform()) {
       this.unprovenSince = now;
     } else if (now - this.unprovenSince > YIELD_UNPROVEN_AFTER_MS) {
       this.yieldOwnership('the platform responds to other daemons but not to this one');
@@ -201,7 +201,7 @@
   }
 
   /** Handles another daemon's announcement that it owns the service. */
-  hearOwner(address: string, epoch: number): void {
+  applyAnnouncement(address: string, epoch: number): void {
     const known = this.resignedEpoch ?? this.record?.epoch ?? 0;
     this.highestEpoch = Math.max(this.highestEpoch, epoch);
     if (epoch < known) return this.logFormerOwner(address, epoch, known);
@@ -343,7 +343,7 @@
       return;
     }
     this.revision = read.value?.revision;
-    this.setRecord(ownerRecord(read.value?.value));
+    this.setRecord(parseOwnerRecord(read.value?.value));
     if (this.ownerIsLive() || !this.isSuccessor()) return;
     await this.claim();
   }
@@ -429,6 +429,6 @@
   private async isClaimStored(claim: string, failure: string): Promise<boolean> {
     if (failure !== 'unknown') return false;
     const read = await this.options.store.read('owners', this.options.service);
-    return read.isOk && ownerRecord(read.value?.value)?.claim === claim;
+    return read.isOk && parseOwnerRecord(read.value?.value)?.claim === claim;
   }
 }
--- a/src/gateway/peer-group.ts
+++ b/src/gateway/peer-group.ts
@@ -62,7 +62,7 @@
   }
 
   /** Runs the membership timers that are due. Call it ten times per second. */
-  look(): void {
+  tick(): void {
     this.apply({ type: 'tick' });
   }
 
--- a/src/gateway/placement-exchange.ts
+++ b/src/gateway/placement-exchange.ts
@@ -20,7 +20,7 @@
   readonly logger: Logger;
   readonly directory: BackendDirectory;
   /** Full placement of the service, if this daemon owns it. */
-  readonly everythingOf: (service: string) => PlacementUpdate | undefined;
+  readonly fullUpdateOf: (service: string) => PlacementUpdate | undefined;
   /** Version of the configuration in force; sent with each update. */
   readonly version: () => number;
   readonly send: (to: string, body: PeerBody) => void;
@@ -40,12 +40,12 @@
   /** Applies an update of this daemon and broadcasts it to all others. */
   publish(update: PlacementUpdate): void {
     const { self, broadcast, version } = this.options;
-    this.hear(self, update);
+    this.applyUpdate(self, update);
     broadcast(encodePlacement(update, version()));
   }
 
   /** Applies an update of an owner. */
-  hear(owner: string, update: PlacementUpdate): void {
+  applyUpdate(owner: string, update: PlacementUpdate): void {
     const { directory, onNewOwner, onApplied } = this.options;
     const now = steadyNow();
     const isNewOwner = update.epoch > directory.epochOf(update.service);
@@ -56,8 +56,8 @@
   }
 
   /** Sends the full placement to a daemon that has missed an update. */
-  answerRequest(from: string, service: string): void {
-    const { everythingOf, version, send } = this.options;
+  replyToRequest(from: string, service: string): void {
+    const { fullUpdateOf: everythingOf, version, send } = this.options;
     const fullUpdate = everythingOf(service);
     if (fullUpdate === undefined) return;
     send(from, encodePlacement(fullUpdate, version()));
@@ -68,7 +68,7 @@
    * process or requests it from the owner's daemon.
    */
   private catchUp(owner: string, service: string, now: number): void {
-    const { self, directory, everythingOf, onApplied } = this.options;
+    const { self, directory, fullUpdateOf: everythingOf, onApplied } = this.options;
     if (owner !== self) return this.requestFullUpdate(owner, service, now);
     const fullUpdate = everythingOf(service);
     if (fullUpdate === undefined) return;
--- a/src/gateway/ports.ts
+++ b/src/gateway/ports.ts
@@ -32,7 +32,7 @@
 }
 
 /** How quickly changes of the directory must be noticed. */
-export type DirectoryAttention =
+export type DirectoryReadMode =
   /** Each change immediately, because this daemon sends orders to backends. */
   | 'immediate'
   /** Each change within a fraction of a second, because this daemon forwards changes to others. */
@@ -50,7 +50,7 @@
   /** Reads the configuration and the list of backends and watches both until stopped. */
   start(listener: DirectoryListener): void;
   /** Selects between immediate notification of changes and cheaper reads that may be out of date. */
-  setAttention(attention: DirectoryAttention): void;
+  setReadMode(attention: DirectoryReadMode): void;
   /** Reads the configuration immediately, because another daemon has a newer one. */
   refreshConfiguration(): void;
   /** Reads the configuration once to confirm that it is current; true if the platform responded. */
@@ -61,9 +61,9 @@
    * Milliseconds since the platform last responded without delay to reads of both the configuration and the
    * list of backends; infinite while it does not respond, and while reads may be out of date.
    */
-  readingAgeMs(): number;
+  lastReadAgeMs(): number;
   /** Applies a peer's document if it is newer than the known configuration; true if it was. */
-  takeConfigurationDocument(document: Uint8Array): boolean;
+  applyConfigurationDocument(document: Uint8Array): boolean;
   stop(): void;
 }
 
--- a/src/gateway/rate-limit-codec.ts
+++ b/src/gateway/rate-limit-codec.ts
@@ -21,7 +21,7 @@
 }
 
 /** Encodes a request for the limits of a daemon whose digest differs from `knownDigest`. */
-export function encodeRateLimitQuestion(knownDigest: number): PeerBody {
+export function encodeRateLimitDigest(knownDigest: number): PeerBody {
   return { case: 'backendRateLimits', value: create(BackendRateLimitsSchema, { knownDigest }) };
 }
 
--- a/src/gateway/rate-limiting.ts
+++ b/src/gateway/rate-limiting.ts
@@ -111,7 +111,7 @@
       logger,
       members: () => shares.record?.members ?? [],
       live: () => peers.live(),
-      rememberMs: Math.max(tenantWindow.windowMs, backendLimitKind.windowMs),
+      retentionMs: Math.max(tenantWindow.windowMs, backendLimitKind.windowMs),
       firstSequence: Date.now(),
       processStartedAt: 0,
       sendDatagram: (to, body) => peers.sendDatagram(to, body),
--- a/src/gateway/request-dispatch.ts
+++ b/src/gateway/request-dispatch.ts
@@ -7,9 +7,9 @@
 import type { BackendCandidate } from '../core/backend-selection.js';
 import type { BackendRecord, ModelReference, Service } from '../core/service-configuration.js';
 import type { BackendPermit, PermitDecision } from './backend-permits.js';
-import { capacityFor, sparedOf, type CapacityNeed } from './expected-capacity.js';
+import { capacityFor, exemptFromEjection, type CapacityQuery } from './expected-capacity.js';
 import type { GatewayContext } from './gateway-context.js';
-import type { SlotClaim, SlotWish } from './slot-admission.js';
+import type { SlotClaim, SlotClaimParams } from './slot-admission.js';
 import { steadyNow } from './steady-clock.js';
 
 /** Time for which a backend that refused the request, or could not be reached, is not tried again. */
@@ -36,7 +36,7 @@
 const MAX_OWNER_LOAD_AGE_MS = 1_500;
 
 /** Properties of a request that are sent to slot allocators. */
-export type SlotStanding = Omit<SlotWish, 'backend' | 'ownerLoad' | 'onAnswer'>;
+export type SlotDetails = Omit<SlotClaimParams, 'backend' | 'ownerLoad' | 'onAnswer'>;
 
 /** Options of {@link RequestDispatch}. */
 export interface DispatchOptions {
@@ -45,8 +45,8 @@
   readonly model: ModelReference | undefined;
   readonly sharedPrompt: string | undefined;
   /** Properties of the request that the capacity estimates depend on. */
-  readonly need: CapacityNeed;
-  readonly standing: () => SlotStanding;
+  readonly capacityQuery: CapacityQuery;
+  readonly slotDetails: () => SlotDetails;
   /** Returns whether the request may run at a backend together with the requests that run there. */
   readonly mayRunAt: (backend: string) => boolean;
   /** Called when the request may be sent to the backend. */
@@ -132,18 +132,18 @@
   }
 
   /** Records that the request was sent to a backend. */
-  noteSent(backend: string): void {
+  recordSent(backend: string): void {
     this.tried.add(backend);
     this.permit?.use();
   }
 
   /** Records that a backend refused the request or could not be reached. */
-  noteRefusal(backend: string): void {
+  recordRefusal(backend: string): void {
     this.refusals.set(backend, steadyNow() + REFUSED_RETRY_MS);
   }
 
   /** Discards the refusals and sends recorded for a backend, because it has restarted under the same id. */
-  forget(backend: string): void {
+  clearBackend(backend: string): void {
     this.tried.delete(backend);
     this.refusals.delete(backend);
     this.fullUntil.delete(backend);
@@ -177,14 +177,14 @@
   }
 
   private count(backend: string, change: 1 | -1): void {
-    this.context.tracker.sent(this.options.service.name, backend, this.options.model, change);
+    this.context.tracker.addInFlight(this.options.service.name, backend, this.options.model, change);
   }
 
   /**
    * Withdraws the request from its queue because its caller gets a retry time. The request stays counted at the
    * backend until the caller is due to retry.
    */
-  leaveUntil(retryAfterMs: number): void {
+  withdrawUntil(retryAfterMs: number): void {
     const backend = this.countedAt;
     (this.claim ?? this.refusedClaim)?.release(retryAfterMs);
     this.refusedClaim = undefined;
@@ -210,7 +210,7 @@
     const { tracker, directory, slots } = this.context;
     const now = steadyNow();
     const own = tracker.inFlightAt(backend.id);
-    const status = slots?.figuresOf(backend.id, now);
+    const status = slots?.statusOf(backend.id, now);
     if (status !== undefined) return Math.max(own, status.inFlight + status.waiting);
     return Math.max(own, directory.inFlightAt(backend, now));
   }
@@ -284,7 +284,7 @@
   }
 
   private exemptBackends(usable: readonly BackendRecord[], now: number): BackendRecord[] {
-    return this.untried(sparedOf(this.context, this.options.service.name, usable, now));
+    return this.untried(exemptFromEjection(this.context, this.options.service.name, usable, now));
   }
 
   private candidate(
@@ -314,7 +314,7 @@
   }
 
   private candidates(backends: readonly BackendRecord[], now: number): BackendCandidate[] {
-    const capacity = capacityFor(this.context, this.options.need, now);
+    const capacity = capacityFor(this.context, this.options.capacityQuery, now);
     return backends.map((backend) => this.candidate(backend, capacity, now));
   }
 
@@ -322,10 +322,10 @@
     const { slots } = this.context;
     if (slots === undefined) return this.slotGranted(backend);
     const claim = slots.claim({
-      ...this.options.standing(),
+      ...this.options.slotDetails(),
       backend,
       ownerLoad: this.ownerLoad(backend),
-      onAnswer: (answer) => this.handleResponse(backend, answer),
+      onDecision: (answer) => this.handleResponse(backend, answer),
     });
     this.claim = claim;
     if (claim.isHeld) {
@@ -343,8 +343,8 @@
     const { permits } = this.context;
     if (permits.perSecond(backend) === undefined) return this.options.onSlot(backend);
     this.pending = { backend, expectedAt: undefined };
-    const { request } = this.options.standing();
-    this.permit = permits.ask(backend, request, (decision) =>
+    const { request } = this.options.slotDetails();
+    this.permit = permits.request(backend, request, (decision) =>
       this.permitDecided(backend, decision),
     );
   }
@@ -389,7 +389,7 @@
       this.fullUntil.set(backend.id, now + answer.retryAfterMs);
       this.countQueuedAt(backend.id);
     }
-    this.noteRefusal(backend.id);
+    this.recordRefusal(backend.id);
     this.next();
   }
 
@@ -419,7 +419,7 @@
    * with a free slot and infinite for others.
    */
   private expectedWaitMs(backend: BackendRecord, now: number): number {
-    const status = this.context.slots?.figuresOf(backend.id, now);
+    const status = this.context.slots?.statusOf(backend.id, now);
     if (status !== undefined) return status.expectedWaitMs;
     return this.inFlightAt(backend) < backend.slots ? 0 : Infinity;
   }
--- a/src/gateway/request-exchange.ts
+++ b/src/gateway/request-exchange.ts
@@ -17,15 +17,15 @@
 import { Attempt, type AttemptEnd } from './attempt.js';
 import { CallerAnswer } from './caller-answer.js';
 import type { CallerRequest } from './caller-request.js';
-import { watchedGaps, type CapacityNeed } from './expected-capacity.js';
+import { gapRecorder, type CapacityQuery } from './expected-capacity.js';
 import type { GatewayContext } from './gateway-context.js';
 import { modelReadyInMs } from './model-forecast.js';
-import { beliefsOf } from './request-beliefs.js';
-import { RequestDispatch, type SlotStanding } from './request-dispatch.js';
+import { decisionState } from './decision-state.js';
+import { RequestDispatch, type SlotDetails } from './request-dispatch.js';
 import { RequestSuspicion } from './request-suspicion.js';
 import type { WaitingCaller } from './request-tracker.js';
 import { steadyNow } from './steady-clock.js';
-import { TenantPass, type PassDenial } from './tenant-pass.js';
+import { TenantAdmission, type TenantDenial } from './tenant-admission.js';
 
 /** Time between the last moment for an answer and the caller's own deadline. */
 const DEADLINE_MARGIN_MS = 30;
@@ -68,7 +68,7 @@
   private firstForecast: { readonly readyInMs: number; readonly at: number } | undefined;
   private ended = false;
   private lastRan: Ran = 'no';
-  private readonly admission: TenantPass;
+  private readonly admission: TenantAdmission;
   private readonly search: RequestDispatch;
   /** Whether the caller was most likely refused before, by this daemon or another. */
   private readonly wasRefused: boolean;
@@ -76,7 +76,7 @@
   private readonly waitingCaller: WaitingCaller;
   /** The model that a backend must have loaded; undefined if the service's backends do not load models. */
   private readonly model: ModelReference | undefined;
-  private readonly capacityQuery: CapacityNeed;
+  private readonly capacityQuery: CapacityQuery;
   private readonly suspicion: RequestSuspicion;
 
   constructor(
@@ -91,8 +91,8 @@
     this.model = match.service.modelHost === undefined ? undefined : request.head.model;
     const { route } = match;
     this.capacityQuery = { service: match.service.name, route, model: this.model };
-    this.admission = new TenantPass(context, route, request.head);
-    this.wasRefused = context.noteCaller(route.name, request.head.deadlineMs);
+    this.admission = new TenantAdmission(context, route, request.head);
+    this.wasRefused = context.recordCaller(route.name, request.head.deadlineMs);
     const allowed = Math.min(request.head.deadlineMs ?? Infinity, route.timeoutMs);
     this.deadlineAt = request.arrivedAt + allowed - DEADLINE_MARGIN_MS;
     const dueAt = request.arrivedAt + route.goalMs - FIRST_PART_MS;
@@ -107,13 +107,13 @@
     const { arrivedAt } = this.request;
     this.context.budgetOf(this.match.service.name).countRequest(steadyNow());
     this.context.exchanges.add(this);
-    this.context.answers.hold(this.request.body.length);
+    this.context.answers.addBuffered(this.request.body.length);
     const remaining = this.deadlineAt - steadyNow();
     this.deadlineTimer = setTimeout(() => this.deadlinePassed(), Math.max(0, remaining));
     if (arrivedAt > this.deadlineAt) return this.deadlinePassed();
-    const denial = this.admission.deniedKey();
+    const denial = this.admission.checkKey();
     if (denial !== undefined) return this.refuseDenied(denial);
-    this.admission.takeUnits((denied) => {
+    this.admission.chargeUnits((denied) => {
       if (this.ended) return;
       if (denied === undefined) this.admitted();
       else this.refuseDenied(denied);
@@ -127,18 +127,18 @@
   private admitted(): void {
     const { route, service } = this.match;
     if (this.model !== undefined) {
-      this.context.tracker.arrived(service.name, this.model, route.goalMs, steadyNow());
+      this.context.tracker.recordArrival(service.name, this.model, route.goalMs, steadyNow());
     }
     this.dispatch();
   }
 
-  private refuseDenied({ kind, retryAfterMs, inputs }: PassDenial): void {
+  private refuseDenied({ kind, retryAfterMs, inputs }: TenantDenial): void {
     if (this.runs > 0) return this.giveUp(this.lastRan, kind);
     this.refuse(kind, retryAfterMs, inputs);
   }
 
   /** Rechecks a waiting request after a change that may allow it to be sent. */
-  look(): void {
+  recheck(): void {
     // A condemned request that is queued or has just started at a backend is withdrawn before it crashes that
     // backend too.
     if (!this.ended && !this.answer.hasBegun && this.isCondemned()) return this.refuseCrashing();
@@ -149,7 +149,7 @@
   /** Handles a restart of a backend under the same id: earlier refusals and sends no longer count. */
   backendRestarted(backend: BackendRecord): void {
     const wasPending = this.search.isPending;
-    this.search.forget(backend.id);
+    this.search.clearBackend(backend.id);
     // The request lost its place in the queue, and nothing else would recheck it.
     if (wasPending && !this.search.isPending) return this.wait();
     if (this.attempt?.backendId !== backend.id) return;
@@ -183,7 +183,7 @@
    */
   private refuseCrashing(): void {
     const { digest, crashes } = this.suspicion;
-    this.suspicion.refused();
+    this.suspicion.recordRefusal();
     const mayHaveRun = this.attempt !== undefined;
     if (mayHaveRun) return this.giveUp('unknown', 'crashes_backends');
     this.refuse('crashes_backends', undefined, { digest, crashes });
@@ -194,9 +194,9 @@
       service: this.match.service,
       model: this.model,
       sharedPrompt: this.request.head.sharedPrompt,
-      need: this.capacityQuery,
-      standing: () => this.slotDetails(),
-      mayRunAt: (backend) => this.suspicion.mayTakePlace(backend),
+      capacityQuery: this.capacityQuery,
+      slotDetails: () => this.slotDetails(),
+      mayRunAt: (backend) => this.suspicion.mayTakeTurn(backend),
       onSlot: (backend) => this.send(backend),
       onQueued: () => this.queued(),
       onNone: () => this.holdOrRefuse(),
@@ -210,7 +210,7 @@
    * Returns the properties that determine the request's place in a slot queue. A stream that has begun goes
    * first.
    */
-  private slotDetails(): SlotStanding {
+  private slotDetails(): SlotDetails {
     const { request, admission } = this;
     const { route } = this.match;
     const { head } = request;
@@ -241,7 +241,7 @@
 
   private backendsFull(retryAfterMs: number): void {
     if (this.answer.hasBegun) return this.wait();
-    this.search.leaveUntil(retryAfterMs);
+    this.search.withdrawUntil(retryAfterMs);
     this.refuseFull(retryAfterMs, { fullForMs: Math.round(retryAfterMs) });
   }
 
@@ -286,7 +286,7 @@
   }
 
   private stateFields(now: number): Record<string, number | undefined> {
-    return beliefsOf(this.context, this.match.service, this.configurationVersion, now);
+    return decisionState(this.context, this.match.service, this.configurationVersion, now);
   }
 
   /** Counts a refused caller as waiting until its retry, so that its model is loaded by then. */
@@ -296,15 +296,15 @@
     if (model === undefined) return;
     const { tracker } = this.context;
     const caller = { dueAt: steadyNow() + retryAfterMs, goalMs: route.goalMs };
-    tracker.waits(service.name, model, caller);
-    this.context.demandUrgent(service.name);
-    setTimeout(() => tracker.endsWaiting(service.name, model, caller), retryAfterMs).unref();
+    tracker.addWaiting(service.name, model, caller);
+    this.context.sendDemandNow(service.name);
+    setTimeout(() => tracker.removeWaiting(service.name, model, caller), retryAfterMs).unref();
   }
 
   private wait(): void {
     this.setWaiting(true);
     clearTimeout(this.recheckTimer);
-    this.recheckTimer = setTimeout(() => this.look(), RECHECK_INTERVAL_MS);
+    this.recheckTimer = setTimeout(() => this.recheck(), RECHECK_INTERVAL_MS);
   }
 
   private setWaiting(waiting: boolean): void {
@@ -314,28 +314,28 @@
     const { service } = this.match;
     if (model === undefined) return;
     const { tracker } = this.context;
-    if (!waiting) return tracker.endsWaiting(service.name, model, this.waitingCaller);
-    tracker.waits(service.name, model, this.waitingCaller);
-    this.context.demandUrgent(service.name);
+    if (!waiting) return tracker.removeWaiting(service.name, model, this.waitingCaller);
+    tracker.addWaiting(service.name, model, this.waitingCaller);
+    this.context.sendDemandNow(service.name);
   }
 
   private send(backend: BackendRecord): void {
     const { context, match, request } = this;
     const { route, service } = match;
     const now = steadyNow();
-    const denial = this.admission.deniedKey();
+    const denial = this.admission.checkKey();
     if (denial !== undefined) return this.refuseDenied(denial);
     if (this.isCondemned()) return this.refuseCrashing();
     // Since the slot was granted, the backend may have announced that it is leaving or requested a backoff.
     if (!this.search.isUsable(backend.id)) return this.restartSearch();
-    if (!this.suspicion.takePlace(backend.id)) return this.waitForTurn();
+    if (!this.suspicion.takeTurn(backend.id)) return this.waitForTurn();
     if (this.sends > 0 && !this.takeRetry(service.name, now)) return this.stopRetrying();
     this.setWaiting(false);
     clearTimeout(this.recheckTimer);
     this.recordHeldWait(true);
     this.sends += 1;
-    this.search.noteSent(backend.id);
-    context.tracker.sent(service.name, backend.id, this.model, 1);
+    this.search.recordSent(backend.id);
+    context.tracker.addInFlight(service.name, backend.id, this.model, 1);
     this.isCounted = true;
     if (this.sends === 1) {
       context.metrics.waitSeconds.observe({ route: route.name }, (now - request.arrivedAt) / 1000);
@@ -343,32 +343,32 @@
     this.log('sent', {
       backend: backend.id,
       inFlight: this.search.inFlightAt(backend),
-      beliefAgeMs: context.slots?.figuresAgeMs(backend.id, now),
+      beliefAgeMs: context.slots?.statusAgeMs(backend.id, now),
       rateLimit: context.permits.perSecond(backend),
       sends: this.sends,
       waitedMs: Math.round(now - request.arrivedAt),
       remainingMs: Math.round(this.deadlineAt - now),
       ...this.stateFields(now),
     });
-    const rateLimit = context.permits.believed(backend);
+    const rateLimit = context.permits.recordedLimit(backend);
     const isResumed = this.answer.hasBegun || request.head.lastEventId !== undefined;
     this.attempt = new Attempt(context, {
       backend,
       route,
       request,
       tenant: this.admission.tenant,
-      urgency: context.slots && GRANTED_PRIORITY,
+      priority: context.slots && GRANTED_PRIORITY,
       remainingMs: this.deadlineAt - now,
       lastEventId: this.answer.lastEventId ?? request.head.lastEventId,
-      silentAfterMs: firstByteTimeoutMs(route, this.runs),
-      stalledAfterMs: stallTimeoutMs(route, this.runs),
+      firstByteTimeoutMs: firstByteTimeoutMs(route, this.runs),
+      stallTimeoutMs: stallTimeoutMs(route, this.runs),
       hasAlternative: () => this.search.hasAlternative(),
-      onLeaving: () => context.leavings.answered(backend, request.head.attemptId),
+      onLeaving: () => context.leavingNotices.recordShutdown(backend, request.head.attemptId),
       onRateLimit: (notice) =>
-        context.permits.answered(backend, notice, rateLimit, request.head.attemptId),
+        context.permits.recordAnswer(backend, notice, rateLimit, request.head.attemptId),
       onBackoff: (backoffMs) => this.handleBackoff(backend, backoffMs),
-      onSilent: () => this.backendSilent(backend),
-      gaps: watchedGaps(context, this.capacityQuery, backend.id, isResumed),
+      onTimeout: () => this.backendSilent(backend),
+      gaps: gapRecorder(context, this.capacityQuery, backend.id, isResumed),
       answer: this.answer,
       onEnd: (end) => this.attemptEnded(backend, end),
     });
@@ -398,7 +398,7 @@
       askedMs: Math.round(askedMs),
       restMs: backoffMs,
     });
-    this.context.lookAgain();
+    this.context.recheckWaiting();
   }
 
   /**
@@ -453,7 +453,7 @@
     this.releaseAttempt(backend.id, this.hasFailed(backend, end));
     this.recordHealth(backend, end);
     if (end.type === 'done') {
-      this.suspicion.answered();
+      this.suspicion.recordAnswer();
       return this.finish(end.status < 400 ? 'served' : 'failed');
     }
     this.log('attempt_failed', {
@@ -471,10 +471,10 @@
     }
     const history = { runs: this.runs, sends: this.sends };
     const step = stepAfterFailure(this.match.route, end, history);
-    const examined = end.cutOff ? this.suspicion.brokeOff(backend) : undefined;
+    const examined = end.connectionLost ? this.suspicion.recordDisconnect(backend) : undefined;
     if (step === 'retry') return this.dispatchAfter(examined);
     if (end.answer !== undefined && !this.answer.hasBegun) {
-      this.answer.sendWhole(end.answer);
+      this.answer.sendComplete(end.answer);
       return this.finish('failed');
     }
     if (step === 'refuse') return this.refuse('engine_refused', 300);
@@ -491,21 +491,21 @@
   private releaseAttempt(backend: string, hasFailed = false): void {
     this.removeInFlight(backend);
     this.attempt = undefined;
-    this.suspicion.leavePlace();
+    this.suspicion.endTurn();
     this.search.release(hasFailed);
     this.setWaiting(false);
   }
 
   /** Returns whether the backend itself has failed the request. A timeout may be caused by the network. */
   private hasFailed(backend: BackendRecord, end: AttemptEnd): boolean {
-    if (end.type === 'done' || !end.reached || end.silent || end.lacksModel) return false;
+    if (end.type === 'done' || !end.reached || end.unresponsive || end.lacksModel) return false;
     return !isDifferentStart(backend, this.context.directory.get(backend.id));
   }
 
   private removeInFlight(backend: string): void {
     if (!this.isCounted) return;
     this.isCounted = false;
-    this.context.tracker.sent(this.match.service.name, backend, this.model, -1);
+    this.context.tracker.addInFlight(this.match.service.name, backend, this.model, -1);
   }
 
   private recordHealth(backend: BackendRecord, end: AttemptEnd): void {
@@ -513,12 +513,12 @@
     // The result of a request at an earlier process says nothing about the current process.
     if (isDifferentStart(backend, directory.get(backend.id))) return;
     if (end.type === 'done') return health.recordSuccess(backend.id);
-    if (end.ran === 'no') this.search.noteRefusal(backend.id);
+    if (end.ran === 'no') this.search.recordRefusal(backend.id);
     if (end.lacksModel && this.model !== undefined) {
       return directory.markModelMissing(backend.id, this.model, steadyNow());
     }
-    if (end.silent) health.recordNoResponse(backend.id, steadyNow());
-    else if (end.broken) health.recordDisconnect(backend.id, steadyNow());
+    if (end.unresponsive) health.recordNoResponse(backend.id, steadyNow());
+    else if (end.closedBeforeAnswer) health.recordDisconnect(backend.id, steadyNow());
     else health.recordFailure(backend.id);
   }
 
@@ -561,7 +561,7 @@
   ): void {
     this.log('given_up', { ran, reason, begun: this.answer.hasBegun });
     const fallback = ran === 'yes' ? 'engine_failed' : 'engine_outcome_unknown';
-    if (this.answer.hasBegun) this.answer.breakOff();
+    if (this.answer.hasBegun) this.answer.disconnect();
     else this.answer.sendError(kind ?? fallback, undefined);
     this.finish('failed');
   }
@@ -578,17 +578,17 @@
       this.attempt.abort();
       this.releaseAttempt(this.attempt.backendId);
     }
-    this.suspicion.leavePlace();
+    this.suspicion.endTurn();
     this.search.release();
     this.admission.end(mayHaveRun);
     this.context.exchanges.delete(this);
-    this.context.answers.hold(-this.request.body.length);
+    this.context.answers.addBuffered(-this.request.body.length);
     const { route } = this.match;
     const seconds = (steadyNow() - this.request.arrivedAt) / 1000;
     this.context.metrics.requests.inc({ route: route.name, end });
     this.context.metrics.answerSeconds.observe({ route: route.name }, seconds);
     const milliseconds = Math.round(seconds * 1000);
-    const { begunAt } = this.answer;
+    const { headSentAt: begunAt } = this.answer;
     const firstPartMs = begunAt && Math.round(begunAt - this.request.arrivedAt);
     const timing = { milliseconds, firstPartMs, goalMs: route.goalMs, ...this.pauseFields() };
     this.log('request_ended', { end, ...timing, sends: this.sends });
--- a/src/gateway/request-suspicion.ts
+++ b/src/gateway/request-suspicion.ts
@@ -2,7 +2,7 @@
 import { createHash } from 'node:crypto';
 import type { CrashVerdict } from '../core/crash-records.js';
 import type { BackendRecord } from '../core/service-configuration.js';
-import type { CrashWatch } from './crash-watch.js';
+import type { CrashTracker } from './crash-tracker.js';
 import type { CallerRequest } from './caller-request.js';
 
 /**
@@ -16,7 +16,7 @@
   private cachedDigest: string | undefined;
 
   constructor(
-    private readonly watch: CrashWatch,
+    private readonly watch: CrashTracker,
     private readonly request: CallerRequest,
     private readonly answerHasBegun: () => boolean,
   ) {}
@@ -34,7 +34,7 @@
 
   /** Number of crashes attributed to the request. */
   get crashes(): number {
-    return this.watch.isIdle ? 0 : this.watch.crashesOf(this.digest);
+    return this.watch.isIdle ? 0 : this.watch.attributedCrashes(this.digest);
   }
 
   verdict(): CrashVerdict {
@@ -44,35 +44,35 @@
   /**
    * Returns whether the request may be sent to the backend now. A backend runs one suspect request at a time.
    */
-  takePlace(backend: string): boolean {
-    return this.verdict() !== 'suspect' || this.watch.takePlace(backend, this);
+  takeTurn(backend: string): boolean {
+    return this.verdict() !== 'suspect' || this.watch.reserve(backend, this);
   }
 
   /** Returns whether the backend runs no other suspect request, if this request is a suspect. */
-  mayTakePlace(backend: string): boolean {
-    return this.verdict() !== 'suspect' || this.watch.isPlaceFree(backend, this);
+  mayTakeTurn(backend: string): boolean {
+    return this.verdict() !== 'suspect' || this.watch.canReserve(backend, this);
   }
 
   /** Records that the request no longer runs at a backend. */
-  leavePlace(): void {
-    this.watch.leavePlace(this);
+  endTurn(): void {
+    this.watch.release(this);
   }
 
   /** Records that the request was refused. */
-  refused(): void {
-    this.watch.repeated(this.digest);
+  recordRefusal(): void {
+    this.watch.recordRepeat(this.digest);
   }
 
   /** Records that the request was answered. */
-  answered(): void {
-    if (!this.watch.isIdle) this.watch.answered(this.digest);
+  recordAnswer(): void {
+    if (!this.watch.isIdle) this.watch.recordAnswer(this.digest);
   }
 
   /**
    * Records that a backend closed the connection. Resolves when it is known whether the backend has crashed.
    */
-  brokeOff(backend: BackendRecord): Promise<void> {
-    return this.watch.brokeOff(backend, this.digest, this.request.head.attemptId);
+  recordDisconnect(backend: BackendRecord): Promise<void> {
+    return this.watch.recordAbort(backend, this.digest, this.request.head.attemptId);
   }
 }
 
--- a/src/gateway/request-tracker.ts
+++ b/src/gateway/request-tracker.ts
@@ -47,7 +47,7 @@
   private readonly streamGaps = new Map<string, GapSamples>();
 
   /** Records that a request for a model has arrived. */
-  arrived(service: string, reference: ModelReference, goalMs: number, now: number): void {
+  recordArrival(service: string, reference: ModelReference, goalMs: number, now: number): void {
     const counted = this.demandFor(service, reference, goalMs);
     this.changed.add(service);
     counted.arrivals += 1;
@@ -56,7 +56,7 @@
   }
 
   /** Records that a caller starts to wait. */
-  waits(service: string, reference: ModelReference, caller: WaitingCaller): void {
+  addWaiting(service: string, reference: ModelReference, caller: WaitingCaller): void {
     const counted = this.demandFor(service, reference, caller.goalMs);
     this.changed.add(service);
     counted.waiting.add(caller);
@@ -64,13 +64,13 @@
   }
 
   /** Records that a caller no longer waits. */
-  endsWaiting(service: string, reference: ModelReference, caller: WaitingCaller): void {
+  removeWaiting(service: string, reference: ModelReference, caller: WaitingCaller): void {
     this.changed.add(service);
     this.demand.get(service)?.get(adapterKey(reference))?.waiting.delete(caller);
   }
 
   /** Changes the number of requests in flight at a backend by `change`. */
-  sent(
+  addInFlight(
     service: string,
     backend: string,
     reference: ModelReference | undefined,
@@ -136,7 +136,7 @@
   }
 
   /** Adds recent requests, weighted by age, to the next report, for a new owner. */
-  recall(service: string, now: number): void {
+  addRecentArrivals(service: string, now: number): void {
     this.changed.add(service);
     for (const { reference, goalMs, arrivals } of this.historyOf(service).recent(now)) {
       const counted = this.demandFor(service, reference, goalMs);
--- a/src/gateway/service-owner.ts
+++ b/src/gateway/service-owner.ts
@@ -23,8 +23,8 @@
 } from '../core/store-load-limit.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
 import { comparatorForPolicies } from '../core/waiting-model-comparators.js';
-import { CapacityWatch } from './capacity-watch.js';
-import { LoadWatch } from './load-watch.js';
+import { CapacityTracker } from './capacity-tracker.js';
+import { LoadTracker } from './load-tracker.js';
 import type { BackendControl } from './ports.js';
 import { steadyNow } from './steady-clock.js';
 
@@ -88,9 +88,9 @@
   private readonly lastReport = new Map<string, number>();
   private readonly storeLoads: StoreLoadWindow;
   private readonly storeLimit: StoreLoadLimit;
-  private readonly loadWatch: LoadWatch;
+  private readonly loadWatch: LoadTracker;
   /** Learned speeds of the backends; undefined if all backends count as equally fast. */
-  private readonly capacity: CapacityWatch | undefined;
+  private readonly capacity: CapacityTracker | undefined;
   private readonly publisher: PlacementPublisher;
   private roundTimer: NodeJS.Timeout | undefined;
   private lastRound = -Infinity;
@@ -110,10 +110,10 @@
     this.storeLimit = policies.storeLoadLimit
       ? new AdaptiveStoreLoadLimit(this.startingStoreLoadLimit())
       : new UnlimitedStoreLoads();
-    this.loadWatch = new LoadWatch({ service, epoch, limit: this.storeLimit, logger, metrics });
+    this.loadWatch = new LoadTracker({ service, epoch, limit: this.storeLimit, logger, metrics });
     const isListed = (backend: string): boolean => this.ledgers.has(backend);
     const watched = { service, epoch, logger, metrics, isListed };
-    this.capacity = policies.learnedCapacity ? new CapacityWatch(watched) : undefined;
+    this.capacity = policies.learnedCapacity ? new CapacityTracker(watched) : undefined;
     this.publisher = new PlacementPublisher(
       options.service,
       options.epoch,
@@ -131,7 +131,7 @@
   }
 
   /** Full update of everything published so far, for a daemon that missed an update. */
-  everything(): PlacementUpdate {
+  fullUpdate(): PlacementUpdate {
     return this.publisher.fullUpdate(steadyNow());
   }
 
@@ -142,9 +142,9 @@
   }
 
   /** Applies a daemon's demand report; waiting requests trigger a planning round. */
-  hear(report: DemandReport): void {
+  applyDemand(report: DemandReport): void {
     this.demand.applyReport(report, steadyNow());
-    this.capacity?.hear(report, steadyNow());
+    this.capacity?.addReport(report, steadyNow());
     if (report.samples.some((sample) => sample.waiting > 0)) this.scheduleRound();
   }
 
@@ -189,8 +189,8 @@
     const now = steadyNow();
     this.lastRound = now;
     this.syncLedgers(now);
-    this.loadWatch.settle(this.ledgers, now);
-    this.capacity?.settle(now);
+    this.loadWatch.endFinished(this.ledgers, now);
+    this.capacity?.recompute(now);
     this.logFailingBackends(now);
     this.checkSuspectHolders(now);
     this.readReports(now);
@@ -231,7 +231,7 @@
     const { demand, options } = this;
     const { policies } = options;
     const { unloadTimes } = this.loadWatch;
-    const capacity = this.capacity?.planned();
+    const capacity = this.capacity?.planningCapacity();
     const loads = { storeLoads, storeSlotWaitsMs: storeSlotWaits, unloadTimes };
     return { host, backends, demand, policies, now, ...loads, capacity };
   }
--- a/src/gateway/service-duties.ts
+++ b/src/gateway/service-ownerships.ts
@@ -17,7 +17,7 @@
 const EXTRA_LOADS_PER_WINDOW = 3;
 
 /** Options of {@link ServiceOwnerships}. */
-export interface ServiceDutiesOptions {
+export interface ServiceOwnershipsOptions {
   readonly settings: GatewaySettings;
   readonly peers: PeerGroup;
   readonly store: RecordStore;
@@ -27,7 +27,7 @@
   readonly metrics: GatewayMetrics;
   readonly listed: () => readonly DutyMember[];
   /** Whether this daemon receives messages from another one that the platform responds to. */
-  readonly platformAnswersOthers: () => boolean;
+  readonly othersReachPlatform: () => boolean;
   readonly publish: (update: PlacementUpdate) => void;
 }
 
@@ -37,12 +37,12 @@
 }
 
 /** Ownership of all services that host models. */
-export class ServiceDuties {
+export class ServiceOwnerships {
   private readonly services = new Map<string, ServiceState>();
   private configuration: ServiceConfiguration | undefined;
   private stopped = false;
 
-  constructor(private readonly options: ServiceDutiesOptions) {}
+  constructor(private readonly options: ServiceOwnershipsOptions) {}
 
   /** Applies a newer configuration. */
   configure(configuration: ServiceConfiguration): void {
@@ -78,19 +78,19 @@
   }
 
   /** Applies a demand report; returns false if this daemon does not own the service. */
-  hear(service: string, report: DemandReport): boolean {
+  applyDemand(service: string, report: DemandReport): boolean {
     const owner = this.services.get(service)?.owner;
-    owner?.hear(report);
+    owner?.applyDemand(report);
     return owner !== undefined;
   }
 
-  hearOwner(address: string, service: string, epoch: number): void {
-    this.services.get(service)?.ownership.hearOwner(address, epoch);
+  applyAnnouncement(address: string, service: string, epoch: number): void {
+    this.services.get(service)?.ownership.applyAnnouncement(address, epoch);
   }
 
   /** Full placement of a service; undefined if this daemon does not own it. */
-  everythingOf(service: string): PlacementUpdate | undefined {
-    return this.services.get(service)?.owner?.everything();
+  fullUpdateOf(service: string): PlacementUpdate | undefined {
+    return this.services.get(service)?.owner?.fullUpdate();
   }
 
   /** Peer address of a service's owner, if one is known. */
@@ -99,7 +99,7 @@
   }
 
   private makeState(service: string): ServiceState {
-    const { peers, store, logger, listed, settings, platformAnswersOthers } = this.options;
+    const { peers, store, logger, listed, settings, othersReachPlatform: platformAnswersOthers } = this.options;
     const state: ServiceState = {
       owner: undefined,
       ownership: new Ownership({
@@ -108,7 +108,7 @@
         store,
         logger,
         backendsCheckEpochs: settings.backendsCheckEpochs,
-        platformAnswersOthers,
+        othersReachPlatform: platformAnswersOthers,
         listed,
         onChange: (epoch) => {
           state.owner?.stop();
@@ -121,7 +121,7 @@
 
   private makeOwner(service: string, epoch: number, state: ServiceState): ServiceOwner {
     const { settings, peers, control, directory, logger, metrics, publish } = this.options;
-    const host = (): ReturnType<ServiceDuties['hostOf']> => this.hostOf(service);
+    const host = (): ReturnType<ServiceOwnerships['hostOf']> => this.hostOf(service);
     return new ServiceOwner(
       {
         service,
--- a/src/gateway/share-codec.ts
+++ b/src/gateway/share-codec.ts
@@ -2,7 +2,7 @@
 import { create } from '@bufbuild/protobuf';
 import { sortMembers, type ShareMember, type ShareRecord } from '../core/admission/limit-shares.js';
 import { ShareMemberSchema, ShareNewsSchema, type ShareNews } from '../proto/gen/internal_pb.js';
-import { readMember } from './member-codec.js';
+import { decodeMember } from './member-codec.js';
 
 /** Encodes a record for other daemons. */
 export function encodeShares({ number, members, next }: ShareRecord): ShareNews {
@@ -34,6 +34,6 @@
 
 function parseMembers(value: unknown): ShareMember[] | undefined {
   if (!Array.isArray(value)) return undefined;
-  const members = value.map(readMember).filter((member) => member !== undefined);
+  const members = value.map(decodeMember).filter((member) => member !== undefined);
   return members.length === value.length ? sortMembers(members) : undefined;
 }
--- a/src/gateway/share-record-store.ts
+++ b/src/gateway/share-record-store.ts
@@ -15,7 +15,7 @@
 }
 
 /** The result of a read, or of a write that first reads the record. */
-export type ShareReading =
+export type ShareReadResult =
   /** `isNew`: the record is newer than the known one. */
   | { readonly type: 'read'; readonly isNew: boolean }
   | { readonly type: 'absent' }
@@ -26,7 +26,7 @@
   constructor(private readonly options: ShareRecordStoreOptions) {}
 
   /** Reads the record and adds it to this daemon's shares. */
-  async read(): Promise<ShareReading> {
+  async read(): Promise<ShareReadResult> {
     const { store, shares, logger } = this.options;
     const result = await store.read('limitShares', RECORD_NAME);
     if (result.isErr) return this.fail('limit_shares_unread', result.error);
@@ -46,7 +46,7 @@
    * Replaces the record in the store unless the stored one is newer than the one that this daemon knows. The stored record may
    * be older if the store was restored from a backup.
    */
-  async replace(expected: ShareRecord | undefined, next: ShareRecord): Promise<ShareReading> {
+  async replace(expected: ShareRecord | undefined, next: ShareRecord): Promise<ShareReadResult> {
     const { store, shares, logger } = this.options;
     const entry = await store.read('limitShares', RECORD_NAME);
     if (entry.isErr) return this.fail('limit_shares_unread', entry.error);
@@ -69,7 +69,7 @@
     return this.options.shares.record?.number ?? 0;
   }
 
-  private fail(event: string, failure: RecordFailure): ShareReading {
+  private fail(event: string, failure: RecordFailure): ShareReadResult {
     const reason = failure.type === 'conflict' ? failure.type : failure.reason;
     this.options.logger.warn(event, { reason, known: this.knownNumber });
     return { type: 'failed' };
