--- a/src/gateway/shared-limits.ts
+++ b/src/gateway/shared-limits.ts
@@ -16,7 +16,7 @@
 import type { HolderLeases } from './holder-leases.js';
 import { LimitGroup } from './limit-group.js';
 import type { LimitKind } from './limit-kind.js';
-import { ANSWER_WITHIN_MS, LimitHolder } from './limit-holder.js';
+import { HOLDER_TIMEOUT_MS, LimitHolder } from './limit-holder.js';
 import { steadyNow } from './steady-clock.js';
 
 /** Delay after which a request to the holder is sent again, because a datagram may be lost. */
@@ -116,7 +116,7 @@
 
   /** Call this when the set of live daemons or the division of limits has changed. */
   groupChanged(): void {
-    this.group.changed();
+    this.group.markChanged();
   }
 
   /** Updates the group and the ledgers; call it a few times a second. */
@@ -130,7 +130,7 @@
   receive(from: string, body: PeerBody): boolean {
     if (!isLimitBody(body) || body.value.isOfBackend !== this.options.kind.isOfBackend)
       return false;
-    if (body.case === 'limitCharge') this.holderRole.hearCharge(from, body.value);
+    if (body.case === 'limitCharge') this.holderRole.handleCharge(from, body.value);
     else if (body.case === 'limitAnswer') this.handleReply(from, body.value);
     else this.handleHolderMessage(from, body.value);
     return true;
@@ -169,9 +169,9 @@
   }
 
   private updateGroup(now: number): void {
-    if (!this.group.follow(now)) return;
+    if (!this.group.update(now)) return;
     for (const [name, state] of this.members) this.updateHolder(name, state, now);
-    this.holderRole.followGroup();
+    this.holderRole.updateLeases();
   }
 
   private requestDecision(
@@ -190,7 +190,7 @@
       send();
       open.timer = setTimeout(
         () => this.decideAlone(question),
-        ANSWER_WITHIN_MS - REQUEST_RETRY_MS,
+        HOLDER_TIMEOUT_MS - REQUEST_RETRY_MS,
       );
     }, REQUEST_RETRY_MS);
     const open: OpenRequest = { name, units, onDecision, timer };
@@ -288,7 +288,7 @@
     state.admittedAlone.takeTotal(now);
     const units = state.admitted.total(now);
     if (units === 0) return;
-    if (holder === this.options.self) this.holderRole.recallOwn(name, units, now);
+    if (holder === this.options.self) this.holderRole.countOwnReported(name, units, now);
     else this.sendCharge(holder, { tenant: name, units, isRecalled: true });
   }
 }
--- a/src/gateway/leaving-news.ts
+++ b/src/gateway/shutdown-announcer.ts
@@ -19,8 +19,8 @@
 /** Maximum number of entries accepted from one message. Our own daemons send fewer. */
 const MAX_ENTRIES = 500;
 
-/** Options of {@link LeavingNews}. */
-export interface LeavingNewsOptions {
+/** Options of {@link ShutdownAnnouncer}. */
+export interface ShutdownAnnouncerOptions {
   readonly directory: BackendDirectory;
   readonly logger: Logger;
   readonly broadcast: (body: PeerBody) => void;
@@ -34,14 +34,14 @@
 }
 
 /** Sends and receives the shutdown announcements of one daemon. */
-export class LeavingNews {
+export class ShutdownAnnouncer {
   private announcements: Announcement[] = [];
   private nextSendAt = Infinity;
 
-  constructor(private readonly options: LeavingNewsOptions) {}
+  constructor(private readonly options: ShutdownAnnouncerOptions) {}
 
   /** Handles a shutdown that a backend announced in its response to a request of this daemon. `request` is the request's id. */
-  answered(backend: BackendRecord, request: string | undefined): void {
+  recordShutdown(backend: BackendRecord, request: string | undefined): void {
     const { directory, logger, onChange } = this.options;
     const process = backendProcessOf(backend);
     if (!directory.markLeaving(process)) return;
--- a/src/gateway/slot-admission.ts
+++ b/src/gateway/slot-admission.ts
@@ -27,7 +27,7 @@
   type SlotWord,
 } from '../proto/gen/internal_pb.js';
 import type { GatewayMetrics } from './gateway-metrics.js';
-import { SlotKeeper } from './slot-keeper.js';
+import { SlotAllocators } from './slot-allocators.js';
 import { SlotOutbox } from './slot-outbox.js';
 import { steadyNow } from './steady-clock.js';
 
@@ -66,7 +66,7 @@
 }
 
 /** The properties of a request that needs a slot. */
-export interface SlotWish {
+export interface SlotClaimParams {
   readonly backend: BackendRecord;
   /** The request's id, for logs. */
   readonly request: string | undefined;
@@ -82,7 +82,7 @@
   /** Requests in flight at the backend, as announced by the service's owner; undefined without a recent announcement. */
   readonly ownerLoad: number | undefined;
   /** Called with each later decision, if any, for example first `queued` and then another. Never called after `release`. */
-  readonly onAnswer: (answer: SlotResponse) => void;
+  readonly onDecision: (answer: SlotResponse) => void;
 }
 
 /** A request's claim on a slot, from the slot request to the end of the use. */
@@ -107,7 +107,7 @@
 
   constructor(
     readonly ticket: number,
-    readonly params: SlotWish,
+    readonly params: SlotClaimParams,
     private readonly onRelease: (claim: OpenClaim, returnsInMs: number, hasFailed: boolean) => void,
   ) {}
 
@@ -143,7 +143,7 @@
 export class SlotAdmission {
   private readonly backends = new Map<string, KnownBackend>();
   private readonly outbox: SlotOutbox;
-  private readonly keeper: SlotKeeper;
+  private readonly allocators: SlotAllocators;
   private sequence = Math.floor(Math.random() * TICKET_RANGE);
   private candidates: string[] = [];
   private hasMembershipChanged = true;
@@ -152,12 +152,12 @@
   constructor(private readonly options: SlotAdmissionOptions) {
     this.outbox = new SlotOutbox((to, body) => this.deliver(to, body));
     const { logger, metrics, slotsOf } = options;
-    const enqueueEntry = this.outbox.tell.bind(this.outbox);
-    this.keeper = new SlotKeeper({ logger, metrics, slotsOf, tell: enqueueEntry });
+    const enqueueEntry = this.outbox.enqueue.bind(this.outbox);
+    this.allocators = new SlotAllocators({ logger, metrics, slotsOf, enqueue: enqueueEntry });
   }
 
   /** Claims a slot. The claim is held at once, or decided later. */
-  claim(params: SlotWish): SlotClaim {
+  claim(params: SlotClaimParams): SlotClaim {
     const now = steadyNow();
     this.followMembership();
     const { id } = params.backend;
@@ -173,7 +173,7 @@
   }
 
   /** Status of a backend that its allocator announced within {@link STATUS_VALID_MS}; undefined if there is none. */
-  figuresOf(backend: string, now: number): SlotStatus | undefined {
+  statusOf(backend: string, now: number): SlotStatus | undefined {
     const known = this.backends.get(backend);
     if (known === undefined || now - known.statusAt > STATUS_VALID_MS) return undefined;
     return known.status;
@@ -187,7 +187,7 @@
   }
 
   /** Milliseconds since the last status of a backend was received from its allocator; undefined if there is none. */
-  figuresAgeMs(backend: string, now: number): number | undefined {
+  statusAgeMs(backend: string, now: number): number | undefined {
     const known = this.backends.get(backend);
     return known?.status && Math.round(now - known.statusAt);
   }
@@ -201,7 +201,7 @@
   tick(): void {
     const now = steadyNow();
     this.followMembership();
-    this.keeper.tick();
+    this.allocators.tick();
     if (now - this.listedAt < LIST_PERIOD_MS) return;
     this.listedAt = now;
     for (const [id, known] of this.backends) {
@@ -213,7 +213,7 @@
 
   /** Handles a message about slots. Returns false if the message is of another kind. */
   receive(from: string, body: PeerBody): boolean {
-    if (body.case === 'slotReport') this.keeper.receive(from, body.value);
+    if (body.case === 'slotReport') this.allocators.receive(from, body.value);
     else if (body.case === 'slotWords') {
       for (const message of body.value.words) this.handleMessage(from, message);
     } else return false;
@@ -221,7 +221,7 @@
   }
 
   /** Address of the daemon that allocates a backend's slots, by this daemon's view of the group. */
-  keeperOf(backend: string): string {
+  allocatorOf(backend: string): string {
     return firstCandidate(`slots/${backend}`, this.candidates) ?? this.options.self;
   }
 
@@ -230,7 +230,7 @@
     else this.options.sendDatagram(to, body);
   }
 
-  private hasFreeSlots(known: KnownBackend, params: SlotWish, now: number): boolean {
+  private hasFreeSlots(known: KnownBackend, params: SlotClaimParams, now: number): boolean {
     const { status, statusAt, claims, noGrantsUntil } = known;
     if (now < noGrantsUntil) return true;
     if (status !== undefined && now - statusAt <= FREE_SLOTS_VALID_MS) {
@@ -250,7 +250,7 @@
     const { backend, ticket, params } = claim;
     const { tenant, work } = params;
     const value = create(SlotUseSchema, { backend, ticket, tenant, work });
-    this.outbox.tell(known.allocator, { kind: 'taken', value });
+    this.outbox.enqueue(known.allocator, { kind: 'taken', value });
   }
 
   private requestSlot(known: KnownBackend, claim: OpenClaim): void {
@@ -278,24 +278,24 @@
       tenant,
       work,
     });
-    this.outbox.tell(known.allocator, { kind: 'ask', value });
+    this.outbox.enqueue(known.allocator, { kind: 'ask', value });
   }
 
   private sendWithoutGrant(known: KnownBackend, claim: OpenClaim): void {
     const { backend, params } = claim;
     const { allocator } = known;
-    this.options.metrics.slotAsksUnanswered.inc();
+    this.options.metrics.unansweredSlotRequests.inc();
     const waitedMs = Math.round(steadyNow() - claim.requestedAt);
     this.options.logger.warn('slot_keeper_silent', {
       request: params.request,
       backend,
-      keeper: allocator,
+      allocators: allocator,
       waitedMs,
     });
     known.status = undefined;
     known.noGrantsUntil = steadyNow() + NO_GRANT_PERIOD_MS;
     this.hold(known, claim);
-    params.onAnswer({ type: 'granted' });
+    params.onDecision({ type: 'granted' });
   }
 
   private release(claim: OpenClaim, returnsInMs: number, hasFailed: boolean): void {
@@ -312,7 +312,7 @@
   private reportEnd(allocator: string, end: MessageInitShape<typeof SlotEndSchema>): void {
     const returnsInMs = Math.ceil(end.returnsInMs ?? 0);
     const value = create(SlotEndSchema, { ...end, returnsInMs });
-    this.outbox.tell(allocator, { kind: 'ended', value });
+    this.outbox.enqueue(allocator, { kind: 'ended', value });
   }
 
   private handleMessage(from: string, message: SlotWord): void {
@@ -343,7 +343,7 @@
     // Of a former allocator's decisions only grants are applied.
     if (message.verdict !== SlotVerdict.GRANTED) return;
     this.hold(known, claim);
-    claim.params.onAnswer({ type: 'granted' });
+    claim.params.onDecision({ type: 'granted' });
   }
 
   private applyDecision(known: KnownBackend, claim: OpenClaim, message: SlotWord): void {
@@ -355,20 +355,20 @@
       const isFirst = claim.state === 'asked';
       claim.state = 'queued';
       if (isFirst) this.log('slot_queued', claim, message);
-      return claim.params.onAnswer({ type: 'queued', expectedWaitMs: waitMs });
+      return claim.params.onDecision({ type: 'queued', expectedWaitMs: waitMs });
     }
     const waitedSeconds = (steadyNow() - claim.requestedAt) / 1_000;
     if (verdict === SlotVerdict.GRANTED) {
       claim.state = 'held';
       this.log('slot_granted', claim, message);
       this.options.metrics.slotWaitSeconds.observe({ answer: 'granted' }, waitedSeconds);
-      return claim.params.onAnswer({ type: 'granted' });
+      return claim.params.onDecision({ type: 'granted' });
     }
     known.claims.delete(claim.ticket);
     this.log('slot_refused', claim, message);
     this.options.metrics.slotWaitSeconds.observe({ answer: 'refused' }, waitedSeconds);
     const isRefused = verdict === SlotVerdict.REFUSED;
-    claim.params.onAnswer(
+    claim.params.onDecision(
       isRefused ? { type: 'refused', retryAfterMs: waitMs } : { type: 'unknown' },
     );
   }
@@ -394,7 +394,7 @@
       known.usedAt = now;
       return known;
     }
-    const allocator = this.keeperOf(id);
+    const allocator = this.allocatorOf(id);
     const claims = new Map<number, OpenClaim>();
     const added: KnownBackend = {
       allocator,
@@ -415,14 +415,14 @@
     const inFlight = all.filter(({ state }) => state === 'held').map(({ ticket }) => ticket);
     const waiting = all.filter(({ state }) => state !== 'held').map(({ ticket }) => ticket);
     const value = create(SlotListSchema, { backend, inFlight, waiting });
-    this.outbox.tell(allocator, { kind: 'list', value });
+    this.outbox.enqueue(allocator, { kind: 'list', value });
   }
 
   private followMembership(): void {
     if (!this.hasMembershipChanged) return;
     this.hasMembershipChanged = false;
     const { live, reachable, self } = this.options;
-    this.keeper.keepOnly(new Set([...reachable(), self]));
+    this.allocators.retainDaemons(new Set([...reachable(), self]));
     const candidates = highCapacityMembers(live())
       .map((member) => member.address)
       .sort();
@@ -433,7 +433,7 @@
 
   /** If the backend has a new allocator, reports this daemon's uses to it and sends it the waiting slot requests. */
   private followAllocator(id: string, known: KnownBackend): void {
-    const allocator = this.keeperOf(id);
+    const allocator = this.allocatorOf(id);
     if (allocator === known.allocator) return;
     const former = known.allocator;
     known.allocator = allocator;
@@ -445,7 +445,7 @@
     this.options.logger.info('slot_keeper_changed', {
       backend: id,
       former,
-      keeper: allocator,
+      allocators: allocator,
       inFlight,
       waiting,
     });
--- a/src/gateway/slot-keeper.ts
+++ b/src/gateway/slot-allocators.ts
@@ -35,13 +35,13 @@
  */
 const ANNOUNCED_FAILURE_SHARE = 0.25;
 
-/** Options of {@link SlotKeeper}. */
-export interface SlotKeeperOptions {
+/** Options of {@link SlotAllocators}. */
+export interface SlotAllocatorsOptions {
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
   /** Number of slots of a backend that accepts requests; undefined if it accepts none, or is not known to this daemon. */
   readonly slotsOf: (backend: string) => number | undefined;
-  readonly tell: (to: string, entry: SlotEntry) => void;
+  readonly enqueue: (to: string, entry: SlotEntry) => void;
 }
 
 interface AllocatedBackend {
@@ -52,16 +52,16 @@
 }
 
 /** The slot queues for which this daemon is the allocator. */
-export class SlotKeeper {
-  private readonly kept = new Map<string, AllocatedBackend>();
+export class SlotAllocators {
+  private readonly entries = new Map<string, AllocatedBackend>();
 
-  constructor(private readonly options: SlotKeeperOptions) {}
+  constructor(private readonly options: SlotAllocatorsOptions) {}
 
   /** Handles a daemon's report. The reply to a request for an unknown backend says that it is unknown. */
   receive(from: string, { asks, taken, ended, lists }: SlotReport): void {
     const now = steadyNow();
     for (const { backend, ticket, returnsInMs, rank, hasFailed } of ended) {
-      const entry = this.kept.get(backend);
+      const entry = this.entries.get(backend);
       if (entry === undefined) continue;
       if (returnsInMs > 0) entry.queue.expectRetry(rank, returnsInMs, now);
       this.sendDecisions(backend, entry, entry.queue.end(from, ticket, now, hasFailed));
@@ -86,10 +86,10 @@
   tick(): void {
     const now = steadyNow();
     let overfill = 0;
-    for (const [backend, entry] of this.kept) {
+    for (const [backend, entry] of this.entries) {
       const slots = this.options.slotsOf(backend);
       if (slots === undefined) this.close(backend, entry, now);
-      else if (now - entry.usedAt > UNUSED_EXPIRY_MS) this.kept.delete(backend);
+      else if (now - entry.usedAt > UNUSED_EXPIRY_MS) this.entries.delete(backend);
       else {
         entry.queue.setSlots(slots);
         this.sendDecisions(backend, entry, entry.queue.tick(now));
@@ -97,13 +97,13 @@
         overfill += Math.max(0, inFlight - slots);
       }
     }
-    this.options.metrics.slotOverfill.set(overfill);
+    this.options.metrics.excessSlotRequests.set(overfill);
   }
 
   /** Deletes the slots and requests of daemons that are no longer reachable. */
-  keepOnly(daemons: ReadonlySet<string>): void {
+  retainDaemons(daemons: ReadonlySet<string>): void {
     const now = steadyNow();
-    for (const [backend, entry] of this.kept) {
+    for (const [backend, entry] of this.entries) {
       for (const user of entry.statusSentAt.keys())
         if (!daemons.has(user)) entry.statusSentAt.delete(user);
       for (const daemon of entry.queue.daemons()) {
@@ -120,7 +120,7 @@
     if (entry === undefined) {
       this.options.logger.info('slot_backend_unknown', { backend, peer: from });
       const reply = create(SlotWordSchema, { backend, ticket, verdict: SlotVerdict.UNKNOWN });
-      return this.options.tell(from, { kind: 'word', value: reply });
+      return this.options.enqueue(from, { kind: 'word', value: reply });
     }
     addUser(entry, from);
     const dueAt = now + slotRequest.dueInMs;
@@ -130,7 +130,7 @@
   }
 
   private findOrCreate(backend: string, now: number): AllocatedBackend | undefined {
-    const known = this.kept.get(backend);
+    const known = this.entries.get(backend);
     if (known !== undefined) {
       known.usedAt = now;
       return known;
@@ -142,13 +142,13 @@
       usedAt: now,
       statusSentAt: new Map<string, number>(),
     };
-    this.kept.set(backend, entry);
+    this.entries.set(backend, entry);
     this.options.logger.info('slots_kept', { backend, slots });
     return entry;
   }
 
   private close(backend: string, entry: AllocatedBackend, now: number): void {
-    this.kept.delete(backend);
+    this.entries.delete(backend);
     const decisions = entry.queue.close(now);
     this.options.logger.info('slots_closed', { backend, waiting: decisions.length });
     this.sendDecisions(backend, entry, decisions);
@@ -207,7 +207,7 @@
       newcomerWaitMs: Math.ceil(expectedWaitMs),
       failurePerMille: Math.round(queue.failureShare(now) * 1_000),
     });
-    this.options.tell(to, { kind: 'word', value });
+    this.options.enqueue(to, { kind: 'word', value });
   }
 }
 
--- a/src/gateway/slot-outbox.ts
+++ b/src/gateway/slot-outbox.ts
@@ -30,7 +30,7 @@
   constructor(private readonly send: (to: string, body: PeerBody) => void) {}
 
   /** Sends the entry to the peer at the end of this turn, together with the other entries for that peer. */
-  tell(to: string, entry: SlotEntry): void {
+  enqueue(to: string, entry: SlotEntry): void {
     const queued = this.entries.get(to) ?? [];
     this.entries.set(to, queued);
     queued.push(entry);
--- a/src/gateway/status-ports.ts
+++ b/src/gateway/status-ports.ts
@@ -3,7 +3,7 @@
 import type { Registry } from 'prom-client';
 import { splitAddress } from '../common/http-client.js';
 import { listen, sendJson } from '../common/http-server.js';
-import type { CrashWatch } from './crash-watch.js';
+import type { CrashTracker } from './crash-tracker.js';
 import type { GatewaySettings } from './gateway-settings.js';
 
 /** GET lists the refused requests; DELETE on the path followed by a digest allows that request to be sent to backends again. */
@@ -19,7 +19,7 @@
   readonly registry: Registry;
   /** Updates the metrics that are computed only when they are scraped. */
   readonly refreshMetrics: () => void;
-  readonly crashes: Pick<CrashWatch, 'refusedRequests' | 'lift'>;
+  readonly crashes: Pick<CrashTracker, 'refusedRequests' | 'lift'>;
 }
 
 /** HTTP servers of the readiness port and the metrics port. */
--- a/src/gateway/tenant-pass.ts
+++ b/src/gateway/tenant-admission.ts
@@ -7,7 +7,7 @@
 const LIMIT_UNKNOWN_MS = 500;
 
 /** Why a request is denied. */
-export interface PassDenial {
+export interface TenantDenial {
   readonly kind: 'unauthorized' | 'not_ready' | 'rate_limited';
   readonly retryAfterMs: number | undefined;
   /** Inputs of the decision, for the log. */
@@ -15,7 +15,7 @@
 }
 
 /** Admission state of one request. */
-export class TenantPass {
+export class TenantAdmission {
   /** Undefined if the caller needs no key, or if its key was not checked yet. */
   tenant: CallerTenant | undefined;
   /** Units charged to a tenant's rate limit. */
@@ -29,7 +29,7 @@
   ) {}
 
   /** Checks the key; call it before each send. Returns undefined if the request may be sent now. */
-  deniedKey(): PassDenial | undefined {
+  checkKey(): TenantDenial | undefined {
     const { admission } = this.context;
     const result = admission.check(this.route, this.head.keyDigest);
     if (result.type === 'admitted') {
@@ -44,7 +44,7 @@
    * Charges the request's units to its tenant's limit. Calls `done` at once, or after a limit holder has
    * replied.
    */
-  takeUnits(done: (denial: PassDenial | undefined) => void): void {
+  chargeUnits(done: (denial: TenantDenial | undefined) => void): void {
     const { limits } = this.context;
     const limit = this.tenant?.limit;
     const name = this.tenant?.name;
--- a/src/platform/http-platform-client.ts
+++ b/src/platform/http-platform-client.ts
@@ -4,7 +4,7 @@
 import {
   HttpClient,
   parseJson,
-  type HttpAnswer,
+  type HttpResponse,
   type HttpClientOptions,
   type TransportFailure,
 } from '../common/http-client.js';
@@ -137,7 +137,7 @@
   return serviceError(kind, `the platform's object API: ${failure.message}`);
 }
 
-function parseAnswer<Body>(answer: HttpAnswer): Result<Body, ServiceError> {
+function parseAnswer<Body>(answer: HttpResponse): Result<Body, ServiceError> {
   if (answer.status === 404) return Result.err(serviceError('not_found', 'no such object'));
   const body = parseJson(answer.body);
   if (answer.status === 409 && body.isOk) {
--- a/src/standin/engine-stand-in.ts
+++ b/src/standin/engine-stand-in.ts
@@ -11,7 +11,7 @@
   EngineReport,
   EngineRequest,
   Holding,
-  OrderAnswer,
+  OrderReply,
   OrderFence,
   OrderRefusal,
   ReplicaSpec,
@@ -66,7 +66,7 @@
   private fencePool = '';
   private fenceEpoch = 0;
   private lastSequence = 0;
-  private lastAnswer: OrderAnswer | undefined;
+  private lastAnswer: OrderReply | undefined;
   private reportNumber = 0;
   private leaving = false;
   private readonly holdings = new Map<string, ReplicaEntry>();
@@ -162,7 +162,7 @@
     sendJson(response, 200, answer);
   }
 
-  private applyOrder(fence: OrderFence, order: EngineOrder): OrderAnswer {
+  private applyOrder(fence: OrderFence, order: EngineOrder): OrderReply {
     const refusal = this.faults.ignoreFence ? undefined : this.checkFence(fence, order);
     if (refusal === 'repeated') return this.lastAnswer ?? this.refuse('stale_sequence');
     if (refusal !== undefined) return this.refuse(refusal);
@@ -185,7 +185,7 @@
     return order.type === 'load' && this.leaving ? 'leaving' : undefined;
   }
 
-  private refuse(refusal: OrderRefusal): OrderAnswer {
+  private refuse(refusal: OrderRefusal): OrderReply {
     return { accepted: false, refusal, incarnation: this.incarnation };
   }
 
--- a/src/testbed/local-cluster.ts
+++ b/src/testbed/local-cluster.ts
@@ -26,7 +26,7 @@
 export const ADMIN_KEY = 'admin-key';
 
 /** The zones, process counts and flags of a cluster. */
-export interface ClusterShape {
+export interface ClusterOptions {
   /** Each zone has one pool, which has the zone's name. */
   readonly zones: readonly { readonly zone: string; readonly site: string }[];
   readonly daemonsPerZone: number;
@@ -70,10 +70,10 @@
   private readonly unlistedMachines = new Set<string>();
   private readonly leavingMachines = new Set<string>();
 
-  private constructor(private readonly shape: ClusterShape) {}
+  private constructor(private readonly shape: ClusterOptions) {}
 
   /** Starts all processes and waits until every daemon is ready. */
-  static async start(shape: ClusterShape): Promise<LocalCluster> {
+  static async start(shape: ClusterOptions): Promise<LocalCluster> {
     const cluster = new LocalCluster(shape);
     try {
       await cluster.startStandIns();
@@ -110,7 +110,7 @@
   }
 
   /** The standard output and error of the process with this name. */
-  logOf(name: string): string {
+  readLog(name: string): string {
     return readFileSync(this.logFile(name), 'utf8');
   }
 
--- a/test/chaos/auditor.test.ts
+++ b/test/chaos/auditor.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest';
-import { audit, isClean, type CallerRecord, type Evidence } from '../../src/chaos/auditor.js';
-import type { ModelAnswer } from '../../src/client/model-client.js';
+import { audit, isClean, type CallerRecord, type AuditEvidence } from '../../src/chaos/auditor.js';
+import type { ModelResponse } from '../../src/client/model-client.js';
 import type { EngineLogEvent } from '../../src/standin/engine-stand-in-options.js';
 
-const ANSWER: ModelAnswer = {
+const ANSWER: ModelResponse = {
   outcome: 'whole',
   status: 200,
   text: 'right',
@@ -27,12 +27,12 @@
   expectedText: 'right',
   answer: ANSWER,
 };
-const CLEAN: Evidence = {
+const CLEAN: AuditEvidence = {
   engineEvents: [],
   callers: [CALL],
-  caps: new Map([['till', 1]]),
+  maxDecidedReplicas: new Map([['till', 1]]),
   stopped: [],
-  trials: [{ inForceMs: 20 }],
+  changeRecords: [{ inForceMs: 20 }],
   reversions: 0,
 };
 
@@ -40,7 +40,7 @@
   return { at: 1, engine: 'e1', incarnation: 'i', event: 'hold', tenant: 'till', ...overrides };
 }
 
-function withAnswer(overrides: Partial<ModelAnswer>, call: Partial<CallerRecord> = {}): Evidence {
+function withAnswer(overrides: Partial<ModelResponse>, call: Partial<CallerRecord> = {}): AuditEvidence {
   return { ...CLEAN, callers: [{ ...CALL, ...call, answer: { ...ANSWER, ...overrides } }] };
 }
 
@@ -49,7 +49,7 @@
     expect(isClean(audit(CLEAN))).toBe(true);
   });
 
-  it.each<[keyof ReturnType<typeof audit>, Evidence]>([
+  it.each<[keyof ReturnType<typeof audit>, AuditEvidence]>([
     [
       'replicasBeyondDecided',
       { ...CLEAN, engineEvents: [event({}), event({ engine: 'e2', at: 2 })] },
@@ -95,8 +95,8 @@
       'streamsCutByPlannedStop',
       { ...withAnswer({ outcome: 'lost' }), stopped: [{ daemon: 'd1', planned: true }] },
     ],
-    ['configurationLate', { ...CLEAN, trials: [{ inForceMs: 4_100 }] }],
-    ['configurationLate', { ...CLEAN, trials: [{ inForceMs: undefined }] }],
+    ['configurationLate', { ...CLEAN, changeRecords: [{ inForceMs: 4_100 }] }],
+    ['configurationLate', { ...CLEAN, changeRecords: [{ inForceMs: undefined }] }],
     ['reversions', { ...CLEAN, reversions: 1 }],
   ])('counts a violation of the kind %s', (count, evidence) => {
     expect(audit(evidence)[count]).toBeGreaterThan(0);
--- a/test/common/lease-clock.test.ts
+++ b/test/common/lease-clock.test.ts
@@ -14,7 +14,7 @@
       () => monotonic,
       () => wallClock,
     );
-    clock.onLeap = (milliseconds) => forwardSteps.push(milliseconds);
+    clock.onForwardStep = (milliseconds) => forwardSteps.push(milliseconds);
     return clock;
   }
 
--- a/test/common/line-budget.test.ts
+++ b/test/common/log-rate-limiter.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest';
-import { LineBudget } from '../../src/common/line-budget.js';
+import { LogRateLimiter } from '../../src/common/log-rate-limiter.js';
 
 describe('LineBudget', () => {
   it('limits the lines of an event and counts the dropped ones', () => {
-    const limiter = new LineBudget();
+    const limiter = new LogRateLimiter();
     let written = 0;
     for (let count = 0; count < 500; count++)
       written += Number(limiter.take('a', 0, false).written);
@@ -13,7 +13,7 @@
   });
 
   it('drops lines while the reader is too slow', () => {
-    const limiter = new LineBudget();
+    const limiter = new LogRateLimiter();
     expect(limiter.take('a', 0, true).written).toBe(false);
     expect(limiter.take('a', 1, false)).toEqual({ written: true, leftOut: 1 });
   });
--- a/test/compatibility/builds-side-by-side.test.ts
+++ b/test/compatibility/builds-side-by-side.test.ts
@@ -5,7 +5,7 @@
 import { sleep } from '../../src/common/process.js';
 import { MemberList } from '../../src/gateway/member-list.js';
 import { parseGatewaySettings } from '../../src/gateway/gateway-settings.js';
-import { ownerRecord } from '../../src/gateway/owner-record.js';
+import { parseOwnerRecord } from '../../src/gateway/owner-record.js';
 import type { PeerGroup } from '../../src/gateway/peer-group.js';
 import type { RecordStore, StoredRecord } from '../../src/gateway/ports.js';
 import { EnvelopeSchema } from '../../src/proto/gen/internal_pb.js';
@@ -91,7 +91,7 @@
 
   it('its records are read', async () => {
     const { owners, members } = earlier.records;
-    expect(ownerRecord(owners)).toEqual(owners);
+    expect(parseOwnerRecord(owners)).toEqual(owners);
     expect(await membersReadFrom(members)).toEqual([(members as { address: string }).address]);
   });
 });
@@ -108,13 +108,13 @@
 
   it('records with a field more are read', async () => {
     const { owners, members } = thisBuild().records;
-    expect(ownerRecord({ ...(owners as object), later: { a: 1 } })).toEqual(owners);
+    expect(parseOwnerRecord({ ...(owners as object), later: { a: 1 } })).toEqual(owners);
     expect(await membersReadFrom({ ...(members as object), later: 1 })).toHaveLength(1);
   });
 
   it('a record that cannot be understood names nobody', async () => {
     for (const value of [undefined, null, 7, 'text', [], { address: 7 }, { epoch: 'x' }]) {
-      expect(ownerRecord(value)).toBeUndefined();
+      expect(parseOwnerRecord(value)).toBeUndefined();
       expect(await membersReadFrom(value)).toEqual([]);
     }
   });
--- a/test/core/placement/site-replay.ts
+++ b/test/core/placement/site-replay.ts
@@ -266,7 +266,7 @@
   ): void {
     const { kind, model } = caller;
     const reference = { model, adapter: undefined };
-    this.tracker.arrived(SERVICE, reference, kind.goalMs, this.now);
+    this.tracker.recordArrival(SERVICE, reference, kind.goalMs, this.now);
     if (!hasComeBack) {
       this.kindOf(kind).owed += 1;
       this.requestCounts.set(model, (this.requestCounts.get(model) ?? 0) + 1);
@@ -283,7 +283,7 @@
     if (this.send(attempt)) return;
     if (this.decide(attempt)) {
       this.held.push(attempt);
-      this.tracker.waits(SERVICE, reference, waiting);
+      this.tracker.addWaiting(SERVICE, reference, waiting);
     }
   }
 
@@ -306,7 +306,7 @@
     for (const attempt of this.held) {
       const reference = { model: attempt.caller.model, adapter: undefined };
       if (!this.send(attempt) && this.decide(attempt)) remaining.push(attempt);
-      else this.tracker.endsWaiting(SERVICE, reference, attempt.waiting);
+      else this.tracker.removeWaiting(SERVICE, reference, attempt.waiting);
     }
     this.held = remaining;
   }
@@ -331,7 +331,7 @@
       model: caller.model,
       endsAt: slotAt + Math.max(FIRST_PART_MS, caller.runMs),
     });
-    this.tracker.sent(SERVICE, best.id, { model: caller.model, adapter: undefined }, 1);
+    this.tracker.addInFlight(SERVICE, best.id, { model: caller.model, adapter: undefined }, 1);
     this.note(attempt, firstPartAt);
     return true;
   }
@@ -383,8 +383,8 @@
     const { kind, model } = caller;
     const reference = { model, adapter: undefined };
     const expected = { dueAt: this.now + retryAfterMs, goalMs: kind.goalMs };
-    this.tracker.waits(SERVICE, reference, expected);
-    const ended = (): void => this.tracker.endsWaiting(SERVICE, reference, expected);
+    this.tracker.addWaiting(SERVICE, reference, expected);
+    const ended = (): void => this.tracker.removeWaiting(SERVICE, reference, expected);
     scheduleAt(this.endsOfExpectedReturns, stepAfter(this.now + retryAfterMs), ended);
     if (hasComeBack) {
       this.kindOf(kind).refused += 1;
@@ -419,7 +419,7 @@
       if (remaining.length !== backend.running.length) {
         for (const { model, endsAt } of backend.running) {
           const reference = { model, adapter: undefined };
-          if (endsAt <= this.now) this.tracker.sent(SERVICE, backend.id, reference, -1);
+          if (endsAt <= this.now) this.tracker.addInFlight(SERVICE, backend.id, reference, -1);
         }
         backend.running = remaining;
       }
--- a/test/daemon/feed-relay.test.ts
+++ b/test/daemon/feed-relay.test.ts
@@ -24,7 +24,7 @@
   }
 
   heartbeat(from: string): void {
-    for (const to of this.relays.get(from)?.subscriberList() ?? []) {
+    for (const to of this.relays.get(from)?.subscriberAddresses() ?? []) {
       const position = this.relays.get(from)?.positionFor(to);
       if (position !== undefined && !this.paused.has(to)) {
         this.relays.get(to)?.handlePosition(from, position);
@@ -84,7 +84,7 @@
     network.heartbeat('reader');
     expect(member.state.revision).toBe(0);
     network.now += 3_000;
-    member.renewSilent();
+    member.resubscribeSilentUpstreams();
     expect(member.state.revision).toBe(1);
   });
 
--- a/test/gateway/backend-agent.test.ts
+++ b/test/gateway/backend-agent.test.ts
@@ -12,7 +12,7 @@
 
   beforeEach(async () => {
     unexpectedFrom = [];
-    agent = new BackendAgent({ onUnaskedBytes: (address) => unexpectedFrom.push(address) });
+    agent = new BackendAgent({ onUnexpectedBytes: (address) => unexpectedFrom.push(address) });
     server = http.createServer((_request, response) => {
       response.setHeader('keep-alive', 'timeout=5');
       response.end('ok');
--- a/test/gateway/backend-backoffs.test.ts
+++ b/test/gateway/backend-backoffs.test.ts
@@ -29,7 +29,7 @@
   beforeEach(async () => {
     one = new TestBackend('one', refuseWithRetryAfter('0.8'));
     two = new TestBackend('two');
-    harness = await GatewayHarness.startBefore([one, two]);
+    harness = await GatewayHarness.startWithBackends([one, two]);
   });
 
   afterEach(() => {
--- a/test/gateway/backend-names-rate-limit.test.ts
+++ b/test/gateway/backend-names-rate-limit.test.ts
@@ -181,8 +181,8 @@
     for (let attempt = 0; attempt < 30 && !isRefused(); attempt++) await pause(50);
     expect(isRefused()).toBe(true);
     const { permits } = daemon.context();
-    const recorded = permits.believed(one.record());
-    permits.answered(one.record(), { type: 'unlimited' }, recorded, 'other');
+    const recorded = permits.recordedLimit(one.record());
+    permits.recordAnswer(one.record(), { type: 'unlimited' }, recorded, 'other');
     expect((await answer).status).toBe(200);
     expect(performance.now() - startedAt).toBeLessThan(2_500);
   }, 20_000);
--- a/test/gateway/backend-restarts.test.ts
+++ b/test/gateway/backend-restarts.test.ts
@@ -79,8 +79,8 @@
 
   it('receives nothing on connections of its earlier process', async () => {
     await harness.call({ id: 'a' });
-    expect(harness.restingConnections(earlier.address)).toBe(true);
+    expect(harness.hasIdleConnection(earlier.address)).toBe(true);
     harness.list([earlier.record({ start: 'two', revision: 2 })]);
-    expect(harness.restingConnections(earlier.address)).toBe(false);
+    expect(harness.hasIdleConnection(earlier.address)).toBe(false);
   });
 });
--- a/test/gateway/configuration-exchange.test.ts
+++ b/test/gateway/configuration-exchange.test.ts
@@ -20,12 +20,12 @@
   constructor() {
     const directory: PlatformDirectory = {
       start: () => {},
-      setAttention: () => {},
-      readingAgeMs: () => 0,
+      setReadMode: () => {},
+      lastReadAgeMs: () => 0,
       refreshConfiguration: () => (this.refreshes += 1),
       confirmConfiguration: () => Promise.resolve(true),
       configurationDocument: () => (this.version === 0 ? undefined : Uint8Array.of(this.version)),
-      takeConfigurationDocument: ([version = 0]) => {
+      applyConfigurationDocument: ([version = 0]) => {
         if (version <= this.version) return false;
         this.version = version;
         return true;
@@ -54,7 +54,7 @@
     const daemon = new Daemon();
     reader.version = 7;
     daemon.version = 5;
-    daemon.exchange.hearVersion('reader', 7);
+    daemon.exchange.onPeerVersion('reader', 7);
     const [request] = daemon.sent;
     if (request === undefined) throw new Error('the daemon sent no configuration request');
     expect(request.to).toBe('reader');
@@ -66,18 +66,18 @@
 
   it('requests the configuration from the store after the peer timed out, and sends no request before', async () => {
     const daemon = new Daemon();
-    daemon.exchange.hearVersion('reader', 7);
-    daemon.exchange.hearVersion('reader', 7);
+    daemon.exchange.onPeerVersion('reader', 7);
+    daemon.exchange.onPeerVersion('reader', 7);
     expect([daemon.sent.length, daemon.refreshes]).toEqual([1, 0]);
     await sleep(520);
-    daemon.exchange.hearVersion('other', 7);
+    daemon.exchange.onPeerVersion('other', 7);
     expect([daemon.sent.length, daemon.refreshes]).toEqual([1, 1]);
   });
 
   it('sends a request to a peer again if neither the first peer nor the store supplied the configuration', async () => {
     const daemon = new Daemon();
     for (const from of ['reader', 'other', 'other']) {
-      daemon.exchange.hearVersion(from, 7);
+      daemon.exchange.onPeerVersion(from, 7);
       await sleep(520);
     }
     expect(daemon.refreshes).toBe(1);
@@ -86,9 +86,9 @@
 
   it('sends another peer request if an even newer version is announced', async () => {
     const daemon = new Daemon();
-    daemon.exchange.hearVersion('reader', 7);
+    daemon.exchange.onPeerVersion('reader', 7);
     await sleep(520);
-    daemon.exchange.hearVersion('other', 8);
+    daemon.exchange.onPeerVersion('other', 8);
     expect(daemon.sent.map(({ to }) => to)).toEqual(['reader', 'other']);
     expect(daemon.refreshes).toBe(0);
   });
--- a/test/gateway/crashing-requests.test.ts
+++ b/test/gateway/crashing-requests.test.ts
@@ -163,6 +163,6 @@
     expect((await daemon.call({ id: 'three', body: 'crash' })).status).toBe(503);
     const suspect = { hasBegun: false };
     const tracker = daemon.context().crashes;
-    expect(backends.every(({ id }) => tracker.isPlaceFree(id, suspect))).toBe(true);
+    expect(backends.every(({ id }) => tracker.canReserve(id, suspect))).toBe(true);
   });
 });
--- a/test/gateway/directory-duty.test.ts
+++ b/test/gateway/directory-follower.test.ts
@@ -6,7 +6,7 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { LogFields, Logger } from '../../src/common/logger.js';
 import { rankCandidates } from '../../src/common/rendezvous.js';
-import type { DirectoryAttention } from '../../src/gateway/ports.js';
+import type { DirectoryReadMode } from '../../src/gateway/ports.js';
 import { backendOf, DIRECTORY_TICK_MS, DirectoryGroup } from './directory-group.js';
 
 const TICK_MS = DIRECTORY_TICK_MS;
@@ -30,12 +30,12 @@
     vi.useRealTimers();
   });
 
-  function attentionsByRank(): DirectoryAttention[] {
+  function attentionsByRank(): DirectoryReadMode[] {
     return RANKED.map((address) => group.member(address).attention);
   }
 
   function setAnswered(addresses: readonly string[], isAnswered: boolean): void {
-    for (const address of addresses) group.member(address).isAnswered = isAnswered;
+    for (const address of addresses) group.member(address).isServed = isAnswered;
   }
 
   it('are two while the platform responds to them', async () => {
@@ -66,10 +66,10 @@
   it('do not make the directory of a daemon count as current while the platform responds to no daemon', async () => {
     await group.run(3_000);
     const last = group.member(RANKED.at(-1));
-    expect(last.duty.isInformed()).toBe(true);
+    expect(last.follower.isCurrent()).toBe(true);
     setAnswered(ADDRESSES, false);
     await group.run(2_000);
-    expect([...group.members.values()].map(({ duty }) => duty.isInformed())).not.toContain(true);
+    expect([...group.members.values()].map(({ follower: duty }) => duty.isCurrent())).not.toContain(true);
     expect(attentionsByRank().slice(6)).toEqual(Array<string>(6).fill('relaxed'));
   });
 
@@ -87,13 +87,13 @@
 
   it('determine the age of the directory that a daemon reports', async () => {
     await group.run(3_000);
-    const last = group.member(RANKED.at(-1)).duty;
-    expect(last.knowledgeAgeMs()).toBeLessThan(1_000);
+    const last = group.member(RANKED.at(-1)).follower;
+    expect(last.directoryAgeMs()).toBeLessThan(1_000);
     group.delivers = () => false;
     setAnswered(ADDRESSES, false);
     await group.run(1_250);
-    expect(last.knowledgeAgeMs()).toBeGreaterThan(1_000);
+    expect(last.directoryAgeMs()).toBeGreaterThan(1_000);
     await group.run(1_000);
-    expect(last.knowledgeAgeMs()).toBe(Infinity);
+    expect(last.directoryAgeMs()).toBe(Infinity);
   });
 });
--- a/test/gateway/directory-group.ts
+++ b/test/gateway/directory-group.ts
@@ -8,9 +8,9 @@
 import type { MemberView } from '../../src/core/membership-messages.js';
 import type { BackendRecord } from '../../src/core/service-configuration.js';
 import type { PeerBody } from '../../src/daemon/peer-transport.js';
-import { DirectoryDuty } from '../../src/gateway/directory-duty.js';
+import { DirectoryFollower } from '../../src/gateway/directory-follower.js';
 import type { PeerGroup } from '../../src/gateway/peer-group.js';
-import type { DirectoryAttention, PlatformDirectory } from '../../src/gateway/ports.js';
+import type { DirectoryReadMode, PlatformDirectory } from '../../src/gateway/ports.js';
 
 /** Tick period of all daemons. */
 export const DIRECTORY_TICK_MS = 250;
@@ -45,13 +45,13 @@
 
 /** One simulated daemon. */
 export class GroupMember {
-  attention: DirectoryAttention = 'alone';
+  attention: DirectoryReadMode = 'alone';
   /** Whether the platform responds to this daemon. */
-  isAnswered = true;
+  isServed = true;
   /** Whether the daemon's process runs. */
   isRunning = true;
   readonly backends = new BackendDirectory();
-  readonly duty: DirectoryDuty;
+  readonly follower: DirectoryFollower;
   private lastReading = -Infinity;
   private lastLateReading = -Infinity;
 
@@ -61,8 +61,8 @@
     logger: Logger,
   ) {
     const directory: Partial<PlatformDirectory> = {
-      setAttention: (attention) => (this.attention = attention),
-      readingAgeMs: () => (this.isAnswered ? performance.now() - this.lastReading : Infinity),
+      setReadMode: (attention) => (this.attention = attention),
+      lastReadAgeMs: () => (this.isServed ? performance.now() - this.lastReading : Infinity),
     };
     const peers = {
       address,
@@ -70,7 +70,7 @@
       reachableOthers: () => group.liveFor(address).slice(1),
       broadcast: (body: PeerBody) => group.broadcast(address, body),
     };
-    this.duty = new DirectoryDuty({
+    this.follower = new DirectoryFollower({
       directory: directory as PlatformDirectory,
       backends: this.backends,
       peers: peers as unknown as PeerGroup,
@@ -97,11 +97,11 @@
   tick(): void {
     if (!this.isRunning) return;
     this.read();
-    this.duty.tick();
+    this.follower.tick();
   }
 
   private read(): void {
-    if (!this.isAnswered) return;
+    if (!this.isServed) return;
     const now = performance.now();
     if (this.attention !== 'relaxed') {
       this.lastReading = now;
@@ -113,7 +113,7 @@
   }
 
   private take({ backends, revision }: Snapshot, isLate: boolean): void {
-    this.duty.takeList({ backends, revision, mayMissBackends: isLate, isLate });
+    this.follower.applyList({ backends, revision, mayMissBackends: isLate, isLate });
   }
 }
 
@@ -125,7 +125,7 @@
   /** Whether a message from one daemon reaches another. */
   delivers: Delivery = () => true;
   /** Whether a daemon considers another one live. */
-  sees: Delivery = () => true;
+  considersLive: Delivery = () => true;
   private readonly snapshots: Snapshot[] = [{ at: -Infinity, revision: 0, backends: [] }];
 
   constructor(
@@ -163,7 +163,7 @@
 
   liveFor(address: string): MemberView[] {
     const seen = [...this.members.keys()].filter(
-      (other) => other === address || this.sees(address, other),
+      (other) => other === address || this.considersLive(address, other),
     );
     return seen.map((member) => {
       return { address: member, zone: '', site: '', incarnation: 1, state: 'alive', capacity: 1 };
@@ -175,7 +175,7 @@
     for (const { address } of this.liveFor(from)) {
       const to = this.member(address);
       const isReached = address !== from && to.isRunning && this.delivers(from, address);
-      if (isReached) to.duty.hear(from, body.value);
+      if (isReached) to.follower.applyUpdate(from, body.value);
     }
   }
 
--- a/test/gateway/gateway-harness.ts
+++ b/test/gateway/gateway-harness.ts
@@ -221,18 +221,18 @@
   private revision = 0;
   readonly records = new Map<string, StoredRecord>();
   readonly gateway: Gateway;
-  private readonly agent = new BackendAgent({ onUnaskedBytes: () => {} });
+  private readonly agent = new BackendAgent({ onUnexpectedBytes: () => {} });
 
   private constructor(readonly settings: GatewaySettings) {
     this.gateway = new Gateway(settings, {
       directory: {
         start: (listener) => (this.listener = listener),
-        setAttention: () => {},
-        readingAgeMs: () => 0,
+        setReadMode: () => {},
+        lastReadAgeMs: () => 0,
         refreshConfiguration: () => (this.refreshes += 1),
         confirmConfiguration: () => this.confirm(),
         configurationDocument: () => undefined,
-        takeConfigurationDocument: () => false,
+        applyConfigurationDocument: () => false,
         stop: () => {},
       },
       store: {
@@ -305,7 +305,7 @@
   }
 
   /** Starts a gateway with the default configuration, and starts and lists the given backends. */
-  static async startBefore(backends: readonly TestBackend[]): Promise<GatewayHarness> {
+  static async startWithBackends(backends: readonly TestBackend[]): Promise<GatewayHarness> {
     const harness = await GatewayHarness.start();
     for (const backend of backends) await backend.start();
     harness.configure(testConfiguration());
@@ -374,7 +374,7 @@
   }
 
   /** Whether the agent has an idle connection to "ip:port". */
-  restingConnections(address: string): boolean {
+  hasIdleConnection(address: string): boolean {
     return this.agent.hasIdleConnection(address);
   }
 
--- a/test/gateway/holder-leases.test.ts
+++ b/test/gateway/holder-leases.test.ts
@@ -3,10 +3,10 @@
 import { silentLogger } from '../../src/common/logger.js';
 import type { PeerBody } from '../../src/daemon/peer-transport.js';
 import { HolderLeaseAnswerSchema, LimitNewsSchema } from '../../src/proto/gen/internal_pb.js';
-import { HolderLeases, type HeldDuty } from '../../src/gateway/holder-leases.js';
+import { HolderLeases, type LeaseCallbacks } from '../../src/gateway/holder-leases.js';
 
 const TICK_MS = 100;
-const CALLBACKS: HeldDuty = { ownCeiling: () => 7, onGained: () => {}, onAnswered: () => {} };
+const CALLBACKS: LeaseCallbacks = { ownCeiling: () => 7, onGained: () => {}, onVote: () => {} };
 
 beforeEach(() =>
   vi.useFakeTimers({ toFake: ['setTimeout', 'clearTimeout', 'performance', 'Date'] }),
@@ -46,7 +46,7 @@
       logger: silentLogger,
       members: () => this.names.map(daemon),
       live: () => this.names.filter((name) => this.reaches(self, name)).map(daemon),
-      rememberMs: 10_000,
+      retentionMs: 10_000,
       firstSequence: 1,
       processStartedAt: performance.now(),
       sendDatagram: (to, body) => this.send(self, to, body),
@@ -67,50 +67,50 @@
   it('are held by one daemon at a time, and by the next one after the first is disconnected', () => {
     const group = new Group(['a', 'b', 'c', 'd']);
     group.run(2_000);
-    group.at('a').want('n', CALLBACKS);
-    expect(group.at('a').holds('n')).toBe(true);
-    group.at('b').want('n', CALLBACKS);
+    group.at('a').acquire('n', CALLBACKS);
+    expect(group.at('a').isHeld('n')).toBe(true);
+    group.at('b').acquire('n', CALLBACKS);
     group.run(5_000);
-    expect(group.at('a').holds('n')).toBe(true);
-    expect(group.at('b').holds('n')).toBe(false);
+    expect(group.at('a').isHeld('n')).toBe(true);
+    expect(group.at('b').isHeld('n')).toBe(false);
     group.disconnect('a');
     for (let elapsed = 0; elapsed < 2_000; elapsed += TICK_MS) {
       group.run(TICK_MS);
-      expect(group.at('a').holds('n') && group.at('b').holds('n')).toBe(false);
+      expect(group.at('a').isHeld('n') && group.at('b').isHeld('n')).toBe(false);
     }
-    expect(group.at('b').holds('n')).toBe(true);
+    expect(group.at('b').isHeld('n')).toBe(true);
   });
 
   it('can be obtained by another daemon as soon as they are released', () => {
     const group = new Group(['a', 'b', 'c', 'd', 'e', 'f', 'g']);
     group.run(2_000);
-    group.at('a').want('n', CALLBACKS);
+    group.at('a').acquire('n', CALLBACKS);
     group.at('a').release('n');
-    group.at('b').want('n', CALLBACKS);
-    expect(group.at('a').holds('n')).toBe(false);
-    expect(group.at('b').holds('n')).toBe(true);
+    group.at('b').acquire('n', CALLBACKS);
+    expect(group.at('a').isHeld('n')).toBe(false);
+    expect(group.at('b').isHeld('n')).toBe(true);
   });
 
   it('are not granted to a disconnected daemon, even if it has requested none for a long time', () => {
     const group = new Group(['a', 'b', 'c', 'd']);
-    group.at('a').want('m', CALLBACKS);
+    group.at('a').acquire('m', CALLBACKS);
     group.run(2_000);
     group.at('a').release('m');
     group.run(20_000);
     group.disconnect('a');
-    group.at('a').want('n', CALLBACKS);
+    group.at('a').acquire('n', CALLBACKS);
     group.run(5_000);
-    expect(group.at('a').holds('n')).toBe(false);
+    expect(group.at('a').isHeld('n')).toBe(false);
     expect(group.at('a').ownCeiling('n')).toBe(7);
   });
 
   it('need a few datagrams per second, whatever the size of the group', () => {
     const group = new Group([...Array(330).keys()].map((index) => `d-${index}`));
-    group.at('d-1').want('n', CALLBACKS);
+    group.at('d-1').acquire('n', CALLBACKS);
     group.run(2_000);
     const before = group.sent.datagrams;
     group.run(10_000);
-    expect(group.at('d-1').holds('n')).toBe(true);
+    expect(group.at('d-1').isHeld('n')).toBe(true);
     // Requests to at most six voters and their replies, two and a half times per second.
     expect(group.sent.datagrams - before).toBeLessThanOrEqual(12 * 25);
   });
@@ -120,7 +120,7 @@
     const reply = { name: 'n', sequence: NaN, isGiven: true, soleMs: 0, formerCeiling: NaN };
     const value = create(HolderLeaseAnswerSchema, reply);
     expect(group.at('a').receive('x', { case: 'holderLeaseAnswer', value })).toBe(true);
-    expect(group.at('a').holds('n')).toBe(false);
+    expect(group.at('a').isHeld('n')).toBe(false);
     const other = create(LimitNewsSchema);
     expect(group.at('a').receive('x', { case: 'limitNews', value: other })).toBe(false);
   });
--- a/test/gateway/known-readers.test.ts
+++ b/test/gateway/known-readers.test.ts
@@ -1,10 +1,10 @@
 import { beforeEach, describe, expect, it } from 'vitest';
-import { KnownReaders, type ReaderNews } from '../../src/gateway/known-readers.js';
+import { KnownReaders, type ReaderStatus } from '../../src/gateway/known-readers.js';
 
 const OWN_DIGEST = 17;
 const OTHER_DIGEST = 18;
 
-function readerStatus(part: Partial<ReaderNews> = {}): ReaderNews {
+function readerStatus(part: Partial<ReaderStatus> = {}): ReaderStatus {
   return { version: 1, platformAway: false, servingDigest: OWN_DIGEST, ...part };
 }
 
@@ -16,7 +16,7 @@
   });
 
   function recordDigest(address: string, digest: number | undefined, now: number): void {
-    readers.hear(address, readerStatus({ servingDigest: digest }), OWN_DIGEST, now);
+    readers.recordStatus(address, readerStatus({ servingDigest: digest }), OWN_DIGEST, now);
   }
 
   it('report no difference if the lists are equal, or if a reader sends no digest', () => {
@@ -49,13 +49,13 @@
 
   it('ignore the list of a reader to which the platform does not respond', () => {
     const unansweredStatus = readerStatus({ platformAway: true, servingDigest: OTHER_DIGEST });
-    for (const now of [0, 750, 1_500]) readers.hear('a', unansweredStatus, OWN_DIGEST, now);
+    for (const now of [0, 750, 1_500]) readers.recordStatus('a', unansweredStatus, OWN_DIGEST, now);
     expect(readers.differingReader(OWN_DIGEST, 1_500)).toBeUndefined();
   });
 
   it('do not report a difference that this daemon has checked, until the reader lists other backends', () => {
     recordDigest('a', OTHER_DIGEST, 0);
-    readers.settleDifferences(1_000);
+    readers.markDifferencesChecked(1_000);
     recordDigest('a', OTHER_DIGEST, 1_500);
     recordDigest('a', OTHER_DIGEST, 3_000);
     expect(readers.differingReader(OWN_DIGEST, 3_000)).toBeUndefined();
@@ -66,22 +66,22 @@
 
   it('report a persistent difference again after the check has expired', () => {
     recordDigest('a', OTHER_DIGEST, 0);
-    readers.settleDifferences(1_000);
+    readers.markDifferencesChecked(1_000);
     recordDigest('a', OTHER_DIGEST, 11_100);
     recordDigest('a', OTHER_DIGEST, 11_900);
     expect(readers.differingReader(OWN_DIGEST, 11_900)).toBe('a');
   });
 
   it('count readers with recent updates, and those of them to which the platform responds', () => {
-    readers.hear('a', readerStatus({ version: 3 }), OWN_DIGEST, 0);
-    readers.hear('b', readerStatus({ platformAway: true, version: 4 }), OWN_DIGEST, 1_000);
+    readers.recordStatus('a', readerStatus({ version: 3 }), OWN_DIGEST, 0);
+    readers.recordStatus('b', readerStatus({ platformAway: true, version: 4 }), OWN_DIGEST, 1_000);
     expect(readers.counts(1_000)).toEqual({ readers: 2, answered: 1 });
-    expect(readers.hearsAnswered(1_000)).toBe(true);
-    expect(readers.hearsAnswered(1_000, new Set(['a']))).toBe(false);
+    expect(readers.hasWorkingReader(1_000)).toBe(true);
+    expect(readers.hasWorkingReader(1_000, new Set(['a']))).toBe(false);
     expect(readers.newestVersion()).toBe(4);
-    expect(readers.answeredHeardAt()).toBe(0);
-    readers.forgetSilent(1_501);
+    expect(readers.workingReaderUpdatedAt()).toBe(0);
+    readers.deleteExpired(1_501);
     expect(readers.counts(1_501)).toEqual({ readers: 1, answered: 0 });
-    expect(readers.answeredHeardAt()).toBe(-Infinity);
+    expect(readers.workingReaderUpdatedAt()).toBe(-Infinity);
   });
 });
--- a/test/gateway/missed-directory-news.test.ts
+++ b/test/gateway/missed-directory-updates.test.ts
@@ -55,10 +55,10 @@
   }
 
   it('receives a shutdown again if it was considered dead when the shutdown was first published', async () => {
-    group.sees = (_from, to) => to !== LATE_READER;
+    group.considersLive = (_from, to) => to !== LATE_READER;
     group.list([STAYING]);
     await group.run(500);
-    group.sees = () => true;
+    group.considersLive = () => true;
     await group.run(KNOWN_WITHIN_MS - 500);
     expect(knowsOfShutdown()).toBe(true);
   });
@@ -72,20 +72,20 @@
   });
 
   it('receives the start of a backend again as well', async () => {
-    group.sees = (_from, to) => to !== LATE_READER;
+    group.considersLive = (_from, to) => to !== LATE_READER;
     group.list([STAYING, LEAVING, backendOf('new', 9)]);
     await group.run(500);
-    group.sees = () => true;
+    group.considersLive = () => true;
     await group.run(KNOWN_WITHIN_MS);
     expect(group.member(LATE_READER).serves('new')).toBe(true);
   });
 
   it('detects that readers which started after a shutdown list one backend fewer', async () => {
     for (const address of FIRST_IN_RANK) group.restart(address);
-    for (const member of group.members.values()) member.isAnswered = false;
+    for (const member of group.members.values()) member.isServed = false;
     group.list([STAYING]);
     await group.run(2_500);
-    for (const member of group.members.values()) member.isAnswered = true;
+    for (const member of group.members.values()) member.isServed = true;
     await group.run(KNOWN_WITHIN_MS);
     expect(knowsOfShutdown()).toBe(true);
     expect(group.member(LATE_READER).serves('staying')).toBe(true);
@@ -95,15 +95,15 @@
     const isPartitioned = (from: string, to: string): boolean =>
       from === LATE_READER || to === LATE_READER;
     group.delivers = (from, to) => !isPartitioned(from, to);
-    group.sees = group.delivers;
-    group.member(LATE_READER).isAnswered = false;
+    group.considersLive = group.delivers;
+    group.member(LATE_READER).isServed = false;
     await group.run(4_000);
     group.list([STAYING]);
     await group.run(4_000);
     group.delivers = () => true;
-    group.sees = () => true;
+    group.considersLive = () => true;
     await group.run(1_000);
-    group.member(LATE_READER).isAnswered = true;
+    group.member(LATE_READER).isServed = true;
     await group.run(RECOVERED_WITHIN_MS - 1_000);
     expect(knowsOfShutdown()).toBe(true);
     expect(group.member(LATE_READER).attention).toBe('relaxed');
--- a/test/gateway/owner-out-of-sight.test.ts
+++ b/test/gateway/owner-in-minority.test.ts
@@ -19,9 +19,9 @@
     vi.useFakeTimers({ toFake: ['performance', 'setTimeout', 'setInterval', 'Date'] });
     scene = new OwnershipScene();
     scene.join(OWNER, 1_000);
-    await scene.runHeard(1_500);
+    await scene.run(1_500);
     for (const address of OTHERS) scene.join(address, 9_000);
-    await scene.runHeard(2_000);
+    await scene.run(2_000);
     expect(owners()).toEqual([OWNER]);
   });
   afterEach(() => {
@@ -34,29 +34,29 @@
 
   it('claims the service again immediately', async () => {
     for (const address of OTHERS) scene.cut(OWNER, address);
-    await scene.runHeard(300);
+    await scene.run(300);
     expect(owners()).toEqual([]);
     for (const address of OTHERS) scene.heal(OWNER, address);
-    await scene.runHeard(600);
+    await scene.run(600);
     expect(owners()).toEqual([OWNER]);
     expect(scene.ownerships.get(OWNER)?.epoch).toBe(2);
   });
 
   it('claims the service again although a former owner still announces itself', async () => {
     for (const address of OTHERS) scene.cut(OWNER, address);
-    await scene.runHeard(300);
+    await scene.run(300);
     for (const address of OTHERS) scene.heal(OWNER, address);
-    scene.ownerships.get(OWNER)?.hearOwner(FIRST, 0);
-    await scene.runHeard(600);
+    scene.ownerships.get(OWNER)?.applyAnnouncement(FIRST, 0);
+    await scene.run(600);
     expect(owners()).toEqual([OWNER]);
   });
 
   it('does not claim the service if another daemon has claimed it meanwhile', async () => {
     for (const address of OTHERS) scene.cut(OWNER, address);
-    await scene.runHeard(4_000);
+    await scene.run(4_000);
     expect(owners()).toEqual([FIRST]);
     for (const address of OTHERS) scene.heal(OWNER, address);
-    await scene.runHeard(6_000);
+    await scene.run(6_000);
     expect(owners()).toEqual([FIRST]);
     expect(scene.ownerships.get(FIRST)?.epoch).toBe(2);
   });
--- a/test/gateway/ownership-scene.ts
+++ b/test/gateway/ownership-scene.ts
@@ -24,12 +24,12 @@
   /** Era of the store; 0 if the store reports none. */
   era = 0;
   /** Daemons whose requests the store rejects. */
-  readonly turnedAway = new Set<string>();
+  readonly rejectedByStore = new Set<string>();
   /** Delay of the store's response after a write, in milliseconds. */
   answerDelayMs = 0;
   /** Delay before the store carries out a write, in milliseconds. */
   writeDelayMs = 0;
-  writesUnderWay = 0;
+  writesInFlight = 0;
   /** Pairs "a b" of daemons of which the first receives nothing from the second. */
   private readonly cuts = new Set<string>();
 
@@ -50,8 +50,8 @@
       store: this.storeOf(address),
       logger: silentLogger,
       backendsCheckEpochs: this.backendsCheckEpochs,
-      platformAnswersOthers: () =>
-        [...this.members.keys()].some((other) => !this.turnedAway.has(other)),
+      othersReachPlatform: () =>
+        [...this.members.keys()].some((other) => !this.rejectedByStore.has(other)),
       listed: () => [...this.members.values()],
       onChange: () => {},
     });
@@ -79,7 +79,7 @@
   }
 
   /** Advances the clock while each owner announces itself to the daemons that it reaches. */
-  async runHeard(milliseconds: number, onTick = (): void => {}): Promise<void> {
+  async run(milliseconds: number, onTick = (): void => {}): Promise<void> {
     for (let passed = 0; passed < milliseconds; passed += TICK_MS) {
       await vi.advanceTimersByTimeAsync(TICK_MS);
       for (const ownership of this.ownerships.values()) ownership.tick();
@@ -93,7 +93,7 @@
     for (const [from, { epoch }] of this.ownerships) {
       if (epoch === undefined) continue;
       for (const [to, ownership] of this.ownerships) {
-        if (to !== from && !this.cuts.has(`${to} ${from}`)) ownership.hearOwner(from, epoch);
+        if (to !== from && !this.cuts.has(`${to} ${from}`)) ownership.applyAnnouncement(from, epoch);
       }
     }
   }
@@ -122,9 +122,9 @@
 
   private async delayWrite(): Promise<void> {
     if (this.writeDelayMs === 0) return;
-    this.writesUnderWay += 1;
+    this.writesInFlight += 1;
     await sleep(this.writeDelayMs);
-    this.writesUnderWay -= 1;
+    this.writesInFlight -= 1;
   }
 
   private seenBy(address: string): MemberView[] {
@@ -138,7 +138,7 @@
       type: 'unavailable' as const,
       reason: 'the store rejects requests of this daemon',
     };
-    const isRejected = (): boolean => this.turnedAway.has(address);
+    const isRejected = (): boolean => this.rejectedByStore.has(address);
     return {
       era: () => this.era,
       read: () => Promise.resolve(isRejected() ? Result.err(rejection) : Result.ok(this.record)),
--- a/test/gateway/ownership.test.ts
+++ b/test/gateway/ownership.test.ts
@@ -13,7 +13,7 @@
     for (const owner of ownerships) {
       const { epoch, ownerAddress } = owner;
       if (epoch === undefined || ownerAddress === undefined) continue;
-      for (const other of ownerships) other.hearOwner(ownerAddress, epoch);
+      for (const other of ownerships) other.applyAnnouncement(ownerAddress, epoch);
     }
   }
 }
--- a/test/gateway/peer-group.test.ts
+++ b/test/gateway/peer-group.test.ts
@@ -11,14 +11,14 @@
 import { silentLogger } from '../../src/common/logger.js';
 import { sleep } from '../../src/common/process.js';
 import type { PeerBody } from '../../src/daemon/peer-transport.js';
-import { encodeNews } from '../../src/gateway/gateway-codec.js';
+import { encodeDirectoryReport } from '../../src/gateway/gateway-codec.js';
 import { PeerGroup } from '../../src/gateway/peer-group.js';
 import { findFreePorts } from '../../src/testbed/free-ports.js';
 
 const HOST = '127.0.0.1';
 const TICK_MS = 50;
 const TIMEOUT_MS = 3_000;
-const DIRECTORY_UPDATE: PeerBody = encodeNews({
+const DIRECTORY_UPDATE: PeerBody = encodeDirectoryReport({
   configurationVersion: 1,
   ended: [{ id: 'backend', revision: 7 }],
   started: [],
@@ -46,7 +46,7 @@
 /** Runs the timers of all groups until the condition holds. */
 async function tickUntil(holds: () => boolean): Promise<void> {
   for (let waited = 0; waited < TIMEOUT_MS && !holds(); waited += TICK_MS) {
-    for (const group of groups) group.look();
+    for (const group of groups) group.tick();
     await sleep(TICK_MS);
   }
 }
--- a/test/gateway/service-owner.test.ts
+++ b/test/gateway/service-owner.test.ts
@@ -98,7 +98,7 @@
     failing: readonly string[] = [],
   ): Promise<void> {
     for (let passed = 0; passed < milliseconds; passed += 50) {
-      owner.hear({
+      owner.applyDemand({
         daemon: 'd',
         samples: [demandSampleOf(model, { goalMs: 600, arrivals: 0 })],
         use: [],
@@ -119,7 +119,7 @@
     orderDelayMs = 2_000;
     await run(1_000, 'rare1');
     expect(orders).toEqual([]);
-    const waiting = owner.everything();
+    const waiting = owner.fullUpdate();
     expect(waiting.forecasts.get('rare1')).toBeGreaterThan(2_000);
     expect(waiting.backends.get('x')?.map(({ name }) => name)).toEqual(['hot']);
     orderDelayMs = 0;
@@ -131,7 +131,7 @@
     orderDelayMs = Infinity;
     await run(1_000, 'rare1');
     expect(orders).toEqual([]);
-    expect([...owner.everything().forecasts.keys()]).toEqual([]);
+    expect([...owner.fullUpdate().forecasts.keys()]).toEqual([]);
   });
 
   it('loads a model on another backend when the only one that holds it stops responding', async () => {
@@ -155,7 +155,7 @@
     owner.backendsChanged();
     answer();
     await run(100, 'rare1');
-    const placed = owner.everything().backends.get('y') ?? [];
+    const placed = owner.fullUpdate().backends.get('y') ?? [];
     expect(placed).toEqual([]);
     answerOrder = undefined;
     orders.length = 0;
--- a/test/gateway/shared-slots.test.ts
+++ b/test/gateway/shared-slots.test.ts
@@ -121,7 +121,7 @@
     expect(Number(late.headers['retry-after'])).toBeLessThan(3);
     expect(performance.now() - begun).toBeLessThan(250);
     await pause(50);
-    const kept = harness.gateway['slots']?.['keeper']['kept'].get('one');
+    const kept = harness.gateway['slots']?.['allocators']['entries'].get('one');
     expect(kept?.queue['returns']).toHaveLength(1);
     await waiting;
     expect(maxRunning).toBe(SLOTS);
--- a/test/gateway/leaving-answers.test.ts
+++ b/test/gateway/shutdown-responses.test.ts
@@ -31,7 +31,7 @@
   beforeEach(async () => {
     one = new TestBackend('one', answerLeaving);
     two = new TestBackend('two');
-    harness = await GatewayHarness.startBefore([one, two]);
+    harness = await GatewayHarness.startWithBackends([one, two]);
   });
 
   afterEach(() => {
--- a/test/gateway/store-restored-owners.test.ts
+++ b/test/gateway/store-restored-owners.test.ts
@@ -35,12 +35,12 @@
       scene.era = 1;
       const names = ['a', 'b', 'c', 'd'];
       names.forEach((address, index) => scene.join(address, 1_000 + index));
-      await scene.runHeard(SETTLED_MS);
+      await scene.run(SETTLED_MS);
       const copy = scene.record;
       const [former] = ownersOf(scene);
       const others = names.filter((address) => address !== former?.address);
       for (const other of others) scene.cut(former?.address ?? '', other);
-      await scene.runHeard(SETTLED_MS);
+      await scene.run(SETTLED_MS);
       const current = ownersOf(scene).filter(({ address }) => address !== former?.address);
       expect(current).toHaveLength(1);
       scene.restore(copy);
@@ -50,7 +50,7 @@
       scene.cut(owner?.address ?? '', former?.address ?? '');
       scene.cut(owner?.address ?? '', cutOff);
       for (let at = 0; at < SIMULATED_MS; at += STEP_MS) {
-        await scene.runHeard(STEP_MS);
+        await scene.run(STEP_MS);
         const epochs = ownersOf(scene).map(({ epoch }) => epoch);
         expect(new Set(epochs).size).toBe(epochs.length);
       }
@@ -64,16 +64,16 @@
     scene.era = 1;
     scene.writeDelayMs = 1_000;
     scene.join('a', 1_000);
-    for (let at = 0; at < SETTLED_MS && scene.writesUnderWay === 0; at += STEP_MS) {
-      await scene.runHeard(STEP_MS);
+    for (let at = 0; at < SETTLED_MS && scene.writesInFlight === 0; at += STEP_MS) {
+      await scene.run(STEP_MS);
     }
-    expect(scene.writesUnderWay).toBe(1);
+    expect(scene.writesInFlight).toBe(1);
     scene.restore(undefined);
     scene.writeDelayMs = 0;
-    await scene.runHeard(2_000, () => {
+    await scene.run(2_000, () => {
       expect(ownersOf(scene).filter(({ epoch }) => epoch <= positionOf(2, 0))).toEqual([]);
     });
-    await scene.runHeard(SETTLED_MS);
+    await scene.run(SETTLED_MS);
     expect(ownersOf(scene)).toHaveLength(1);
   });
 
@@ -83,18 +83,18 @@
     const names = rankCandidates(SERVICE, ['a', 'b', 'c', 'd']);
     const [former, late, current, bystander] = names as [string, string, string, string];
     names.forEach((address, index) => scene.join(address, 1_000 + index));
-    await scene.runHeard(SETTLED_MS);
+    await scene.run(SETTLED_MS);
     expect(ownersOf(scene).map(({ address }) => address)).toEqual([former]);
     scene.writeDelayMs = 4_000;
     for (const other of [late, current, bystander]) scene.cut(former, other);
-    for (let at = 0; at < SETTLED_MS && scene.writesUnderWay === 0; at += STEP_MS) {
-      await scene.runHeard(STEP_MS);
+    for (let at = 0; at < SETTLED_MS && scene.writesInFlight === 0; at += STEP_MS) {
+      await scene.run(STEP_MS);
     }
-    expect(scene.writesUnderWay).toBe(1);
+    expect(scene.writesInFlight).toBe(1);
     scene.writeDelayMs = 0;
     scene.cut(late, current);
     scene.restore(undefined);
-    await scene.runHeard(SETTLED_MS);
+    await scene.run(SETTLED_MS);
     const owners = new Map(ownersOf(scene).map(({ address, epoch }) => [address, epoch]));
     expect(owners.get(current)).toBeGreaterThan(positionOf(2, 0));
     expect(owners.get(late)).toBeGreaterThan(positionOf(2, 0));
@@ -111,13 +111,13 @@
         const names = rankCandidates(SERVICE, ['a', 'b', 'c', 'd']);
         const [former, second, third] = names as [string, string, string];
         names.forEach((address, index) => scene.join(address, 1_000 + index));
-        await scene.runHeard(SETTLED_MS + phaseMs);
+        await scene.run(SETTLED_MS + phaseMs);
         scene.cut(former, second);
         scene.cut(former, third);
-        scene.turnedAway.add(former);
+        scene.rejectedByStore.add(former);
         scene.restore(undefined);
         const orderedAt = new Map<string, number[]>();
-        await scene.runHeard(SETTLED_MS, () => {
+        await scene.run(SETTLED_MS, () => {
           for (const [address, ownership] of scene.ownerships) {
             const times = orderedAt.get(address) ?? [];
             if (ownership.mayOrder()) orderedAt.set(address, [...times, performance.now()]);
--- a/test/gateway/suspended-machine.test.ts
+++ b/test/gateway/suspended-machine.test.ts
@@ -32,21 +32,21 @@
   it('an owner whose backends check no epochs gives no orders until it has proved its claim again', async () => {
     const scene = new OwnershipScene(false);
     const owner = scene.join('one', 1_000);
-    await scene.runHeard(4_000);
+    await scene.run(4_000);
     expect(owner.mayOrder()).toBe(true);
     simulateSuspend();
     expect(owner.mayOrder()).toBe(false);
-    await scene.runHeard(200);
+    await scene.run(200);
     expect(owner.mayOrder()).toBe(true);
     expect(owner.epoch).toBe(1);
   });
 
   it('a holder grants nothing until a majority of voters has voted for it again', () => {
     const leases = leasesOf('a');
-    leases.want('n', { ownCeiling: () => 7, onAnswered: () => {}, onGained: () => {} });
-    expect(leases.holds('n')).toBe(true);
+    leases.acquire('n', { ownCeiling: () => 7, onVote: () => {}, onGained: () => {} });
+    expect(leases.isHeld('n')).toBe(true);
     simulateSuspend();
-    expect(leases.holds('n')).toBe(false);
+    expect(leases.isHeld('n')).toBe(false);
   });
 
   it('a voter keeps its vote for another holder for the full time by the steady clock', () => {
@@ -68,11 +68,11 @@
     const lease = new ConfigurationLease();
     lease.addProof({ version: 0, provenAt });
     const readers = new KnownReaders();
-    readers.hear('r', { version: 1, platformAway: false, servingDigest: 1 }, 1, leaseNow());
-    expect(readers.hearsAnswered(leaseNow())).toBe(true);
+    readers.recordStatus('r', { version: 1, platformAway: false, servingDigest: 1 }, 1, leaseNow());
+    expect(readers.hasWorkingReader(leaseNow())).toBe(true);
     simulateSuspend();
     expect(lease.ageMs(leaseNow())).toBeGreaterThanOrEqual(SUSPENDED_MS);
-    expect(readers.hearsAnswered(leaseNow())).toBe(false);
+    expect(readers.hasWorkingReader(leaseNow())).toBe(false);
   });
 
   it('an owner waits for the full time in which a previous owner may still give orders', async () => {
@@ -83,12 +83,12 @@
       revision: 1,
     };
     const owner = scene.join('one', 1_000);
-    while (owner.epoch === undefined) await scene.runHeard(50);
+    while (owner.epoch === undefined) await scene.run(50);
     simulateSuspend();
-    await scene.runHeard(1_000);
+    await scene.run(1_000);
     expect(owner.epoch).toBe(5);
     expect(owner.mayOrder()).toBe(false);
-    await scene.runHeard(1_500);
+    await scene.run(1_500);
     expect(owner.mayOrder()).toBe(true);
   });
 
@@ -102,7 +102,7 @@
       logger: silentLogger,
       members: () => [member],
       live: () => [member],
-      rememberMs: 8_000,
+      retentionMs: 8_000,
       firstSequence: 1,
       processStartedAt: performance.now(),
       sendDatagram: (_to, body) => {
--- a/test/gateway/two-owners.test.ts
+++ b/test/gateway/two-owners.test.ts
@@ -31,7 +31,7 @@
     const others = ADDRESSES.filter((address) => address !== owner);
     const successor = firstCandidate(SERVICE, others) ?? '';
     for (const address of ADDRESSES) scene.join(address, 1_000);
-    await scene.runHeard(4_000);
+    await scene.run(4_000);
     expect(scene.ownerships.get(owner)?.epoch).toBe(1);
     return { owner, successor };
   }
@@ -45,13 +45,13 @@
   }
 
   async function runUntilOwned(address: string): Promise<void> {
-    while (scene.ownerships.get(address)?.epoch === undefined) await scene.runHeard(50);
+    while (scene.ownerships.get(address)?.epoch === undefined) await scene.run(50);
   }
 
   /** Returns the epochs under which orders may be sent, in chronological order. */
   async function epochsOfOrders(milliseconds: number): Promise<number[]> {
     const epochs: number[] = [];
-    await scene.runHeard(milliseconds, () => {
+    await scene.run(milliseconds, () => {
       for (const ownership of scene.ownerships.values()) {
         if (ownership.mayOrder()) epochs.push(ownership.epoch ?? 0);
       }
@@ -70,7 +70,7 @@
   it('never send orders alternately when the store also rejects the owner', async () => {
     const { owner, successor } = await begin();
     scene.cut(owner, successor);
-    scene.turnedAway.add(owner);
+    scene.rejectedByStore.add(owner);
     const epochs = await epochsOfOrders(10_000);
     expect(Math.max(...epochs)).toBe(2);
     expect(epochs).toEqual([...epochs].sort((a, b) => a - b));
@@ -78,13 +78,13 @@
 
   it('leave the service to its owner, which sends orders again after a store outage for all daemons', async () => {
     const { owner } = await begin();
-    for (const address of ADDRESSES) scene.turnedAway.add(address);
-    await scene.runHeard(800);
+    for (const address of ADDRESSES) scene.rejectedByStore.add(address);
+    await scene.run(800);
     expect(scene.ownerships.get(owner)?.mayOrder()).toBe(true);
-    await scene.runHeard(4_000);
+    await scene.run(4_000);
     expect(scene.ownerships.get(owner)?.mayOrder()).toBe(false);
-    scene.turnedAway.clear();
-    await scene.runHeard(1_000);
+    scene.rejectedByStore.clear();
+    await scene.run(1_000);
     expect(scene.ownerships.get(owner)?.mayOrder()).toBe(true);
     expect(scene.ownerships.get(owner)?.epoch).toBe(1);
   });
@@ -92,7 +92,7 @@
   it('hand the service over without waiting for a lease to expire when the owner announces that it is leaving', async () => {
     const { owner, successor } = await begin();
     leave(owner);
-    await scene.runHeard(1_500);
+    await scene.run(1_500);
     expect(scene.ownerships.get(successor)?.mayOrder()).toBe(true);
   });
 
@@ -109,7 +109,7 @@
   it('wait for the lease of the first owner when its successor gives up during the wait and claims again', async () => {
     const { owner, successor } = await begin();
     scene.cut(owner, successor);
-    scene.turnedAway.add(owner);
+    scene.rejectedByStore.add(owner);
     await runUntilOwned(successor);
     scene.ownerships.get(successor)?.giveUp('sees too few daemons');
     const epochs = await epochsOfOrders(8_000);
@@ -131,15 +131,15 @@
   it('ignore the response to a claim that arrives after the stop', async () => {
     const owner = scene.join('one', 1_000);
     scene.answerDelayMs = 200;
-    await scene.runHeard(900);
+    await scene.run(900);
     owner.stop('the daemon stops');
-    await scene.runHeard(2_000);
+    await scene.run(2_000);
     expect([owner.epoch, owner.mayOrder()]).toEqual([undefined, false]);
   });
 
   it('pass the service to another daemon when the platform responds to the others but not to the owner', async () => {
     const { owner } = await begin();
-    scene.turnedAway.add(owner);
+    scene.rejectedByStore.add(owner);
     const epochs = await epochsOfOrders(12_000);
     expect(epochs.at(-1)).toBe(2);
     expect(epochs).toEqual([...epochs].sort((a, b) => a - b));
--- a/test/platform/directory.test.ts
+++ b/test/platform/directory.test.ts
@@ -31,25 +31,25 @@
     const first = startUnconnectedDirectory();
     const second = startUnconnectedDirectory();
     expect(first.directory.configurationDocument()).toBeUndefined();
-    expect(first.directory.takeConfigurationDocument(documentOf(3))).toBe(true);
+    expect(first.directory.applyConfigurationDocument(documentOf(3))).toBe(true);
     const document = first.directory.configurationDocument() ?? new Uint8Array();
-    expect(second.directory.takeConfigurationDocument(document)).toBe(true);
+    expect(second.directory.applyConfigurationDocument(document)).toBe(true);
     expect(second.versions).toEqual([3]);
   });
 
   it('never replace a configuration with an older one', () => {
     const { directory, versions } = startUnconnectedDirectory();
-    expect(directory.takeConfigurationDocument(documentOf(3))).toBe(true);
-    expect(directory.takeConfigurationDocument(documentOf(2))).toBe(false);
-    expect(directory.takeConfigurationDocument(documentOf(3))).toBe(false);
+    expect(directory.applyConfigurationDocument(documentOf(3))).toBe(true);
+    expect(directory.applyConfigurationDocument(documentOf(2))).toBe(false);
+    expect(directory.applyConfigurationDocument(documentOf(3))).toBe(false);
     expect(versions).toEqual([3]);
   });
 
   it('are rejected if they are truncated or not JSON', () => {
     const { directory, versions } = startUnconnectedDirectory();
-    expect(directory.takeConfigurationDocument(documentOf(3).subarray(0, 20))).toBe(false);
-    expect(directory.takeConfigurationDocument(gzipSync('{"version":'))).toBe(false);
-    expect(directory.takeConfigurationDocument(new Uint8Array())).toBe(false);
+    expect(directory.applyConfigurationDocument(documentOf(3).subarray(0, 20))).toBe(false);
+    expect(directory.applyConfigurationDocument(gzipSync('{"version":'))).toBe(false);
+    expect(directory.applyConfigurationDocument(new Uint8Array())).toBe(false);
     expect(versions).toEqual([]);
   });
 });
--- a/test/platform/foreign-entries.test.ts
+++ b/test/platform/invalid-entries.test.ts
@@ -3,7 +3,7 @@
  * (with an empty service or an invalid address), count as leaving, or prevent the whole list from being read.
  */
 import { afterEach, describe, expect, it } from 'vitest';
-import { readEntries, serverEntry, type Line } from './server-entries.js';
+import { readEntries, serverEntry, type LogLine } from './server-entries.js';
 
 const INVALID_ENTRIES: Readonly<Record<string, unknown>> = {
   'no-service': serverEntry({ service: undefined }),
@@ -35,7 +35,7 @@
 
   afterEach(() => read?.stop());
 
-  function unreadLines(): Line[] {
+  function unreadLines(): LogLine[] {
     return (read?.lines ?? []).filter(({ event }) => event === 'backend_entry_unread');
   }
 
--- a/test/platform/kind-follower.test.ts
+++ b/test/platform/kind-follower.test.ts
@@ -1,17 +1,17 @@
 import { Result } from 'true-myth';
 import { afterEach, describe, expect, it } from 'vitest';
-import { KindFollower, type FollowerPace, type KindCopy } from '../../platform/kind-follower.js';
+import { KindFollower, type WatchSettings, type KindCopy } from '../../platform/kind-follower.js';
 import type { ObjectStore, StoreObject, WatchOptions } from '../../platform/object-store.js';
 import { silentLogger } from '../../src/common/logger.js';
 import { sleep } from '../../src/common/process.js';
 
-const RELAXED: FollowerPace = {
+const RELAXED: WatchSettings = {
   periodMs: 10,
   stale: true,
   waitMs: 20_000,
   longestPauseMs: 2_500,
 };
-const CLOSE: FollowerPace = {
+const CLOSE: WatchSettings = {
   periodMs: 10,
   stale: false,
   waitMs: 4_000,
@@ -52,7 +52,7 @@
 
 function follow(
   store: ScriptedStore,
-  pace: FollowerPace,
+  pace: WatchSettings,
 ): { follower: KindFollower; seen: unknown[]; copies: KindCopy[] } {
   const seen: unknown[] = [];
   const copies: KindCopy[] = [];
@@ -60,7 +60,7 @@
     store: store as unknown as ObjectStore,
     logger: silentLogger,
     kind: 'servers',
-    pace,
+    watchSettings: pace,
     onObjects: (copy) => {
       copies.push(copy);
       seen.push(copy.objects.get('x')?.spec);
@@ -73,8 +73,8 @@
 
 /** Interrupts the waiting watch, so that the follower sends a new stale one. */
 function restartWatch(follower: KindFollower): void {
-  follower.setPace(CLOSE);
-  follower.setPace(RELAXED);
+  follower.setWatchSettings(CLOSE);
+  follower.setWatchSettings(RELAXED);
 }
 
 describe('KindFollower', () => {
@@ -86,7 +86,7 @@
     const store = new ScriptedStore();
     const { follower } = follow(store, RELAXED);
     await sleep(50);
-    follower.setPace(CLOSE);
+    follower.setWatchSettings(CLOSE);
     await sleep(50);
     expect(store.calls).toEqual(['list', 'late watch 10', 'watch 10']);
   });
@@ -96,7 +96,7 @@
     const { follower } = follow(store, { ...RELAXED, periodMs: 5_000 });
     await sleep(50);
     expect(store.calls).toEqual(['list']);
-    follower.setPace(CLOSE);
+    follower.setWatchSettings(CLOSE);
     await sleep(50);
     expect(store.calls).toEqual(['list', 'watch 10']);
   });
@@ -119,7 +119,7 @@
     await sleep(30);
     store.isHistoryExpired = true;
     restartWatch(follower);
-    follower.setPace(CLOSE);
+    follower.setWatchSettings(CLOSE);
     await sleep(300);
     expect(copies.map(({ mayMissObjects }) => mayMissObjects)).toEqual([false, false]);
   });
@@ -129,7 +129,7 @@
     const { follower, seen } = follow(store, RELAXED);
     await sleep(30);
     store.revision = 8;
-    follower.readAgain();
+    follower.refreshList();
     await sleep(30);
     expect(seen).toEqual([10]);
   });
@@ -140,12 +140,12 @@
     await sleep(30);
     store.revision = 12;
     store.unreadNames = ['x'];
-    follower.readAgain();
+    follower.refreshList();
     await sleep(30);
     store.unreadNames = [];
     store.isEmpty = true;
     store.revision = 13;
-    follower.readAgain();
+    follower.refreshList();
     await sleep(30);
     expect(seen).toEqual([10, 10, undefined]);
   });
--- a/test/platform/late-configuration.test.ts
+++ b/test/platform/late-configuration.test.ts
@@ -43,7 +43,7 @@
     onBackends: () => {},
     onConfirmed: () => {},
   });
-  directory.setAttention('close');
+  directory.setReadMode('close');
   cleanUps.push(() => {
     directory.stop();
     store.close();
--- a/test/platform/server-entries.ts
+++ b/test/platform/server-entries.ts
@@ -22,14 +22,14 @@
 }
 
 /** A log line with its event name. */
-export interface Line extends LogFields {
+export interface LogLine extends LogFields {
   readonly event: string;
 }
 
 /** Backends and log lines that a directory produced from the store's entries. */
-export interface ReadList {
+export interface DirectoryReading {
   readonly backends: readonly BackendRecord[];
-  readonly lines: readonly Line[];
+  readonly lines: readonly LogLine[];
   /** Delivers changed entries to the directory through its watch. */
   change(items: readonly StoreObject[]): Promise<void>;
 }
@@ -37,8 +37,8 @@
 /** Starts a directory on the given entries, by name. */
 export async function readEntries(
   entries: Readonly<Record<string, unknown>>,
-): Promise<ReadList & { stop: () => void }> {
-  const lines: Line[] = [];
+): Promise<DirectoryReading & { stop: () => void }> {
+  const lines: LogLine[] = [];
   const write = (event: string, fields: LogFields = {}): void => {
     lines.push({ event, ...fields });
   };
--- a/test/platform/store-restored.test.ts
+++ b/test/platform/store-restored.test.ts
@@ -10,7 +10,7 @@
 import { sleep } from '../../src/common/process.js';
 import { BackendDirectory } from '../../src/core/backend-directory.js';
 import { GatewayMetrics } from '../../src/gateway/gateway-metrics.js';
-import type { DirectoryAttention } from '../../src/gateway/ports.js';
+import type { DirectoryReadMode } from '../../src/gateway/ports.js';
 import { ObjectStoreStandIn } from '../soak/object-store-stand-in.js';
 import { SeededRandom } from '../soak/seeded-random.js';
 import { serverEntry } from './server-entries.js';
@@ -33,7 +33,7 @@
     for (const cleanUp of cleanUps.splice(0)) cleanUp();
   });
 
-  async function startScenario(attention: DirectoryAttention): Promise<{
+  async function startScenario(attention: DirectoryReadMode): Promise<{
     store: ObjectStoreStandIn;
     directory: StoreDirectory;
     backends: BackendDirectory;
@@ -56,7 +56,7 @@
       onBackends: (list) => void backends.setBackends(list, performance.now()),
       onConfirmed: (seen) => confirmed.push(seen),
     });
-    directory.setAttention(attention);
+    directory.setReadMode(attention);
     cleanUps.push(() => {
       directory.stop();
       client.close();
--- a/test/simulation/admission-ways.test.ts
+++ b/test/simulation/admission-policies.test.ts
@@ -1,33 +1,33 @@
 import { describe, expect, it } from 'vitest';
 import {
-  AdmissionPlay,
+  AdmissionSimulation,
   recordLoad,
-  shareInAim,
+  shareWithinGoal,
   shareServed,
-  type Outcome,
-  type Way,
-} from './admission-ways.js';
+  type ResultCounts,
+  type AdmissionPolicy,
+} from './admission-policies.js';
 
 const SLOTS = 8;
 /** The table in docs/design uses the first seed. */
 const SEEDS = [37, 1];
 
-function line(way: Way, name: string, { inAim, late, refused }: Outcome): string {
+function line(way: AdmissionPolicy, name: string, { withinGoal: inAim, late, refused }: ResultCounts): string {
   return `| ${way} | ${name} | ${inAim} | ${late} | ${refused} |`;
 }
 
-function table(way: Way, simulation: AdmissionPlay): string[] {
+function table(way: AdmissionPolicy, simulation: AdmissionSimulation): string[] {
   const rows = [...simulation.byKind, ...simulation.byTenant].map(([name, outcome]) =>
     line(way, name, outcome),
   );
-  return [...rows, line(way, 'largest tenth of patient', simulation.largest)];
+  return [...rows, line(way, 'largest tenth of patient', simulation.largestTenth)];
 }
 
 describe.each(SEEDS)('the same load under three admission policies (seed %i)', (seed) => {
   const load = recordLoad(seed);
-  const simulations = new Map<Way, AdmissionPlay>();
-  const simulationOf = (way: Way): AdmissionPlay => {
-    const simulation = simulations.get(way) ?? new AdmissionPlay(way, load).play();
+  const simulations = new Map<AdmissionPolicy, AdmissionSimulation>();
+  const simulationOf = (way: AdmissionPolicy): AdmissionSimulation => {
+    const simulation = simulations.get(way) ?? new AdmissionSimulation(way, load).simulate();
     simulations.set(way, simulation);
     return simulation;
   };
@@ -36,12 +36,12 @@
     for (const way of ['alone', 'leases', 'queue'] as const) {
       const simulation = simulationOf(way);
       const ended = [...simulation.byKind.values()].reduce(
-        (sum, { inAim, late, refused }) => sum + inAim + late + refused,
+        (sum, { withinGoal: inAim, late, refused }) => sum + inAim + late + refused,
         0,
       );
       console.log(
         [
-          `seed ${seed}, ${way}: most in flight ${simulation.mostInFlight}, messages ${simulation.messages}`,
+          `seed ${seed}, ${way}: most in flight ${simulation.maxInFlight}, messages ${simulation.messages}`,
         ]
           .concat(table(way, simulation))
           .join('\n'),
@@ -51,24 +51,24 @@
   });
 
   it('exceeds the slots when daemons decide alone, but not with one queue', () => {
-    expect(simulationOf('queue').mostInFlight).toBe(SLOTS);
-    expect(simulationOf('alone').mostInFlight).toBeGreaterThan(SLOTS);
+    expect(simulationOf('queue').maxInFlight).toBe(SLOTS);
+    expect(simulationOf('alone').maxInFlight).toBeGreaterThan(SLOTS);
   });
 
   it('is served within the goal more often with a queue, by kind and tenant', () => {
     for (const name of ['urgent', 'patient']) {
       const alone = simulationOf('alone').byKind.get(name)!;
       const queue = simulationOf('queue').byKind.get(name)!;
-      expect(shareInAim(queue)).toBeGreaterThan(shareInAim(alone));
+      expect(shareWithinGoal(queue)).toBeGreaterThan(shareWithinGoal(alone));
     }
-    const usual = (way: Way): Outcome => simulationOf(way).byTenant.get('the four usual')!;
-    expect(shareInAim(usual('queue'))).toBeGreaterThan(shareInAim(usual('alone')));
-    expect(shareInAim(usual('queue'))).toBeGreaterThan(shareInAim(usual('leases')));
+    const usual = (way: AdmissionPolicy): ResultCounts => simulationOf(way).byTenant.get('the four usual')!;
+    expect(shareWithinGoal(usual('queue'))).toBeGreaterThan(shareWithinGoal(usual('alone')));
+    expect(shareWithinGoal(usual('queue'))).toBeGreaterThan(shareWithinGoal(usual('leases')));
   });
 
   it('serves the largest requests of a kind more than half as often as the kind on average', () => {
     const simulation = simulationOf('queue');
-    expect(shareServed(simulation.largest)).toBeGreaterThan(
+    expect(shareServed(simulation.largestTenth)).toBeGreaterThan(
       shareServed(simulation.byKind.get('patient')!) / 2,
     );
   });
--- a/test/simulation/admission-ways.ts
+++ b/test/simulation/admission-policies.ts
@@ -28,7 +28,7 @@
 const RETRY_HEADSTART_MS = 1_200;
 
 /** Admission policy. */
-export type Way = 'alone' | 'leases' | 'queue';
+export type AdmissionPolicy = 'alone' | 'leases' | 'queue';
 
 interface Kind {
   readonly name: string;
@@ -58,9 +58,9 @@
 }
 
 /** Number of requests by result. */
-export interface Outcome {
+export interface ResultCounts {
   /** Requests served within their goal. */
-  inAim: number;
+  withinGoal: number;
   /** Requests served after their goal. */
   late: number;
   refused: number;
@@ -101,15 +101,15 @@
 }
 
 /** Runs a recorded load under one admission policy. */
-export class AdmissionPlay {
+export class AdmissionSimulation {
   /** Results by kind of request. */
-  readonly byKind = new Map<string, Outcome>();
+  readonly byKind = new Map<string, ResultCounts>();
   /** Results by group of tenants. */
-  readonly byTenant = new Map<string, Outcome>();
+  readonly byTenant = new Map<string, ResultCounts>();
   /** Results of the largest tenth of the requests of kind `patient`. */
-  readonly largest: Outcome = { inAim: 0, late: 0, refused: 0 };
+  readonly largestTenth: ResultCounts = { withinGoal: 0, late: 0, refused: 0 };
   /** Most concurrent requests sent to one backend. */
-  mostInFlight = 0;
+  maxInFlight = 0;
   /** Messages between daemons and slot allocators. */
   messages = 0;
   private now = 0;
@@ -129,7 +129,7 @@
   private readonly selections = new Map<string, StaleLoadSelection>();
 
   constructor(
-    private readonly policy: Way,
+    private readonly policy: AdmissionPolicy,
     private readonly load: readonly RecordedRequest[],
   ) {
     this.allocators = Array.from({ length: BACKENDS }, () =>
@@ -138,7 +138,7 @@
   }
 
   /** Simulates the whole load. */
-  play(): this {
+  simulate(): this {
     for (const request of this.load) this.after(request.at, () => this.arrive(request));
     for (this.now = 0; this.now < (SECONDS + 20) * 1_000; this.now++) {
       this.updateAnnouncedLoads();
@@ -308,7 +308,7 @@
     this.sent.add(attempt);
     this.sentTickets.add(attempt.ticket);
     this.inFlight[backend]! += 1;
-    this.mostInFlight = Math.max(this.mostInFlight, this.inFlight[backend]!);
+    this.maxInFlight = Math.max(this.maxInFlight, this.inFlight[backend]!);
     this.after(MESSAGE_MS, () => {
       this.queued[backend]!.push(attempt);
       this.startQueued(backend);
@@ -332,7 +332,7 @@
       }
       this.running[backend]! += 1;
       const meetsGoal = this.now - goalStartsAt + FIRST_PART_MS <= request.kind.goalMs;
-      this.countResult(attempt, meetsGoal ? 'inAim' : 'late');
+      this.countResult(attempt, meetsGoal ? 'withinGoal' : 'late');
       this.after(request.runMs / (SPEEDS[backend % SPEEDS.length] ?? 1), () =>
         this.finish(attempt),
       );
@@ -372,26 +372,26 @@
     this.after(retryDelayMs, () => this.arrive(request, attempt, isEarly));
   }
 
-  private countResult({ request }: Attempt, end: keyof Outcome): void {
+  private countResult({ request }: Attempt, end: keyof ResultCounts): void {
     const { kind, tenant, size } = request;
     const isSmall = tenant !== 'hot';
-    const count = (outcomes: Map<string, Outcome>, name: string): void => {
-      const outcome = outcomes.get(name) ?? { inAim: 0, late: 0, refused: 0 };
+    const count = (outcomes: Map<string, ResultCounts>, name: string): void => {
+      const outcome = outcomes.get(name) ?? { withinGoal: 0, late: 0, refused: 0 };
       outcome[end] += 1;
       outcomes.set(name, outcome);
     };
     count(this.byKind, kind.name);
     count(this.byTenant, isSmall ? 'the four usual' : 'hot');
-    if (kind.name === 'patient' && size >= 0.9) this.largest[end] += 1;
+    if (kind.name === 'patient' && size >= 0.9) this.largestTenth[end] += 1;
   }
 }
 
 /** Returns the share of requests that were served within their goal. */
-export function shareInAim({ inAim, late, refused }: Outcome): number {
+export function shareWithinGoal({ withinGoal: inAim, late, refused }: ResultCounts): number {
   return inAim / (inAim + late + refused);
 }
 
 /** Returns the share of requests that were served, in time or late. */
-export function shareServed({ inAim, late, refused }: Outcome): number {
+export function shareServed({ withinGoal: inAim, late, refused }: ResultCounts): number {
   return (inAim + late) / (inAim + late + refused);
 }
--- a/test/simulation/backend-limit-ways.test.ts
+++ b/test/simulation/backend-limit-comparison.test.ts
@@ -37,10 +37,10 @@
     seed: SEED,
   });
   const unitsPerSecond = offeredPerSecond(perSecond);
-  await group.play({ seconds: WARM_UP_SECONDS, unitsPerSecond });
+  await group.simulate({ seconds: WARM_UP_SECONDS, unitsPerSecond });
   const before = group.outcome().admitted;
-  await group.play({ seconds: SECONDS, unitsPerSecond });
-  const { admitted, mostInWindow } = group.outcome();
+  await group.simulate({ seconds: SECONDS, unitsPerSecond });
+  const { admitted, maxInWindow: mostInWindow } = group.outcome();
   return { mostInWindow, usedShare: (admitted - before) / (perSecond * SECONDS) };
 }
 
--- a/test/simulation/currency-proofs.test.ts
+++ b/test/simulation/currency-proofs.test.ts
@@ -9,7 +9,7 @@
 
 function print(name: string, outcome: ProofOutcome): void {
   if (process.env.PROOFS_TABLE === undefined) return;
-  const { withoutLease, greatestAgeMs, storeCallsPerSecond, bytesPerSecond } = outcome;
+  const { shareWithoutLease: withoutLease, maxAgeMs: greatestAgeMs, storeCallsPerSecond, bytesPerSecond } = outcome;
   const calls = storeCallsPerSecond.toFixed(1);
   const bytes = bytesPerSecond.toFixed(0);
   const row = `${name}: without lease ${(withoutLease * 100).toFixed(2)}%, age ${greatestAgeMs} ms`;
@@ -24,66 +24,66 @@
 
   async function warmGroup(count: number, usesPeers = true): Promise<SimulatedProofs> {
     const group = new SimulatedProofs(count, usesPeers, LEASE_MS);
-    await group.play(4);
+    await group.simulate(4);
     group.resetCounts();
     return group;
   }
 
   it.each([30, 87, 300])('reach %i daemons with few calls to the store', async (count) => {
     const group = await warmGroup(count);
-    await group.play(6);
+    await group.simulate(6);
     print(`${count} calm`, group.outcome());
-    expect(group.outcome().withoutLease).toBe(0);
-    expect(group.outcome().greatestAgeMs).toBeLessThan(3_500);
+    expect(group.outcome().shareWithoutLease).toBe(0);
+    expect(group.outcome().maxAgeMs).toBeLessThan(3_500);
     expect(group.outcome().storeCallsPerSecond).toBeLessThan(MAX_CALLS_PER_SECOND);
   });
 
   it('reach all daemons when the store refuses the readers', async () => {
     const group = await warmGroup(87);
     const refused = new Set(group.readers());
-    group.answers = (daemon) => !refused.has(daemon);
-    await group.play(9);
+    group.storeReplies = (daemon) => !refused.has(daemon);
+    await group.simulate(9);
     print('87, readers turned away', group.outcome());
-    expect(group.outcome().withoutLease).toBe(0);
+    expect(group.outcome().shareWithoutLease).toBe(0);
   });
 
   it('reach all daemons when the store refuses a third of them', async () => {
     const group = await warmGroup(87);
-    group.answers = (daemon) => daemon % 3 !== 0;
-    await group.play(9);
+    group.storeReplies = (daemon) => daemon % 3 !== 0;
+    await group.simulate(9);
     print('87, a third turned away', group.outcome());
-    expect(group.outcome().withoutLease).toBe(0);
+    expect(group.outcome().shareWithoutLease).toBe(0);
   });
 
   it('reach daemons in time almost always when a fifth of the datagrams is lost', async () => {
     const group = await warmGroup(87);
     group.lossShare = 0.2;
-    await group.play(9);
+    await group.simulate(9);
     print('87, a fifth of datagrams lost', group.outcome());
-    expect(group.outcome().withoutLease).toBeLessThan(0.005);
+    expect(group.outcome().shareWithoutLease).toBeLessThan(0.005);
   });
 
   it('stop during a store outage without a storm of calls, and reach all daemons again 4 s after it', async () => {
     const group = await warmGroup(87);
-    group.answers = () => false;
-    await group.play(10);
+    group.storeReplies = () => false;
+    await group.simulate(10);
     print('87, store away', group.outcome());
     expect(group.outcome().storeCallsPerSecond).toBeLessThan(30);
-    group.answers = () => true;
-    await group.play(4);
+    group.storeReplies = () => true;
+    await group.simulate(4);
     group.resetCounts();
-    await group.play(1);
-    expect(group.outcome().withoutLease).toBe(0);
+    await group.simulate(1);
+    expect(group.outcome().shareWithoutLease).toBe(0);
   });
 
   it('do not reach daemons that the store refuses when peers are not used', async () => {
     const group = await warmGroup(87, false);
-    await group.play(6);
+    await group.simulate(6);
     print('87 calm, each its own reader', group.outcome());
     group.resetCounts();
-    group.answers = (daemon) => daemon % 3 !== 0;
-    await group.play(9);
+    group.storeReplies = (daemon) => daemon % 3 !== 0;
+    await group.simulate(9);
     print('87, a third turned away, each its own reader', group.outcome());
-    expect(group.outcome().withoutLease).toBeGreaterThan(0.1);
+    expect(group.outcome().shareWithoutLease).toBeGreaterThan(0.1);
   });
 });
--- a/test/simulation/failing-permit-holder.test.ts
+++ b/test/simulation/failing-permit-holder.test.ts
@@ -29,7 +29,7 @@
   ],
   [
     'is partitioned and others detect it late',
-    (group) => group.cutOff([group.holder()], LATE_DETECTION_MS, LATE_DETECTION_MS + 500),
+    (group) => group.partition([group.holder()], LATE_DETECTION_MS, LATE_DETECTION_MS + 500),
   ],
   [
     'loses power, and its successor too',
@@ -59,10 +59,10 @@
           seed,
         });
         const unitsPerSecond = limit * OFFERED_LOAD_FACTOR;
-        await group.play({ seconds: WARM_UP_SECONDS, unitsPerSecond });
+        await group.simulate({ seconds: WARM_UP_SECONDS, unitsPerSecond });
         fail(group);
-        await group.play({ seconds: AFTER_SECONDS, unitsPerSecond });
-        outcomes.push(group.outcome().mostInWindow);
+        await group.simulate({ seconds: AFTER_SECONDS, unitsPerSecond });
+        outcomes.push(group.outcome().maxInWindow);
       }
       expect(Math.max(...outcomes)).toBeLessThanOrEqual(allowedArrivals(limit));
     },
--- a/test/simulation/holder-failures.ts
+++ b/test/simulation/holder-failures.ts
@@ -15,26 +15,26 @@
 const FAILURES: readonly HolderFailure[] = [
   [
     'is partitioned from the group',
-    (limits) => limits.cutOff([limits.holder()], DETECTED_BY_OTHERS_MS, DETECTED_BY_ITSELF_MS),
+    (limits) => limits.partition([limits.holder()], DETECTED_BY_OTHERS_MS, DETECTED_BY_ITSELF_MS),
   ],
   [
     'is in the smaller part of a partitioned group',
     (limits) => {
       const [first = 0] = others(limits);
-      limits.cutOff([limits.holder(), first], DETECTED_BY_OTHERS_MS, DETECTED_BY_OTHERS_MS);
+      limits.partition([limits.holder(), first], DETECTED_BY_OTHERS_MS, DETECTED_BY_OTHERS_MS);
     },
   ],
   [
     'continues while another daemon is partitioned',
     (limits) =>
-      limits.cutOff(others(limits).slice(0, 1), DETECTED_BY_OTHERS_MS, DETECTED_BY_ITSELF_MS),
+      limits.partition(others(limits).slice(0, 1), DETECTED_BY_OTHERS_MS, DETECTED_BY_ITSELF_MS),
   ],
   [
     'freezes, is replaced and resumes',
     (limits) => {
       const holder = limits.holder();
       limits.freeze(holder, DETECTED_BY_OTHERS_MS, 3_000);
-      setTimeout(() => limits.seeAgain(holder), 3_100);
+      setTimeout(() => limits.markAlive(holder), 3_100);
     },
   ],
   [
--- a/test/simulation/joined-during-cut.test.ts
+++ b/test/simulation/joined-during-cut.test.ts
@@ -1,12 +1,12 @@
 /* Guards against limit shares that each side of a partition computes from its own view: daemons that join one side enlarge its view. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
-import { boundOf, LIMIT, warmGroup } from './small-group.js';
+import { maxUnitsInWindow, LIMIT, warmGroup } from './small-group.js';
 
 const DAEMONS = 4;
 const OVERLOAD_FACTOR = 6;
 /** Time that membership takes to detect the partition. */
 const PARTITION_DETECTED_MS = 1_600;
-const BOUND = boundOf(LIMIT);
+const BOUND = maxUnitsInWindow(LIMIT);
 
 beforeEach(() =>
   vi.useFakeTimers({ toFake: ['setTimeout', 'clearTimeout', 'performance', 'Date'] }),
@@ -41,14 +41,14 @@
   const group = await warmGroup(DAEMONS, seed);
   const holder = group.holder();
   const others = [...Array(DAEMONS).keys()].filter((index) => index !== holder);
-  group.cutOff(
+  group.partition(
     [holder, ...others.slice(0, withHolder)],
     PARTITION_DETECTED_MS,
     PARTITION_DETECTED_MS,
   );
   setTimeout(() => group.join(joiners, others.at(-1) ?? 0), joinAfterMs);
-  await group.play({ seconds: 14, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
-  return group.outcome().mostInWindow;
+  await group.simulate({ seconds: 14, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
+  return group.outcome().maxInWindow;
 }
 
 describe('daemons that join one side of a cut', () => {
--- a/test/simulation/late-holder-lease.test.ts
+++ b/test/simulation/late-holder-lease.test.ts
@@ -1,6 +1,6 @@
 /* Guards against a holder that gets its lease late and grants units that other daemons have already admitted from their own shares. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
-import { boundOf, LIMIT, warmGroup } from './small-group.js';
+import { maxUnitsInWindow, LIMIT, warmGroup } from './small-group.js';
 
 const DAEMONS = 4;
 const OVERLOAD_FACTOR = 6;
@@ -23,16 +23,16 @@
   const group = await warmGroup(DAEMONS, seed);
   const holder = group.holder();
   const others = [...Array(DAEMONS).keys()].filter((index) => index !== holder);
-  group.cutOff([holder, ...others.slice(0, 1)], PARTITION_DETECTED_MS, PARTITION_DETECTED_MS);
+  group.partition([holder, ...others.slice(0, 1)], PARTITION_DETECTED_MS, PARTITION_DETECTED_MS);
   setTimeout(() => group.join(JOINERS, others.at(-1) ?? 0), JOIN_AFTER_MS);
-  await group.play({ seconds: SECONDS, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
-  return group.outcome().mostInWindow;
+  await group.simulate({ seconds: SECONDS, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
+  return group.outcome().maxInWindow;
 }
 
 describe('a group partitioned into halves', () => {
   it('stays within the limit when a half gets a holder after its daemons have used their own shares', async () => {
     const most: number[] = [];
     for (const seed of SEEDS) most.push(await simulatePartition(seed));
-    expect(Math.max(...most)).toBeLessThanOrEqual(boundOf(LIMIT));
+    expect(Math.max(...most)).toBeLessThanOrEqual(maxUnitsInWindow(LIMIT));
   });
 });
--- a/test/simulation/model-orders.property.test.ts
+++ b/test/simulation/model-orders.property.test.ts
@@ -10,7 +10,7 @@
 import { UnloadTimeEstimator } from '../../src/core/unload-time-estimator.js';
 import { PlacementPlanner } from '../../src/core/placement-planner.js';
 import { hostOf, demandSampleOf } from '../core/gateway-fixtures.js';
-import { SimulatedBackend, type OrderFate } from './simulated-backend.js';
+import { SimulatedBackend, type OrderDelivery } from './simulated-backend.js';
 
 const MODELS = ['a', 'b', 'c', 'd', 'e', 'f'];
 const HOST = hostOf(MODELS);
@@ -30,7 +30,7 @@
     this.ledgers = backends.map((backend) => new BackendLedger(backend.id));
   }
 
-  step(wanted: readonly string[], fate: () => OrderFate, now: number): void {
+  step(wanted: readonly string[], fate: () => OrderDelivery, now: number): void {
     if (this.fenced) return;
     for (const [index, ledger] of this.ledgers.entries()) {
       const report = this.backends[index]?.report();
@@ -62,7 +62,7 @@
   }
 }
 
-const fates = fc.constantFrom<OrderFate>('answered', 'answered', 'answer_lost', 'late', 'lost');
+const fates = fc.constantFrom<OrderDelivery>('answered', 'answered', 'answer_lost', 'late', 'lost');
 const steps = fc.array(
   fc.record({
     wanted: fc.uniqueArray(fc.constantFrom(...MODELS), { maxLength: 4 }),
--- a/test/simulation/cut-off-holder.test.ts
+++ b/test/simulation/partitioned-holder.test.ts
@@ -1,7 +1,7 @@
 /* Guards against exceeding a tenant limit over both sides together when the holder of its count fails or is partitioned. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { holderFailures } from './holder-failures.js';
-import { boundOf, LIMIT, warmGroup } from './small-group.js';
+import { maxUnitsInWindow, LIMIT, warmGroup } from './small-group.js';
 
 /** In a group this small, the share of one daemon far exceeds the operator's slack. */
 const DAEMONS = 4;
@@ -20,13 +20,13 @@
   describe.each(OVERLOAD_SECONDS)('after %d s of overload', (overloadSeconds) => {
     it.each(SEEDS)('the limit holds with callers at all daemons (seed %i)', async (seed) => {
       const limits = await warmGroup(DAEMONS, seed);
-      await limits.play({
+      await limits.simulate({
         seconds: overloadSeconds,
         unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR,
       });
       fail(limits);
-      await limits.play({ seconds: 10, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
-      expect(limits.outcome().mostInWindow).toBeLessThanOrEqual(boundOf(LIMIT));
+      await limits.simulate({ seconds: 10, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
+      expect(limits.outcome().maxInWindow).toBeLessThanOrEqual(maxUnitsInWindow(LIMIT));
     });
   });
 });
--- a/test/simulation/cut-off-small-group.test.ts
+++ b/test/simulation/partitioned-small-group.test.ts
@@ -1,7 +1,7 @@
 /* Guards against exceeding a tenant limit when the holder of a group of 2 to 5 daemons is partitioned and daemons restart. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { SimulatedLimits } from './simulated-limits.js';
-import { boundOf, LIMIT, warmGroup } from './small-group.js';
+import { maxUnitsInWindow, LIMIT, warmGroup } from './small-group.js';
 
 const LOWERED = { ...LIMIT, perSecond: 200, burst: 200 } as const;
 const OVERLOAD_FACTOR = 4;
@@ -18,7 +18,7 @@
 afterEach(() => vi.useRealTimers());
 
 function partitionHolder(group: SimulatedLimits): void {
-  group.cutOff([group.holder()], DETECTED_BY_OTHERS_MS, DETECTED_BY_HOLDER_MS);
+  group.partition([group.holder()], DETECTED_BY_OTHERS_MS, DETECTED_BY_HOLDER_MS);
 }
 
 /** Further events at the time of the partition. */
@@ -44,7 +44,7 @@
   overloadSeconds: number,
 ): Promise<SimulatedLimits> {
   const group = await warmGroup(daemons, seed);
-  await group.play({ seconds: overloadSeconds, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
+  await group.simulate({ seconds: overloadSeconds, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
   return group;
 }
 
@@ -57,8 +57,8 @@
           const group = await warmUp(daemons, seed, overloadSeconds);
           triggerEvent(group);
           partitionHolder(group);
-          await group.play({ seconds: 10, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
-          expect(group.outcome().mostInWindow, `seed ${seed}`).toBeLessThanOrEqual(boundOf(LIMIT));
+          await group.simulate({ seconds: 10, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
+          expect(group.outcome().maxInWindow, `seed ${seed}`).toBeLessThanOrEqual(maxUnitsInWindow(LIMIT));
         }
       },
     );
@@ -68,10 +68,10 @@
         const group = await warmUp(daemons, seed, overloadSeconds);
         partitionHolder(group);
         group.limit = LOWERED;
-        await group.play({ seconds: 4, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
-        group.countFromNow();
-        await group.play({ seconds: 8, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
-        expect(group.outcome().mostInWindow, `seed ${seed}`).toBeLessThanOrEqual(boundOf(LOWERED));
+        await group.simulate({ seconds: 4, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
+        group.resetMaxInWindow();
+        await group.simulate({ seconds: 8, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
+        expect(group.outcome().maxInWindow, `seed ${seed}`).toBeLessThanOrEqual(maxUnitsInWindow(LOWERED));
       }
     });
   });
--- a/test/simulation/pool-owner.property.test.ts
+++ b/test/simulation/pool-owner.property.test.ts
@@ -58,7 +58,7 @@
   pool.step({ type: 'claim', silent: 0 });
   for (const next of steps) {
     pool.step(next);
-    const [violation] = pool.broken();
+    const [violation] = pool.violations();
     if (violation !== undefined) return violation;
   }
   return undefined;
@@ -73,7 +73,7 @@
         pool.step({ type: 'claim', silent: 0 });
         for (const next of steps) {
           pool.step(next);
-          expect(pool.broken()).toEqual([]);
+          expect(pool.violations()).toEqual([]);
         }
         loads += pool.loaded();
       }),
--- a/test/simulation/router.property.test.ts
+++ b/test/simulation/router.property.test.ts
@@ -1,7 +1,7 @@
 /* Property test: a router runs requests that are not repeatable at most once, and reports correctly whether a request ran. */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { ERROR_ANSWERS } from '../../src/common/errors.js';
+import { ERROR_RESPONSES } from '../../src/common/errors.js';
 import type { TenantSpec } from '../../src/core/documents.js';
 import { LeastLoadedChoice } from '../../src/core/replica-choice-least-loaded.js';
 import { Router } from '../../src/core/router.js';
@@ -244,7 +244,7 @@
       const engine = ENGINES.indexOf(effect.engine as (typeof ENGINES)[number]);
       this.cancels.push({ id: effect.id, engine, incarnation: effect.incarnation });
     }
-    if (effect.type === 'refuse') this.end(effect.id, ERROR_ANSWERS[effect.kind].ran);
+    if (effect.type === 'refuse') this.end(effect.id, ERROR_RESPONSES[effect.kind].ran);
   }
 }
 
--- a/test/simulation/share-agreement.test.ts
+++ b/test/simulation/share-agreement.test.ts
@@ -18,39 +18,39 @@
   it('give joining daemons a share only after all members know of them', async () => {
     const group = await warmGroup(4, 1);
     group.join(2, 0);
-    await group.play(quiet(0.5));
+    await group.simulate(quiet(0.5));
     expect(group.shares()).toEqual([1 / 4, 1 / 4, 1 / 4, 1 / 4, 0, 0]);
-    await group.play(quiet(5));
+    await group.simulate(quiet(5));
     expect(group.shares()).toEqual(Array.from({ length: 6 }, () => 1 / 6));
   });
 
   it('give no share to daemons that join one side of a partition until it heals', async () => {
     const group = await warmGroup(4, 1);
-    group.cutOff([0], 1_600, 2_900);
-    await group.play(quiet(4));
+    group.partition([0], 1_600, 2_900);
+    await group.simulate(quiet(4));
     group.join(8, 3);
-    await group.play(quiet(20));
+    await group.simulate(quiet(20));
     expect(group.shares().slice(4)).toEqual(Array.from({ length: 8 }, () => 0));
     group.heal();
-    await group.play(quiet(10));
+    await group.simulate(quiet(10));
     expect(group.shares()).toEqual(Array.from({ length: 12 }, () => 1 / 12));
   });
 
   it('use the reply of a member when they restart while the store is unavailable', async () => {
     const group = await warmGroup(4, 1);
-    group.store.isAway = true;
+    group.store.isUnavailable = true;
     group.restart(2);
-    await group.play(quiet(2));
+    await group.simulate(quiet(2));
     expect(group.shares()).toEqual([1 / 4, 1 / 4, 1 / 4, 1 / 4]);
-    group.cutOff([2], 1_600, 1_600);
-    await group.play(quiet(2));
+    group.partition([2], 1_600, 1_600);
+    await group.simulate(quiet(2));
     expect(group.shares()[2]).toBe(0);
   });
 
   it('serve a tenant near its limit after all have restarted', async () => {
     const group = await warmGroup(4, 1);
     group.restartAll();
-    await group.play({ seconds: 10, unitsPerSecond: 2 * LIMIT.perSecond });
+    await group.simulate({ seconds: 10, unitsPerSecond: 2 * LIMIT.perSecond });
     expect(group.outcome().admitted).toBeGreaterThan(0.7 * 10 * LIMIT.perSecond);
   });
 });
--- a/test/simulation/simulated-backend.ts
+++ b/test/simulation/simulated-backend.ts
@@ -19,7 +19,7 @@
 }
 
 /** What happens to an order and its reply on the network. */
-export type OrderFate = 'answered' | 'answer_lost' | 'late' | 'lost';
+export type OrderDelivery = 'answered' | 'answer_lost' | 'late' | 'lost';
 
 /** One simulated backend process. */
 export class SimulatedBackend {
@@ -58,7 +58,7 @@
   }
 
   /** Delivers an order with the given fate. */
-  order(order: ModelOrder, fence: OrderFence, fate: OrderFate, now: number): OrderOutcome {
+  order(order: ModelOrder, fence: OrderFence, fate: OrderDelivery, now: number): OrderOutcome {
     if (fate === 'lost') return { type: 'unknown', reason: 'lost' };
     if (fate === 'late') {
       this.delayedOrders.push({ order, fence, at: now + 3_000 });
--- a/test/simulation/simulated-limits.ts
+++ b/test/simulation/simulated-limits.ts
@@ -30,10 +30,10 @@
 /** Measurements of a run. */
 export interface LimitOutcome {
   /** Units that requests needed, admitted or not. */
-  readonly asked: number;
+  readonly requested: number;
   readonly admitted: number;
   /** Most units admitted in any window. */
-  readonly mostInWindow: number;
+  readonly maxInWindow: number;
   /** Messages a second between all daemons. */
   readonly messagesPerSecond: number;
   readonly bytesPerSecond: number;
@@ -127,7 +127,7 @@
   }
 
   /** Partitions daemons from the others; each side detects it after its given time. */
-  cutOff(
+  partition(
     indexes: readonly number[],
     detectedByOthersAfterMs: number,
     detectedByThemAfterMs: number,
@@ -182,7 +182,7 @@
   }
 
   /** Lets the others see a daemon as alive again after it was frozen. */
-  seeAgain(index: number): void {
+  markAlive(index: number): void {
     this.detectedDown.delete(index);
     this.groupChanged();
   }
@@ -207,7 +207,7 @@
   }
 
   /** Resets the most units in any window. */
-  countFromNow(): void {
+  resetMaxInWindow(): void {
     this.maxInWindow = 0;
   }
 
@@ -218,7 +218,7 @@
   }
 
   /** Simulates a phase. */
-  async play({ seconds, unitsPerSecond }: LimitPhase): Promise<void> {
+  async simulate({ seconds, unitsPerSecond }: LimitPhase): Promise<void> {
     const { unitsPerRequest } = this.options;
     const gapMs = (unitsPerRequest / unitsPerSecond) * 1_000;
     let credit = 0;
@@ -254,9 +254,9 @@
     const seconds = (performance.now() - this.startedAt) / 1_000;
     const messagesPerSecond = this.messages / seconds;
     return {
-      asked: this.requestedUnits,
+      requested: this.requestedUnits,
       admitted: this.admitted,
-      mostInWindow: this.maxInWindow,
+      maxInWindow: this.maxInWindow,
       messagesPerSecond,
       bytesPerSecond: messagesPerSecond * MESSAGE_BYTES,
     };
@@ -317,7 +317,7 @@
       logger: silentLogger,
       members: () => shares.record?.members ?? [],
       live,
-      rememberMs: this.options.kind.windowMs,
+      retentionMs: this.options.kind.windowMs,
       firstSequence: 1 + performance.now(),
       processStartedAt: performance.now(),
       sendDatagram,
--- a/test/simulation/simulated-pool.ts
+++ b/test/simulation/simulated-pool.ts
@@ -13,7 +13,7 @@
   EngineOrder,
   EngineReport,
   Holding,
-  OrderAnswer,
+  OrderReply,
   OrderFence,
   ReplicaSpec,
 } from '../../src/engines/engine-client.js';
@@ -45,7 +45,7 @@
   private epoch = 0;
   private sequence = 0;
   private number = 0;
-  private last: OrderAnswer | undefined;
+  private last: OrderReply | undefined;
 
   constructor(private readonly removed: RemovedFence) {}
 
@@ -59,7 +59,7 @@
     this.last = undefined;
   }
 
-  take(fence: OrderFence, order: EngineOrder): OrderAnswer {
+  take(fence: OrderFence, order: EngineOrder): OrderReply {
     const refuse = (
       refusal: 'stale_epoch' | 'wrong_incarnation' | 'stale_sequence' | 'not_sealed',
     ) => ({ accepted: false, refusal, incarnation: this.incarnation }) as const;
@@ -165,7 +165,7 @@
   }
 
   /** Returns the invariants that are violated now. */
-  broken(): string[] {
+  violations(): string[] {
     const violations: string[] = [];
     TENANT_NAMES.forEach((tenant, index) => {
       const held = [...this.engines.values()].filter((engine) => engine.holdings.has(tenant));
--- a/test/simulation/simulated-proofs.ts
+++ b/test/simulation/simulated-proofs.ts
@@ -6,7 +6,7 @@
 import { silentLogger } from '../../src/common/logger.js';
 import type { MemberView } from '../../src/core/membership-messages.js';
 import type { PeerBody } from '../../src/daemon/peer-transport.js';
-import { CurrencyProofs } from '../../src/gateway/currency-proofs.js';
+import { ConfigurationLeaseRenewal } from '../../src/gateway/configuration-lease-renewal.js';
 
 const MESSAGE_MS = 2;
 const STORE_MS = 6;
@@ -19,9 +19,9 @@
 /** Measurements of a run. */
 export interface ProofOutcome {
   /** Share of samples over all daemons in which the proof was older than the lease. */
-  readonly withoutLease: number;
+  readonly shareWithoutLease: number;
   /** Greatest age of a proof at a daemon that has one, in milliseconds. */
-  readonly greatestAgeMs: number;
+  readonly maxAgeMs: number;
   readonly storeCallsPerSecond: number;
   /** Bytes a second that a daemon sends, on average. */
   readonly bytesPerSecond: number;
@@ -30,17 +30,17 @@
 /** The simulated group. Requires vitest's fake timers. */
 export class SimulatedProofs {
   /** Returns whether the store replies to a daemon. */
-  answers: (daemon: number) => boolean = () => true;
+  storeReplies: (daemon: number) => boolean = () => true;
   /** Share of messages that are lost. */
   lossShare = 0;
-  private readonly daemons: CurrencyProofs[];
+  private readonly daemons: ConfigurationLeaseRenewal[];
   private readonly live: MemberView[];
   private readonly random = xoroshiro128plus(1);
   private storeCalls = 0;
   private messages = 0;
   private samples = 0;
   private samplesWithoutLease = 0;
-  private greatestAgeMs = 0;
+  private maxAgeMs = 0;
   private startedAt = performance.now();
 
   constructor(
@@ -68,12 +68,12 @@
     this.messages = 0;
     this.samples = 0;
     this.samplesWithoutLease = 0;
-    this.greatestAgeMs = 0;
+    this.maxAgeMs = 0;
     this.startedAt = performance.now();
   }
 
   /** Advances the simulation. */
-  async play(seconds: number): Promise<void> {
+  async simulate(seconds: number): Promise<void> {
     for (let at = 0; at < seconds * 1_000; at += STEP_MS) {
       // Daemons tick at staggered times.
       for (const [index, daemon] of this.daemons.entries()) {
@@ -88,8 +88,8 @@
   outcome(): ProofOutcome {
     const seconds = (performance.now() - this.startedAt) / 1_000;
     return {
-      withoutLease: this.samplesWithoutLease / this.samples,
-      greatestAgeMs: Math.round(this.greatestAgeMs),
+      shareWithoutLease: this.samplesWithoutLease / this.samples,
+      maxAgeMs: Math.round(this.maxAgeMs),
       storeCallsPerSecond: this.storeCalls / seconds,
       bytesPerSecond: (this.messages * MESSAGE_BYTES) / seconds / this.count,
     };
@@ -100,20 +100,20 @@
       const ageMs = lease.ageMs(leaseNow());
       this.samples += 1;
       if (ageMs > this.leaseMs) this.samplesWithoutLease += 1;
-      if (Number.isFinite(ageMs)) this.greatestAgeMs = Math.max(this.greatestAgeMs, ageMs);
+      if (Number.isFinite(ageMs)) this.maxAgeMs = Math.max(this.maxAgeMs, ageMs);
     }
   }
 
-  private daemon(index: number): CurrencyProofs {
-    const proofs = new CurrencyProofs({
+  private daemon(index: number): ConfigurationLeaseRenewal {
+    const proofs = new ConfigurationLeaseRenewal({
       self: `d-${index}`,
       logger: silentLogger,
-      asksPeers: this.usesPeers,
+      usesPeers: this.usesPeers,
       live: () => this.live,
       version: () => VERSION,
       sendDatagram: (to, body) => this.send(index, Number(to.slice(2)), body),
       readStore: () => this.readStore(index),
-      hearVersion: () => {},
+      onPeerVersion: () => {},
     });
     proofs.lease.setVersion(VERSION);
     return proofs;
@@ -123,8 +123,8 @@
     this.storeCalls += 1;
     const requestedAt = leaseNow();
     await new Promise((resolve) => setTimeout(resolve, STORE_MS));
-    if (!this.answers(index)) return false;
-    this.daemons[index]?.confirmed(VERSION, requestedAt);
+    if (!this.storeReplies(index)) return false;
+    this.daemons[index]?.addStoreProof(VERSION, requestedAt);
     return true;
   }
 
--- a/test/simulation/simulated-record-store.ts
+++ b/test/simulation/simulated-record-store.ts
@@ -10,7 +10,7 @@
   private readonly records = new Map<string, StoredRecord>();
   private revision = 0;
   /** Whether the store is unavailable: all calls fail. */
-  isAway = false;
+  isUnavailable = false;
 
   /** Reads a record; undefined if there is none. */
   read(kind: string, name: string): Promise<Result<StoredRecord | undefined, RecordFailure>> {
@@ -40,7 +40,7 @@
     return new Promise((resolve) => {
       setTimeout(() => {
         const failure = Result.err<Value, RecordFailure>({ type: 'unavailable', reason: 'away' });
-        const result = this.isAway ? failure : operation();
+        const result = this.isUnavailable ? failure : operation();
         setTimeout(() => resolve(result), CALL_MS / 2);
       }, CALL_MS / 2);
     });
--- a/test/simulation/simulated-slots.ts
+++ b/test/simulation/simulated-slots.ts
@@ -20,9 +20,9 @@
 export interface SimulatedRequest {
   readonly daemon: number;
   /** When the request arrived at its daemon. */
-  readonly askedAt: number;
+  readonly requestedAt: number;
   /** Types of the responses to the slot request, in order. */
-  answers: SlotResponse['type'][];
+  responses: SlotResponse['type'][];
   /** When the request was sent to the backend; undefined if it was not sent. */
   sentAt: number | undefined;
   /** Whether the request has completed, was refused or cancelled, or has failed. */
@@ -40,14 +40,14 @@
 export class SimulatedSlots {
   readonly requests: SimulatedRequest[] = [];
   /** Log lines of all daemons. */
-  readonly lines: { event: string; fields: LogFields }[] = [];
+  readonly logLines: { event: string; fields: LogFields }[] = [];
   /** Datagrams sent, including lost ones. */
   datagrams = 0;
   /** Most concurrent requests at the backend. */
-  mostRunning = 0;
+  maxRunning = 0;
   isBackendServing = true;
   /** Returns whether the network drops a datagram from one daemon to another. */
-  loses: (from: number, to: number, body: PeerBody) => boolean = () => false;
+  drops: (from: number, to: number, body: PeerBody) => boolean = () => false;
   private running = 0;
   /** Numbers of the daemons that the group considers live. */
   private liveDaemons: number[] = [];
@@ -66,24 +66,24 @@
   }
 
   /** Returns the number of the daemon that allocates the slots. */
-  keeper(): number {
+  allocator(): number {
     const runningDaemon = this.daemons.find((_, index) => !this.dead.has(index));
-    return Number(runningDaemon?.keeperOf('backend').slice(2));
+    return Number(runningDaemon?.allocatorOf('backend').slice(2));
   }
 
   /** Returns the numbers of the running daemons other than the slot allocator. */
   others(): number[] {
-    const allocator = this.keeper();
+    const allocator = this.allocator();
     return [...this.daemons.keys()].filter((index) => index !== allocator && !this.dead.has(index));
   }
 
   /** Starts a request at a daemon, which sends it to the backend once it has a slot. */
-  ask(daemon: number, giveUpAfterMs = 5_000, rank = 1): SimulatedRequest {
+  requestSlot(daemon: number, giveUpAfterMs = 5_000, rank = 1): SimulatedRequest {
     const now = performance.now();
     const request: SimulatedRequest = {
       daemon,
-      askedAt: now,
-      answers: [],
+      requestedAt: now,
+      responses: [],
       sentAt: undefined,
       ended: false,
     };
@@ -98,7 +98,7 @@
       tenant: '',
       work: 0,
       ownerLoad: undefined,
-      onAnswer: (answer) => this.handleResponse(request, answer),
+      onDecision: (answer) => this.handleResponse(request, answer),
     });
     this.claims.set(request, claim);
     if (claim.isHeld) this.run(request);
@@ -106,7 +106,7 @@
   }
 
   /** Simulates a disconnect of the caller. */
-  leave(request: SimulatedRequest): void {
+  disconnect(request: SimulatedRequest): void {
     request.ended = true;
     this.claims.get(request)?.release();
   }
@@ -126,7 +126,7 @@
   }
 
   /** Advances the simulation. */
-  async play(milliseconds: number): Promise<void> {
+  async simulate(milliseconds: number): Promise<void> {
     for (let at = 0; at < milliseconds; at += TICK_MS) {
       for (const [index, daemon] of this.daemons.entries()) {
         if (!this.dead.has(index)) daemon.tick();
@@ -137,7 +137,7 @@
 
   private handleResponse(request: SimulatedRequest, answer: SlotResponse): void {
     if (this.dead.has(request.daemon)) return;
-    request.answers.push(answer.type);
+    request.responses.push(answer.type);
     if (answer.type === 'granted') this.run(request);
     if (answer.type === 'refused' || answer.type === 'unknown') request.ended = true;
   }
@@ -145,7 +145,7 @@
   private run(request: SimulatedRequest): void {
     request.sentAt = performance.now();
     this.running += 1;
-    this.mostRunning = Math.max(this.mostRunning, this.running);
+    this.maxRunning = Math.max(this.maxRunning, this.running);
     setTimeout(() => {
       if (request.ended) return;
       request.ended = true;
@@ -157,7 +157,7 @@
   private daemon(index: number): SlotAdmission {
     this.liveDaemons.push(index);
     const recordLine = (event: string, fields: LogFields = {}): void => {
-      this.lines.push({ event, fields });
+      this.logLines.push({ event, fields });
     };
     return new SlotAdmission({
       self: `d-${index}`,
@@ -172,7 +172,7 @@
 
   private send(from: number, to: number, body: PeerBody): void {
     this.datagrams += 1;
-    if (this.dead.has(from) || this.loses(from, to, body)) return;
+    if (this.dead.has(from) || this.drops(from, to, body)) return;
     setTimeout(() => {
       if (!this.dead.has(to)) this.daemons[to]?.receive(`d-${from}`, body);
     }, MESSAGE_MS);
--- a/test/simulation/tenant-limits.test.ts
+++ b/test/simulation/tenant-limits.test.ts
@@ -31,12 +31,12 @@
   return plain * (1 + WINDOW.excess) + WINDOW.slack;
 }
 
-function refusedShare({ asked, admitted }: LimitOutcome): number {
+function refusedShare({ requested: asked, admitted }: LimitOutcome): number {
   return 1 - admitted / asked;
 }
 
 function print(name: string, outcome: LimitOutcome, perSecond: number): void {
-  const { asked, admitted, mostInWindow, messagesPerSecond, bytesPerSecond } = outcome;
+  const { requested: asked, admitted, maxInWindow: mostInWindow, messagesPerSecond, bytesPerSecond } = outcome;
   const row = [
     name,
     `asked ${asked}`,
@@ -60,22 +60,22 @@
   describe.each([30, 300])('over %i daemons', (daemons) => {
     it('refuses nothing under the usual load', async () => {
       const group = groupOf(daemons, perSecond);
-      await group.play({ seconds: WARM_UP_SECONDS, unitsPerSecond: 0 });
-      await group.play({ seconds: 12, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
+      await group.simulate({ seconds: WARM_UP_SECONDS, unitsPerSecond: 0 });
+      await group.simulate({ seconds: 12, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
       print(`${size} ${daemons} usual`, group.outcome(), perSecond);
       expect(refusedShare(group.outcome())).toBe(0);
     });
 
     it('holds under overload, and admits what it allows', async () => {
       const group = groupOf(daemons, perSecond);
-      await group.play({ seconds: WARM_UP_SECONDS, unitsPerSecond: 0 });
-      await group.play({ seconds: 10, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
+      await group.simulate({ seconds: WARM_UP_SECONDS, unitsPerSecond: 0 });
+      await group.simulate({ seconds: 10, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
       const before = group.outcome();
       expect(refusedShare(before)).toBe(0);
-      await group.play({ seconds: 12, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
+      await group.simulate({ seconds: 12, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
       const outcome = group.outcome();
       print(`${size} ${daemons} hot`, outcome, perSecond);
-      expect(outcome.mostInWindow).toBeLessThanOrEqual(bound(perSecond));
+      expect(outcome.maxInWindow).toBeLessThanOrEqual(bound(perSecond));
       expect(outcome.admitted - before.admitted).toBeGreaterThan(perSecond * 12);
     });
   });
@@ -85,15 +85,15 @@
     let admitted = 0;
     for (const seed of [1, 2, 3, 4, 5, 6]) {
       const group = groupOf(87, perSecond, seed);
-      await group.play({ seconds: WARM_UP_SECONDS, unitsPerSecond: 0 });
-      await group.play({ seconds: 10, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
+      await group.simulate({ seconds: WARM_UP_SECONDS, unitsPerSecond: 0 });
+      await group.simulate({ seconds: 10, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
       group.kill(group.holder(), 1_300);
-      await group.play({ seconds: 2, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
+      await group.simulate({ seconds: 2, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
       const before = group.outcome();
-      await group.play({ seconds: 8, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
+      await group.simulate({ seconds: 8, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
       const after = group.outcome();
       print(`${size} 87 holder killed, usual, seed ${seed}`, after, perSecond);
-      asked += after.asked - before.asked;
+      asked += after.requested - before.requested;
       admitted += after.admitted - before.admitted;
     }
     // Requests at the failed daemon, one of 87, are lost.
@@ -102,45 +102,45 @@
 
   it('holds when its holder loses power under overload', async () => {
     const group = groupOf(87, perSecond);
-    await group.play({ seconds: 10, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
-    await group.play({ seconds: 4, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
+    await group.simulate({ seconds: 10, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
+    await group.simulate({ seconds: 4, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
     group.kill(group.holder(), 1_300);
-    await group.play({ seconds: 12, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
+    await group.simulate({ seconds: 12, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
     const outcome = group.outcome();
     print(`${size} 87 holder killed`, outcome, perSecond);
-    expect(outcome.mostInWindow).toBeLessThanOrEqual(bound(perSecond));
+    expect(outcome.maxInWindow).toBeLessThanOrEqual(bound(perSecond));
   });
 
   it('holds when all daemons restart without their state', async () => {
     const group = groupOf(87, perSecond);
-    await group.play({ seconds: 10, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
+    await group.simulate({ seconds: 10, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
     group.restartAll();
-    await group.play({ seconds: 10, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
+    await group.simulate({ seconds: 10, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
     const outcome = group.outcome();
     print(`${size} 87 all restarted`, outcome, perSecond);
-    expect(outcome.mostInWindow).toBeLessThanOrEqual(bound(perSecond));
+    expect(outcome.maxInWindow).toBeLessThanOrEqual(bound(perSecond));
   });
 
   it('holds when a third of the daemons are each isolated from all others', async () => {
     const group = groupOf(87, perSecond);
-    await group.play({ seconds: 10, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
+    await group.simulate({ seconds: 10, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
     group.isolate(30);
-    await group.play({ seconds: 12, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
+    await group.simulate({ seconds: 12, unitsPerSecond: perSecond * OVERLOAD_FACTOR });
     const outcome = group.outcome();
     print(`${size} 87 third cut off`, outcome, perSecond);
-    expect(outcome.mostInWindow).toBeLessThanOrEqual(bound(perSecond));
+    expect(outcome.maxInWindow).toBeLessThanOrEqual(bound(perSecond));
   });
 
   it('takes effect within one window when it is lowered', async () => {
     const group = groupOf(87, perSecond);
-    await group.play({ seconds: 10, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
+    await group.simulate({ seconds: 10, unitsPerSecond: perSecond * USUAL_LOAD_SHARE });
     group.limit = { ...group.limit, perSecond: perSecond / 4, burst: perSecond / 4 };
-    await group.play({
+    await group.simulate({
       seconds: WINDOW.windowMs / 1_000,
       unitsPerSecond: perSecond * USUAL_LOAD_SHARE,
     });
     const before = group.outcome().admitted;
-    await group.play({
+    await group.simulate({
       seconds: WINDOW.windowMs / 1_000,
       unitsPerSecond: perSecond * USUAL_LOAD_SHARE,
     });
