--- a/test/soak/leaving-fault-injector.ts
+++ b/test/soak/leaving-fault-injector.ts
@@ -1,4 +1,4 @@
-/** Brings departures of replicas about in a running soak. */
+/** Makes replicas leave a running soak test. */
 import { sleep } from '../../src/common/process.js';
 import type { GatewayProcess } from './gateway-process.js';
 import type { Departure, LeavingFault } from './leaving-fault-plan.js';
@@ -6,12 +6,12 @@
 import type { SeededRandom } from './seeded-random.js';
 import { spareReplicas, type SoakSystem } from './soak-system.js';
 
-/** Replicas leave so long before a gateway goes on. */
-const LEFT_BEFORE_MS = 700;
-/** After its end a replica's address is free for so long before it is used again. */
-const REUSE_PAUSE_MS = 500;
+/** Time from the departure of replicas until the disturbed gateway resumes. */
+const DEPARTURE_LEAD_MS = 700;
+/** Time for which the address of an ended replica stays unused before another replica takes it. */
+const ADDRESS_REUSE_DELAY_MS = 500;
 
-/** Lets replicas leave, alone or while a gateway cannot be told of it. */
+/** Makes replicas leave, also while a gateway is frozen or cut off and cannot receive the update. */
 export class LeavingFaultInjector {
   constructor(
     private readonly system: SoakSystem,
@@ -23,15 +23,15 @@
       case 'released':
         return void this.release(fault.count, fault.gapMs, fault);
       case 'withdrawn':
-        return this.leave(Math.round(this.system.replicas.length * fault.share), fault);
+        return this.removeReplicas(Math.round(this.system.replicas.length * fault.share), fault);
       case 'addresses_swapped':
         return this.swapAddresses(fault);
       case 'left_during_standstill':
-        return void this.leaveBeforeEnd(fault, fault.frozenMs, (gateway) =>
+        return void this.leaveDuringDisturbance(fault, fault.frozenMs, (gateway) =>
           gateway.freeze(fault.frozenMs),
         );
       case 'left_during_cut':
-        return void this.leaveBeforeEnd(fault, fault.cutMs, (gateway) =>
+        return void this.leaveDuringDisturbance(fault, fault.cutMs, (gateway) =>
           gateway.cutOff(fault.cutMs),
         );
     }
@@ -39,24 +39,24 @@
 
   private async release(count: number, gapMs: number, departure: Departure): Promise<void> {
     for (let released = 0; released < count; released++) {
-      this.leave(1, departure);
+      this.removeReplicas(1, departure);
       await sleep(gapMs);
     }
   }
 
-  private async leaveBeforeEnd(
+  private async leaveDuringDisturbance(
     { count, ...departure }: Departure & { readonly count: number },
     milliseconds: number,
-    harm: (gateway: GatewayProcess) => void,
+    disturb: (gateway: GatewayProcess) => void,
   ): Promise<void> {
-    const gateway = this.untouchedGateway();
-    if (gateway !== undefined) harm(gateway);
-    await sleep(milliseconds - LEFT_BEFORE_MS);
-    this.leave(count, departure);
+    const gateway = this.pickUndisturbedGateway();
+    if (gateway !== undefined) disturb(gateway);
+    await sleep(milliseconds - DEPARTURE_LEAD_MS);
+    this.removeReplicas(count, departure);
   }
 
-  private leave(count: number, departure: Departure): void {
-    for (let left = 0; left < count; left++) {
+  private removeReplicas(count: number, departure: Departure): void {
+    for (let departed = 0; departed < count; departed++) {
       const replica = this.random.pick(spareReplicas(this.system));
       if (replica === undefined) return;
       void this.depart(replica, departure).then(() => replica.start());
@@ -79,7 +79,7 @@
   ): Promise<void> {
     const ports = [first.port, second.port];
     await Promise.all([first, second].map((replica) => this.depart(replica, departure)));
-    await sleep(REUSE_PAUSE_MS);
+    await sleep(ADDRESS_REUSE_DELAY_MS);
     await Promise.all([first.start(ports[1]), second.start(ports[0])]);
   }
 
@@ -89,11 +89,11 @@
     await replica.leave(serveMs, isAnnounced);
   }
 
-  private untouchedGateway(): GatewayProcess | undefined {
+  private pickUndisturbedGateway(): GatewayProcess | undefined {
     const now = Date.now();
-    const untouched = [...this.system.gateways.values()].filter(
+    const undisturbed = [...this.system.gateways.values()].filter(
       (gateway) => !gateway.disturbances.some(({ until }) => until > now),
     );
-    return untouched.length > 1 ? this.random.pick(untouched) : undefined;
+    return undisturbed.length > 1 ? this.random.pick(undisturbed) : undefined;
   }
 }
--- a/test/soak/leaving-fault-plan.test.ts
+++ b/test/soak/leaving-fault-plan.test.ts
@@ -3,20 +3,20 @@
 import { SeededRandom } from './seeded-random.js';
 
 const SEED = 7;
-const LONG_MS = 1_000_000;
+const PLAN_MS = 1_000_000;
 
-describe('the plan of departures', () => {
-  it('is the same for the same seed, of all kinds, in order and in time', () => {
-    const [plan, again] = [1, 2].map(() => planLeavingFaults(new SeededRandom(SEED), LONG_MS));
+describe('plan of replica departures', () => {
+  it('is reproducible from its seed, covers all kinds, and is sorted and within its duration', () => {
+    const [plan, again] = [1, 2].map(() => planLeavingFaults(new SeededRandom(SEED), PLAN_MS));
     expect(plan).toEqual(again);
     expect(new Set(plan?.map(({ fault }) => fault.kind))).toEqual(new Set(LEAVING_FAULT_KINDS));
     const times = plan?.map(({ at }) => at) ?? [];
     expect(times).toEqual([...times].sort((a, b) => a - b));
-    expect(times.at(-1)).toBeLessThan(LONG_MS);
+    expect(times.at(-1)).toBeLessThan(PLAN_MS);
   });
 
-  it('has replicas that say that they leave, and others of which only the entry goes', () => {
-    const plan = planLeavingFaults(new SeededRandom(SEED), LONG_MS);
+  it('has both announced and unannounced departures', () => {
+    const plan = planLeavingFaults(new SeededRandom(SEED), PLAN_MS);
     expect(new Set(plan.map(({ fault }) => fault.isAnnounced))).toEqual(new Set([true, false]));
   });
 });
--- a/test/soak/leaving-fault-plan.ts
+++ b/test/soak/leaving-fault-plan.ts
@@ -1,38 +1,38 @@
 /**
- * Ways in which replicas leave, drawn from a generator of their own: what earlier seeds draw
- * stays the same. Pure.
+ * Plans departures of replicas. They use a separate generator, so that existing seeds still produce the same
+ * other faults. Pure functions.
  */
 import type { SeededRandom } from './seeded-random.js';
 
 /** How replicas leave. */
 export interface Departure {
-  /** They say that they leave; else only their entry goes. */
+  /** Whether replicas announce their departure; otherwise only their registry entry disappears. */
   readonly isAnnounced: boolean;
-  /** They serve on for so long. */
+  /** Time for which replicas continue to serve after the departure begins. */
   readonly serveMs: number;
 }
 
-/** One fault. */
+/** A departure of one or more replicas. */
 export type LeavingFault = Departure &
   (
     | { readonly kind: 'released'; readonly count: number; readonly gapMs: number }
-    /** A share of all replicas, at the same moment. */
+    /** A share of all replicas leaves at the same time. */
     | { readonly kind: 'withdrawn'; readonly share: number }
-    /** Two of different services, each of which comes back at the address of the other. */
+    /** Two replicas of different services leave, and each restarts at the address of the other. */
     | { readonly kind: 'addresses_swapped' }
-    /** Some leave while a gateway stands still, shortly before it goes on. */
+    /** Replicas leave while a gateway is frozen, shortly before it resumes. */
     | { readonly kind: 'left_during_standstill'; readonly count: number; readonly frozenMs: number }
-    /** Some leave while nothing passes between a gateway and the others. */
+    /** Replicas leave while a gateway is partitioned from the other gateways. */
     | { readonly kind: 'left_during_cut'; readonly count: number; readonly cutMs: number }
   );
 
-/** A fault and its time after the start of the faults, in milliseconds. */
+/** A fault and its start time, in milliseconds after the start of the fault phase. */
 export interface PlannedLeavingFault {
   readonly at: number;
   readonly fault: LeavingFault;
 }
 
-/** All kinds. */
+/** All kinds of departures. */
 export const LEAVING_FAULT_KINDS: readonly LeavingFault['kind'][] = [
   'released',
   'withdrawn',
@@ -41,13 +41,13 @@
   'left_during_cut',
 ];
 
-const SHORTEST_GAP_MS = 1_000;
-const LONGEST_GAP_MS = 4_000;
-const SHORTEST_SERVICE_MS = 2_500;
-/** No replica that leaves serves on for longer. */
+const MIN_GAP_MS = 1_000;
+const MAX_GAP_MS = 4_000;
+const MIN_SERVICE_MS = 2_500;
+/** Upper bound of the time for which a leaving replica continues to serve. */
 export const LONGEST_SERVICE_MS = 12_000;
 
-/** Faults for a time. */
+/** Plans departures that start within the given number of milliseconds. */
 export function planLeavingFaults(
   random: SeededRandom,
   milliseconds: number,
@@ -55,7 +55,7 @@
   const plan: PlannedLeavingFault[] = [];
   let at = 0;
   for (;;) {
-    at += random.between(SHORTEST_GAP_MS, LONGEST_GAP_MS);
+    at += random.between(MIN_GAP_MS, MAX_GAP_MS);
     if (at >= milliseconds) return plan;
     plan.push({ at, fault: drawFault(random) });
   }
@@ -64,7 +64,7 @@
 function drawFault(random: SeededRandom): LeavingFault {
   const departure = {
     isAnnounced: random.chance(0.5),
-    serveMs: random.between(SHORTEST_SERVICE_MS, LONGEST_SERVICE_MS),
+    serveMs: random.between(MIN_SERVICE_MS, LONGEST_SERVICE_MS),
   };
   const count = Math.ceil(random.between(0, 4));
   const milliseconds = random.between(1_500, 5_000);
--- a/test/soak/named-fault-injector.ts
+++ b/test/soak/named-fault-injector.ts
@@ -1,4 +1,4 @@
-/** Brings the faults that are named about in a running soak. */
+/** Injects the opt-in kinds of faults into a running soak test. */
 import { sleep } from '../../src/common/process.js';
 import type { GatewayProcess } from './gateway-process.js';
 import { counterOf, ownerOf } from './gateway-roles.js';
@@ -7,32 +7,32 @@
 import type { SeededRandom } from './seeded-random.js';
 import { spareReplicas, undisturbedGateways, type SoakSystem } from './soak-system.js';
 
-/** A replica that has crashed is back after so long. */
+/** Time after which a crashed replica starts again. */
 const RESTART_MS = 1_000;
-/** A replica that leaves serves on for so long. */
+/** Time for which a leaving replica continues to serve. */
 const LEAVING_MS = 4_000;
 
 type FaultOf<Kind extends NamedFault['kind']> = Extract<NamedFault, { kind: Kind }>;
 
-/** What a poisonous request needs of the soak. */
+/** Sends requests that crash the replicas that run them. */
 export interface PoisonSender {
-  /** Sends the request of a name to some gateway that takes callers. */
+  /** Sends the named request to a gateway that accepts callers. The crashed replica restarts after `backMs`. */
   sendPoison(name: string, backMs: number): void;
 }
 
-/** What joining needs of the soak. */
+/** Starts additional gateways. */
 export interface GatewayStarter {
-  /** Starts a gateway that has not run before; there may be no more of them. */
+  /** Starts a gateway that has not run before; does nothing if none is left. */
   joinGateway(): void;
 }
 
-/** Strikes gateways and replicas. */
+/** Injects faults into gateways, replicas and the store. */
 export class NamedFaultInjector {
-  private poisons = 0;
-  /** One restore is over before the next begins. */
+  private poisonCount = 0;
+  /** Whether a restore is in progress. Restores do not overlap. */
   private isRestoring = false;
 
-  /** @param endsAt - Nothing begins later; Unix milliseconds. */
+  /** @param endsAt - No fault starts after this time, in Unix milliseconds. */
   constructor(
     private readonly system: SoakSystem & PoisonSender & GatewayStarter,
     private readonly random: SeededRandom,
@@ -42,14 +42,14 @@
   strike(fault: NamedFault): void {
     switch (fault.kind) {
       case 'poison_request':
-        return void this.repeat(fault);
+        return void this.repeatPoisonRequest(fault);
       case 'answers_tell_leaving':
-        for (let count = 0; count < fault.count; count++) this.leave(fault);
+        for (let count = 0; count < fault.count; count++) this.leaveByResponses(fault);
         return;
       case 'backend_asks_rest':
-        return this.askForRest(fault);
+        return this.requestBackoff(fault);
       case 'backend_names_limit':
-        return void this.nameLimits(fault);
+        return void this.announceRateLimits(fault);
       case 'store_restored':
         return void this.restoreStore(fault);
       case 'suspended':
@@ -60,21 +60,21 @@
   }
 
   private async joinDuringCut(fault: FaultOf<'joined_during_cut'>): Promise<void> {
-    const free = undisturbedGateways(this.system);
-    const counter = counterOf(free);
-    const others = free.filter((each) => each !== counter);
+    const undisturbed = undisturbedGateways(this.system);
+    const counter = counterOf(undisturbed);
+    const others = undisturbed.filter((gateway) => gateway !== counter);
     const cut = [fault.cutsCounter ? counter : this.random.pick(others)];
-    if (fault.cutCount > 1) cut.push(others.find((each) => !cut.includes(each)));
-    // Callers keep two gateways that hear each other.
-    if (free.length - cut.length < 2) return;
+    if (fault.cutCount > 1) cut.push(others.find((gateway) => !cut.includes(gateway)));
+    // At least two connected gateways must remain for callers.
+    if (undisturbed.length - cut.length < 2) return;
     for (const gateway of cut) gateway?.cutOff(fault.cutMs);
     await sleep(fault.joinAfterMs);
     for (let joined = 0; joined < fault.joiners; joined++) this.system.joinGateway();
   }
 
-  private async repeat(fault: FaultOf<'poison_request'>): Promise<void> {
-    this.poisons += 1;
-    const name = `poison-${this.poisons}`;
+  private async repeatPoisonRequest(fault: FaultOf<'poison_request'>): Promise<void> {
+    this.poisonCount += 1;
+    const name = `poison-${this.poisonCount}`;
     for (let count = 0; count < fault.repeats && Date.now() < this.endsAt; count++) {
       const atOnce = count === 0 ? 1 : fault.atOnce;
       for (let sent = 0; sent < atOnce; sent++) this.system.sendPoison(name, fault.backMs);
@@ -82,14 +82,14 @@
     }
   }
 
-  private leave({ serveMs, listedAfterMs }: FaultOf<'answers_tell_leaving'>): void {
+  private leaveByResponses({ serveMs, listedAfterMs }: FaultOf<'answers_tell_leaving'>): void {
     const replica = this.random.pick(spareReplicas(this.system));
     if (replica === undefined) return;
     this.system.replicaFaults.push({ from: Date.now(), until: Date.now() + serveMs });
     void replica.leaveByAnswers(serveMs, listedAfterMs).then(() => replica.start());
   }
 
-  private askForRest(fault: FaultOf<'backend_asks_rest'>): void {
+  private requestBackoff(fault: FaultOf<'backend_asks_rest'>): void {
     const { milliseconds, restSeconds, share } = fault;
     const until = Date.now() + milliseconds + restSeconds * 1_000;
     this.system.replicaFaults.push({ from: Date.now(), until });
@@ -98,29 +98,29 @@
     }
   }
 
-  private async nameLimits(fault: FaultOf<'backend_names_limit'>): Promise<void> {
+  private async announceRateLimits(fault: FaultOf<'backend_names_limit'>): Promise<void> {
     const { share, limits, eachMs, crashAfterMs, cutMs } = fault;
     const until = Math.min(Date.now() + limits.length * eachMs, this.endsAt);
     this.system.replicaFaults.push({ from: Date.now(), until });
     const limited = this.system.replicas
       .filter((replica) => this.random.chance(share) && !replica.namesRateLimit)
       .map((replica) => ({ replica, id: replica.id }));
-    if (crashAfterMs > 0) setTimeout(() => this.crashAndStart(limited[0]?.replica), crashAfterMs);
+    if (crashAfterMs > 0) setTimeout(() => this.crashAndRestart(limited[0]?.replica), crashAfterMs);
     if (cutMs > 0) this.random.pick([...this.system.gateways.values()])?.cutOff(cutMs);
-    const name = (perSecond: number | undefined): void => {
+    const announce = (perSecond: number | undefined): void => {
       for (const { replica, id } of limited) {
-        // A later process names nothing of what was asked of an earlier one.
+        // A restarted replica has a new id and does not take over the rate limit of the earlier process.
         if (replica.id === id) replica.nameRateLimit(perSecond);
       }
     };
     for (const perSecond of limits) {
-      name(perSecond);
+      announce(perSecond);
       await sleep(Math.max(0, Math.min(eachMs, this.endsAt - Date.now())));
     }
-    name(undefined);
+    announce(undefined);
   }
 
-  private crashAndStart(replica: ReplicaStandIn | undefined): void {
+  private crashAndRestart(replica: ReplicaStandIn | undefined): void {
     if (replica?.isServing !== true || Date.now() >= this.endsAt) return;
     replica.crash();
     this.system.replicaFaults.push({ from: Date.now(), until: Date.now() + RESTART_MS });
@@ -131,7 +131,7 @@
     if (this.isRestoring) return;
     this.isRestoring = true;
     const { store, storeFaults, gateways } = this.system;
-    const copy = store.copy();
+    const backup = store.copy();
     for (let write = 0; write < fault.lostWrites; write++) store.put('other', 'x', { write });
     await sleep(fault.copyMs);
     const span = { from: Date.now(), until: Date.now() + fault.awayMs + fault.rewrittenAfterMs };
@@ -139,16 +139,16 @@
     if (fault.cutMs > 0) ownerOf(this.system, [...gateways.values()])?.cutOff(fault.cutMs);
     store.condition = 'reset';
     await sleep(fault.awayMs);
-    const lost = store.restore(copy);
+    const lostRecords = store.restore(backup);
     store.condition = 'sound';
-    setTimeout(() => this.change(), fault.changesAfterMs);
+    setTimeout(() => this.changeAfterRestore(), fault.changesAfterMs);
     await sleep(fault.rewrittenAfterMs);
-    store.writeAgain(lost);
+    store.writeAgain(lostRecords);
     for (let write = 0; write < fault.otherWrites; write++) store.put('other', 'x', { write });
     this.isRestoring = false;
   }
 
-  private change(): void {
+  private changeAfterRestore(): void {
     this.system.changeConfiguration();
     const replica = this.random.pick(spareReplicas(this.system));
     if (replica === undefined) return;
@@ -162,11 +162,11 @@
     gateway?.suspend(milliseconds);
   }
 
-  /** Callers keep at least one gateway to go to. */
+  /** Returns undefined if no other undisturbed gateway would remain to serve callers. */
   private gatewayToSuspend(who: SuspendedGateway): GatewayProcess | undefined {
-    const free = undisturbedGateways(this.system);
-    if (free.length < 2) return undefined;
-    if (who === 'owner') return ownerOf(this.system, free);
-    return who === 'counter' ? counterOf(free) : this.random.pick(free);
+    const undisturbed = undisturbedGateways(this.system);
+    if (undisturbed.length < 2) return undefined;
+    if (who === 'owner') return ownerOf(this.system, undisturbed);
+    return who === 'counter' ? counterOf(undisturbed) : this.random.pick(undisturbed);
   }
 }
--- a/test/soak/named-fault-plan.ts
+++ b/test/soak/named-fault-plan.ts
@@ -1,92 +1,92 @@
 /**
- * Faults that are played only where they are named, drawn from a generator of their own: what earlier seeds
- * draw stays the same. Pure.
+ * Plans opt-in faults, which occur only if their kinds are listed in the options. They use a separate generator,
+ * so that existing seeds still produce the same other faults. Pure functions.
  */
 import type { SeededRandom } from './seeded-random.js';
 
-/** Who is suspended. */
+/** Which gateway is suspended. */
 export type SuspendedGateway = 'owner' | 'counter' | 'any';
 
-/** One fault. */
+/** A fault of the opt-in kinds. */
 export type NamedFault =
-  /** A request that crashes whatever runs it comes again and again, at any gateway, some times at several at once. */
+  /** A request that crashes every replica that runs it is repeated at random gateways, sometimes several at once. */
   | {
       readonly kind: 'poison_request';
       readonly repeats: number;
       readonly atOnce: number;
       readonly gapMs: number;
-      /** Replicas that have crashed are back after so long. */
+      /** Time after which crashed replicas start again. */
       readonly backMs: number;
     }
-  /** Replicas leave and say so in their answers; their entries say so later, or not at all before they end. */
+  /** Replicas announce their departure in responses; their registry entries follow later, or never before they end. */
   | {
       readonly kind: 'answers_tell_leaving';
       readonly count: number;
       readonly serveMs: number;
-      /** Infinite for an entry that only goes. */
+      /** Infinite if the entry disappears without an announcement. */
       readonly listedAfterMs: number;
     }
-  /** Replicas turn requests away for a time, and ask whoever sent them for rest. */
+  /** Replicas reject requests for a time, and request a backoff from the senders. */
   | {
       readonly kind: 'backend_asks_rest';
       readonly share: number;
       readonly milliseconds: number;
       readonly restSeconds: number;
     }
-  /** Replicas name rate limits in their answers, which change some times and end; some replicas restart, some gateways are cut off. */
+  /** Replicas announce rate limits in responses. The limits change a few times and end; a replica may restart and a gateway may be cut off. */
   | {
       readonly kind: 'backend_names_limit';
       readonly share: number;
-      /** Requests a second, one after the other, each for a time. */
+      /** Successive limits in requests per second, each of which applies for `eachMs`. */
       readonly limits: readonly number[];
       readonly eachMs: number;
-      /** Some replica crashes meanwhile, and some gateway is cut off for so long; 0 for neither. */
+      /** Time until a limited replica crashes, and time for which a gateway is cut off (`cutMs`); 0 for no such fault. */
       readonly crashAfterMs: number;
       readonly cutMs: number;
     }
-  /** The store is away for a moment and comes back from a copy; what the operator and the replicas wrote since is written again. */
+  /** The store fails briefly and is restored from a backup; the operator and the replicas repeat the lost writes. */
   | {
       readonly kind: 'store_restored';
-      /** Age of the copy. */
+      /** Age of the backup at the failure. */
       readonly copyMs: number;
       readonly awayMs: number;
-      /** From its return until what was lost is written again. */
+      /** Time from the restore until the lost records are written again. */
       readonly rewrittenAfterMs: number;
-      /** Writes that nobody follows and that are lost: the counter does not pass the old one soon. */
+      /** Lost writes to keys that no client watches. They keep the restored revision counter below the old one for longer. */
       readonly lostWrites: number;
-      /** Writes that nobody follows raise the counter past the places that gateways hold. */
+      /** Writes to keys that no client watches, which raise the revision counter past the watch positions of gateways. */
       readonly otherWrites: number;
-      /** A replica begins to leave, and a configuration is accepted, this long after its return. */
+      /** Time from the restore until a replica starts to leave and a new configuration is accepted. */
       readonly changesAfterMs: number;
-      /** The owner of a service is cut off meanwhile; 0 for none. */
+      /** Time for which the owner of a service is cut off meanwhile; 0 for no cut. */
       readonly cutMs: number;
     }
-  /** Some gateways are cut off, each from all others, and gateways join these others. */
+  /** One or two gateways are each partitioned from all others, and new gateways join the others. */
   | {
       readonly kind: 'joined_during_cut';
-      /** Whoever counts the limited tenant is among those that are cut off. */
+      /** Whether the gateway that counts the limited tenant is among those that are cut off. */
       readonly cutsCounter: boolean;
       readonly cutCount: number;
       readonly cutMs: number;
       readonly joiners: number;
       readonly joinAfterMs: number;
     }
-  /** A gateway stands still, and its steady clock with it. */
+  /** A gateway is suspended, and its monotonic clock stops with it. */
   | {
       readonly kind: 'suspended';
       readonly who: SuspendedGateway;
       readonly milliseconds: number;
-      /** Other gateways cannot tell it what has happened for so long after it has woken. */
+      /** Time after its resumption for which the gateway receives no updates from other gateways. */
       readonly cutMs: number;
     };
 
-/** A fault and its time after the start of the faults, in milliseconds. */
+/** A fault and its start time, in milliseconds after the start of the fault phase. */
 export interface PlannedNamedFault {
   readonly at: number;
   readonly fault: NamedFault;
 }
 
-/** All kinds. */
+/** All kinds of opt-in faults. */
 export const NAMED_FAULT_KINDS: readonly NamedFault['kind'][] = [
   'poison_request',
   'answers_tell_leaving',
@@ -97,15 +97,15 @@
   'joined_during_cut',
 ];
 
-/** Requests a second. */
-const LIMITS = [0, 0.4, 1, 2.5, 8, 30];
-const MOST_LIMITS = 3;
-const SHORTEST_GAP_MS = 800;
-const LONGEST_GAP_MS = 5_000;
-/** Owners and counters rest on leases. */
-const SUSPENDED: readonly SuspendedGateway[] = ['owner', 'owner', 'counter', 'any'];
+/** Rate limits in requests per second. */
+const RATE_LIMITS = [0, 0.4, 1, 2.5, 8, 30];
+const MAX_LIMIT_COUNT = 3;
+const MIN_GAP_MS = 800;
+const MAX_GAP_MS = 5_000;
+/** Owners and counters are listed because they hold leases, which must not outlive a suspension. */
+const SUSPENDED_GATEWAYS: readonly SuspendedGateway[] = ['owner', 'owner', 'counter', 'any'];
 
-/** Faults of some kinds for a time; none if no kind is named. */
+/** Plans faults of the given kinds that start within the given number of milliseconds; none without a kind. */
 export function planNamedFaults(
   random: SeededRandom,
   milliseconds: number,
@@ -114,7 +114,7 @@
   const plan: PlannedNamedFault[] = [];
   let at = 0;
   for (;;) {
-    at += random.between(SHORTEST_GAP_MS, LONGEST_GAP_MS);
+    at += random.between(MIN_GAP_MS, MAX_GAP_MS);
     const kind = random.pick(kinds);
     if (at >= milliseconds || kind === undefined) return plan;
     plan.push({ at, fault: drawFault(random, kind) });
@@ -177,7 +177,7 @@
     case 'suspended':
       return {
         kind,
-        who: random.pick(SUSPENDED) ?? 'any',
+        who: random.pick(SUSPENDED_GATEWAYS) ?? 'any',
         milliseconds: random.between(1_000, 7_500),
         cutMs: random.chance(0.6) ? random.between(500, 2_500) : 0,
       };
@@ -185,6 +185,6 @@
 }
 
 function drawLimits(random: SeededRandom): number[] {
-  const count = Math.ceil(random.between(0, MOST_LIMITS));
-  return Array.from({ length: count }, () => random.pick(LIMITS) ?? 1);
+  const count = Math.ceil(random.between(0, MAX_LIMIT_COUNT));
+  return Array.from({ length: count }, () => random.pick(RATE_LIMITS) ?? 1);
 }
--- a/test/soak/series-fault-injector.ts
+++ b/test/soak/series-fault-injector.ts
@@ -1,4 +1,4 @@
-/** Brings series of signals, restarts and changes about in a running soak. */
+/** Injects series of signals, restarts and configuration changes into a running soak test. */
 import { sleep } from '../../src/common/process.js';
 import type { GatewayProcess } from './gateway-process.js';
 import type { SeededRandom } from './seeded-random.js';
@@ -8,9 +8,9 @@
 
 type FaultOf<Kind extends SeriesFault['kind']> = Extract<SeriesFault, { kind: Kind }>;
 
-/** Strikes gateways, with changes of the configuration between. */
+/** Injects faults into gateways, interleaved with configuration changes. */
 export class SeriesFaultInjector {
-  /** @param endsAt - Nothing begins later; Unix milliseconds. */
+  /** @param endsAt - No fault starts after this time, in Unix milliseconds. */
   constructor(
     private readonly system: SoakSystem,
     private readonly random: SeededRandom,
@@ -27,26 +27,26 @@
         this.stopInSeries(fault).catch(() => {});
         return void this.changeInSeries(fault);
       case 'counter_harmed':
-        return void this.harmCounters(fault);
+        return void this.disturbCounters(fault);
       case 'many_killed':
         return this.killMany(fault.share);
     }
   }
 
   private async signalWhileStopping(following: readonly FollowingSignal[]): Promise<void> {
-    const gateway = this.anyUndisturbed();
+    const gateway = this.pickUndisturbedGateway();
     if (gateway === undefined) return;
     const { pid } = gateway;
     gateway.stopInTurn();
     for (const { signal, gapMs } of following) {
       await sleep(gapMs);
-      // Its successor has not been asked to stop.
+      // A restarted process has another pid and must not receive the signals meant for the stopping one.
       if (gateway.pid === pid) gateway.signal(signal);
     }
   }
 
   private async signalWhileStarting(gapsMs: readonly number[]): Promise<void> {
-    const gateway = this.anyUndisturbed();
+    const gateway = this.pickUndisturbedGateway();
     if (gateway === undefined) return;
     const { pid } = gateway;
     gateway.kill();
@@ -58,24 +58,24 @@
   }
 
   private async stopInSeries({ stops, gapMs }: FaultOf<'stops_and_changes'>): Promise<void> {
-    for (let count = 0; count < stops && this.mayBegin(); count++) {
-      this.anyUndisturbed()?.stopInTurn();
+    for (let count = 0; count < stops && this.mayStartFault(); count++) {
+      this.pickUndisturbedGateway()?.stopInTurn();
       await sleep(gapMs);
     }
   }
 
   private async changeInSeries({ versions, gapMs }: FaultOf<'stops_and_changes'>): Promise<void> {
-    for (let count = 0; count < versions && this.mayBegin(); count++) {
+    for (let count = 0; count < versions && this.mayStartFault(); count++) {
       this.system.changeConfiguration();
       await sleep(gapMs);
     }
   }
 
-  private async harmCounters(fault: FaultOf<'counter_harmed'>): Promise<void> {
-    for (const harm of fault.harms) {
-      if (!this.mayBegin()) return;
-      const counter = this.counter();
-      if (counter !== undefined) harmGateway(counter, harm, fault.milliseconds);
+  private async disturbCounters(fault: FaultOf<'counter_harmed'>): Promise<void> {
+    for (const disturbance of fault.harms) {
+      if (!this.mayStartFault()) return;
+      const counter = this.currentCounter();
+      if (counter !== undefined) disturbGateway(counter, disturbance, fault.milliseconds);
       await sleep(fault.gapMs);
     }
   }
@@ -86,25 +86,29 @@
     this.system.changeConfiguration();
   }
 
-  /** The daemon that counts the limited tenant, as the undisturbed ones rank it, unless it is the last of them. */
-  private counter(): GatewayProcess | undefined {
+  /** Returns the counter of the limited tenant by the rank among undisturbed gateways, or undefined if only one is left. */
+  private currentCounter(): GatewayProcess | undefined {
     const gateways = undisturbedGateways(this.system);
     return gateways.length < 2 ? undefined : counterOf(gateways);
   }
 
-  /** Callers keep at least one gateway to go to. */
-  private anyUndisturbed(): GatewayProcess | undefined {
+  /** Returns undefined if no other undisturbed gateway would remain to serve callers. */
+  private pickUndisturbedGateway(): GatewayProcess | undefined {
     const gateways = undisturbedGateways(this.system);
     return gateways.length < 2 ? undefined : this.random.pick(gateways);
   }
 
-  private mayBegin(): boolean {
+  private mayStartFault(): boolean {
     return Date.now() < this.endsAt;
   }
 }
 
-function harmGateway(gateway: GatewayProcess, harm: CounterHarm, milliseconds: number): void {
-  switch (harm) {
+function disturbGateway(
+  gateway: GatewayProcess,
+  disturbance: CounterHarm,
+  milliseconds: number,
+): void {
+  switch (disturbance) {
     case 'cut_off':
       return gateway.cutOff(milliseconds);
     case 'frozen':
--- a/test/soak/series-fault-plan.ts
+++ b/test/soak/series-fault-plan.ts
@@ -1,49 +1,49 @@
 /**
- * Signals, restarts and changes that come in series and overlap, drawn from a generator of their own: what
- * earlier seeds draw stays the same. Pure.
+ * Plans overlapping series of signals, restarts and configuration changes. They use a separate generator, so that
+ * existing seeds still produce the same other faults. Pure functions.
  */
 import type { SeededRandom } from './seeded-random.js';
 
-/** What is done to the daemon that counts the limited tenant. */
+/** Kinds of disturbance of the gateway that counts the limited tenant. */
 export type CounterHarm = 'cut_off' | 'frozen' | 'killed' | 'stopped';
 
-/** Signals that follow a first one. */
+/** A signal that follows an earlier one. */
 export interface FollowingSignal {
   readonly signal: 'SIGTERM' | 'SIGHUP';
-  /** After the signal before it. */
+  /** Time since the previous signal. */
   readonly gapMs: number;
 }
 
-/** One fault. */
+/** A fault that consists of a series of events. */
 export type SeriesFault =
-  /** A gateway is asked to stop, and told more while it does. */
+  /** A gateway is signaled to stop, and receives further signals while it stops. */
   | { readonly kind: 'signals_at_stop'; readonly following: readonly FollowingSignal[] }
-  /** A gateway is killed, and told that its settings have changed while it starts again. */
+  /** A gateway is killed, and receives signals to reload its settings while it restarts. */
   | { readonly kind: 'signals_at_start'; readonly gapsMs: readonly number[] }
-  /** Gateways are stopped one after the other while new versions of the configuration come. */
+  /** Gateways are stopped one after the other while new configuration versions are published. */
   | {
       readonly kind: 'stops_and_changes';
       readonly stops: number;
       readonly versions: number;
       readonly gapMs: number;
     }
-  /** Whoever counts the limited tenant is harmed, and then who counts next. */
+  /** The gateway that counts the limited tenant is disturbed, and then its successor as counter. */
   | {
       readonly kind: 'counter_harmed';
       readonly harms: readonly CounterHarm[];
       readonly milliseconds: number;
       readonly gapMs: number;
     }
-  /** A share of the gateways is killed at the same moment, and a version comes while they start. */
+  /** A share of the gateways is killed at the same time, and a configuration version is published while they restart. */
   | { readonly kind: 'many_killed'; readonly share: number };
 
-/** A fault and its time after the start of the faults, in milliseconds. */
+/** A fault and its start time, in milliseconds after the start of the fault phase. */
 export interface PlannedSeriesFault {
   readonly at: number;
   readonly fault: SeriesFault;
 }
 
-/** All kinds. */
+/** All kinds of series. */
 export const SERIES_FAULT_KINDS: readonly SeriesFault['kind'][] = [
   'signals_at_stop',
   'signals_at_start',
@@ -52,13 +52,19 @@
   'many_killed',
 ];
 
-const HARMS: readonly CounterHarm[] = ['cut_off', 'cut_off', 'frozen', 'killed', 'stopped'];
-const SHORTEST_GAP_MS = 800;
-const LONGEST_GAP_MS = 4_500;
-/** A start of one process among many takes about as long. */
-const START_MS = 700;
+const COUNTER_DISTURBANCES: readonly CounterHarm[] = [
+  'cut_off',
+  'cut_off',
+  'frozen',
+  'killed',
+  'stopped',
+];
+const MIN_GAP_MS = 800;
+const MAX_GAP_MS = 4_500;
+/** Approximate start time of one gateway process while many others run. */
+const APPROXIMATE_START_MS = 700;
 
-/** Faults for a time; only of some kinds if these are named. */
+/** Plans faults that start within the given number of milliseconds; an empty `only` allows all kinds. */
 export function planSeriesFaults(
   random: SeededRandom,
   milliseconds: number,
@@ -68,7 +74,7 @@
   const kinds = only.length === 0 ? SERIES_FAULT_KINDS : only;
   let at = 0;
   for (;;) {
-    at += random.between(SHORTEST_GAP_MS, LONGEST_GAP_MS);
+    at += random.between(MIN_GAP_MS, MAX_GAP_MS);
     if (at >= milliseconds) return plan;
     plan.push({ at, fault: drawFault(random, random.pick(kinds) ?? 'many_killed') });
   }
@@ -77,17 +83,20 @@
 function drawFault(random: SeededRandom, kind: SeriesFault['kind']): SeriesFault {
   switch (kind) {
     case 'signals_at_stop': {
-      const following = several(random, 4, () => drawFollowing(random));
+      const following = drawSeveral(random, 4, () => drawFollowing(random));
       return { kind, following };
     }
     case 'signals_at_start':
-      return { kind, gapsMs: several(random, 3, () => random.between(0, START_MS)) };
+      return {
+        kind,
+        gapsMs: drawSeveral(random, 3, () => random.between(0, APPROXIMATE_START_MS)),
+      };
     case 'stops_and_changes': {
       const [stops, versions] = [1, 2].map(() => Math.ceil(random.between(1, 5)));
       return { kind, stops: stops ?? 1, versions: versions ?? 1, gapMs: random.between(80, 900) };
     }
     case 'counter_harmed': {
-      const harms = several(random, 2, () => random.pick(HARMS) ?? 'cut_off');
+      const harms = drawSeveral(random, 2, () => random.pick(COUNTER_DISTURBANCES) ?? 'cut_off');
       const gapMs = random.between(200, 2_500);
       return { kind, harms, milliseconds: random.between(800, 5_000), gapMs };
     }
@@ -101,8 +110,8 @@
   return { signal, gapMs: random.between(10, 900) };
 }
 
-/** One to `most` draws. */
-function several<Drawn>(random: SeededRandom, most: number, draw: () => Drawn): Drawn[] {
-  const count = Math.ceil(random.between(0, most));
+/** Returns between one and `maxCount` draws. */
+function drawSeveral<Drawn>(random: SeededRandom, maxCount: number, draw: () => Drawn): Drawn[] {
+  const count = Math.ceil(random.between(0, maxCount));
   return Array.from({ length: count }, draw);
 }
--- a/test/soak/soak-configuration.ts
+++ b/test/soak/soak-configuration.ts
@@ -1,21 +1,21 @@
-/** The operator's configuration of a soak, as the platform publishes it. */
+/** Builds the operator's configuration of a soak test in the format that the platform publishes. */
 import { HOST } from './caller.js';
 import { tenantsOf } from './soak-tenants.js';
 
-/** Versions whose own routes stand in a configuration: enough for a series of quick changes. */
-const ROUTES_KEPT = 8;
+/** Number of latest versions whose own routes a configuration keeps: enough for a series of quick changes. */
+const RETAINED_VERSION_ROUTES = 8;
 
-/** The version whose configuration has no route of an earlier version any more. */
+/** Returns the first version whose configuration no longer has the route of the given version. */
 export function droppedBy(version: number): number {
-  return version + ROUTES_KEPT;
+  return version + RETAINED_VERSION_ROUTES;
 }
 
-/** The newest version whose route a version's configuration has dropped; none if below 1. */
+/** Returns the newest version whose route the given version no longer has; below 1 if there is none. */
 export function newestDropped(version: number): number {
-  return version - ROUTES_KEPT;
+  return version - RETAINED_VERSION_ROUTES;
 }
 
-/** A configuration with routes of all kinds, and a plain route of its own for each of the last versions. */
+/** Builds a configuration with routes of all kinds, and a plain route for each of the latest versions. */
 export function configurationOf(
   version: number,
   modelNames: readonly string[],
--- a/test/soak/soak-ports.ts
+++ b/test/soak/soak-ports.ts
@@ -1,21 +1,21 @@
 /**
- * Loopback ports for gateways that start again and again. They lie below those that the system
- * gives to outgoing connections: one of these could take a port while its gateway is down.
+ * Finds loopback ports for gateways that restart repeatedly. The ports lie below the ephemeral range, because an
+ * outgoing connection could otherwise take a port while its gateway is down.
  */
 import dgram from 'node:dgram';
 import net from 'node:net';
 
 const LOWEST_PORT = 10_000;
-/** Linux gives out ports from 32,768 on (`ip_local_port_range`). */
-const PORTS = 20_000;
+/** Size of the port range. It ends below 32,768, where the ephemeral ports of Linux begin (`ip_local_port_range`). */
+const PORT_COUNT = 20_000;
 const HOST = '127.0.0.1';
 
-/** Finds ports that are free for TCP and UDP, from a random one on: other soaks may run beside. */
+/** Finds ports that are free for TCP and UDP. The search starts at a random port, as other soak tests may run in parallel. */
 export async function findSoakPorts(count: number): Promise<number[]> {
   const ports: number[] = [];
-  let offset = Math.floor(Math.random() * PORTS);
+  let offset = Math.floor(Math.random() * PORT_COUNT);
   while (ports.length < count) {
-    offset = (offset + 1) % PORTS;
+    offset = (offset + 1) % PORT_COUNT;
     const port = LOWEST_PORT + offset;
     if ((await isFreeForStreams(port)) && (await isFreeForDatagrams(port))) ports.push(port);
   }
--- a/test/soak/soak-system.ts
+++ b/test/soak/soak-system.ts
@@ -1,10 +1,10 @@
-/** The parts of a running soak that faults strike. */
+/** The parts of a running soak test that faults are injected into. */
 import type { StoreFault, TimeSpan } from './evidence.js';
 import type { GatewayProcess } from './gateway-process.js';
 import type { ObjectStoreStandIn } from './object-store-stand-in.js';
 import type { ReplicaStandIn } from './replica-stand-in.js';
 
-/** Gateways, stand-ins, and the record of what was done to them. */
+/** Gateways, stand-ins, and the record of faults injected into them. */
 export interface SoakSystem {
   readonly store: ObjectStoreStandIn;
   readonly replicas: readonly ReplicaStandIn[];
@@ -12,24 +12,24 @@
   readonly gateways: ReadonlyMap<string, GatewayProcess>;
   readonly storeFaults: StoreFault[];
   readonly replicaFaults: TimeSpan[];
-  /** The operator publishes the next version. */
+  /** Publishes the next configuration version as the operator. */
   changeConfiguration(): void;
 }
 
-/** Gateways that nothing is being done to. */
+/** Returns the gateways without a current disturbance. */
 export function undisturbedGateways({ gateways }: Pick<SoakSystem, 'gateways'>): GatewayProcess[] {
   const now = Date.now();
-  return [...gateways.values()].filter((each) => !each.wasDisturbed(now, now));
+  return [...gateways.values()].filter((gateway) => !gateway.wasDisturbed(now, now));
 }
 
-/** Replicas of each service that stay, so that callers can be served. */
-const STAYING = 1;
+/** Number of replicas of gateway service that must stay, so that callers can be served. */
+const MIN_REPLICAS_PER_SERVICE = 1;
 
-/** Sound replicas that may leave. */
+/** Returns the sound replicas that may leave. */
 export function spareReplicas({ replicas }: Pick<SoakSystem, 'replicas'>): ReplicaStandIn[] {
-  const staying = replicas.filter(({ isServing }) => isServing);
-  return staying.filter(({ service, condition }) => {
-    const others = staying.filter((other) => other.service === service).length - 1;
-    return condition === 'sound' && others >= STAYING;
+  const serving = replicas.filter(({ isServing }) => isServing);
+  return serving.filter(({ service, condition }) => {
+    const others = serving.filter((other) => other.service === service).length - 1;
+    return condition === 'sound' && others >= MIN_REPLICAS_PER_SERVICE;
   });
 }
--- a/test/soak/soak-tenants.ts
+++ b/test/soak/soak-tenants.ts
@@ -1,46 +1,48 @@
-/** Tenants of a soak: whose keys its callers have, which are taken away, and what may be asked for. */
+/** Tenants of a soak test: their API keys, key rotation and rate limits. */
 import type { SeededRandom } from './seeded-random.js';
 
-/** The one tenant with a limit. */
+/** The only tenant with a rate limit. */
 export const LIMITED_TENANT = 'limited';
-/** Tenants whose keys stay. */
+/** The tenant whose key stays valid. */
 export const STEADY_TENANT = 'steady';
-/** Each configuration gives this one a new key, and takes an old one away. */
+/** Each configuration version adds a key for this tenant and revokes its oldest key. */
 export const ROTATING_TENANT = 'rotating';
 
-/** The bounds that gateways are started with, and that the auditor holds them to. */
+/** Bounds that are set in the gateway settings and verified by the audit. */
 export const REVOCATION_MS = 3_000;
 export const LIMIT_WINDOW_MS = 4_000;
 export const LIMIT_EXCESS = 0.1;
 export const LIMIT_SLACK = 400;
 const LIMIT_PER_SECOND = 400;
 const LIMIT_BURST = 400;
-/** Units of each request of the limited tenant. */
+/** Units (tokens) that each request of the limited tenant costs. */
 export const UNITS = 100;
-/** Keys of the rotating tenant that are valid at a time. */
-const ROTATING_KEYS = 2;
-/** Keys that its callers still try. */
+/** Number of keys of the rotating tenant that are valid at the same time. */
+const VALID_ROTATING_KEYS = 2;
+/** Number of latest keys that callers of the rotating tenant try, including revoked ones. */
 const TRIED_KEYS = 4;
-/** The limited tenant asks for many times its limit by turns. */
+/** Length of the alternating periods in which the limited tenant sends far more, or less, than its limit allows. */
 const HOT_PERIOD_MS = 6_000;
-/** From the begin of one hot time to the next. */
+/** Time from the start of one hot period to the start of the next. */
 export const HOT_TURNS_MS = 2 * HOT_PERIOD_MS;
 
-/** A caller's tenant and key. */
+/** Tenant and API key of a caller. */
 export interface Caller {
   readonly tenant: string;
   readonly key: string;
 }
 
-/** Units of the limited tenant that may run in a window. */
+/** Returns the maximum number of units that the limited tenant may use in one window. */
 export function unitsAllowed(): number {
   const plain = (LIMIT_PER_SECOND * LIMIT_WINDOW_MS) / 1_000 + LIMIT_BURST;
   return plain * (1 + LIMIT_EXCESS) + LIMIT_SLACK;
 }
 
-/** Tenants of a version of the configuration, as the platform publishes them. */
+/** Returns the tenants of a configuration version in the format that the platform publishes. */
 export function tenantsOf(version: number): Record<string, unknown>[] {
-  const rotating = Array.from({ length: ROTATING_KEYS }, (_, back) => rotatingKey(version - back));
+  const rotating = Array.from({ length: VALID_ROTATING_KEYS }, (_, back) =>
+    rotatingKey(version - back),
+  );
   const limit = { unit: 'tokens', plainTokens: UNITS };
   return [
     { name: STEADY_TENANT, apiKeys: [`${STEADY_TENANT}-key`], priority: 1 },
@@ -55,18 +57,18 @@
   ];
 }
 
-/** The version whose configuration takes a key away; undefined if none does. */
+/** Returns the configuration version that revokes a key, or undefined if the key is never revoked. */
 export function removedBy({ tenant, key }: Caller): number | undefined {
   if (tenant !== ROTATING_TENANT) return undefined;
-  return Number(key.slice(ROTATING_TENANT.length + 1)) + ROTATING_KEYS;
+  return Number(key.slice(ROTATING_TENANT.length + 1)) + VALID_ROTATING_KEYS;
 }
 
-/** Whether the limited tenant asks for many times its limit at a time, in Unix milliseconds. */
+/** Returns whether the limited tenant is in a hot period, far above its limit, at a time in Unix milliseconds. */
 export function isHotByTurns(now: number): boolean {
   return Math.floor(now / HOT_PERIOD_MS) % 2 === 1;
 }
 
-/** Draws a caller. */
+/** Draws a random caller; `isHot` raises the share of the limited tenant. */
 export function drawCaller(random: SeededRandom, version: number, isHot: boolean): Caller {
   const draw = random.between(0, 1);
   if (draw < (isHot ? 0.5 : 0.08)) return { tenant: LIMITED_TENANT, key: `${LIMITED_TENANT}-key` };
--- a/test/soak/store-outage.ts
+++ b/test/soak/store-outage.ts
@@ -1,8 +1,8 @@
-/** Outages of a soak's store. */
+/** Simulates outages of the store in a soak test. */
 import type { StoreCondition } from './object-store-stand-in.js';
 import type { SoakSystem } from './soak-system.js';
 
-/** The store is not sound towards anybody for a time; nothing happens if it is unsound already. */
+/** Puts the store into a faulty condition for all clients for a time; returns at once if it is already faulty. */
 export async function strikeStore(
   { store, storeFaults }: Pick<SoakSystem, 'store' | 'storeFaults'>,
   condition: StoreCondition,
--- a/test/soak/suspended-clock.cjs
+++ b/test/soak/suspended-clock.cjs
@@ -1,23 +1,23 @@
 /**
- * Loaded before a gateway's program (`gateway-entry.cjs`): its steady clock does not count a time in which the process stood
- * still, as on a machine that was suspended. The time of day goes on.
+ * Loaded before a gateway's program (`gateway-entry.cjs`). Its monotonic clock excludes the time for which the process
+ * was stopped, as on a suspended machine. The wall clock continues.
  */
 
 const { performance } = require('node:perf_hooks');
 const { setInterval } = require('node:timers');
 
-/** A process that runs looks at its clock more often; a shorter standstill is the scheduler's. */
-const STANDSTILL_MS = 450;
-const LOOK_PERIOD_MS = 50;
+/** A running process reads its clock more often than this. Shorter gaps are scheduling delays, not suspensions. */
+const MIN_SUSPENSION_MS = 450;
+const CLOCK_POLL_INTERVAL_MS = 50;
 
-const steady = performance.now.bind(performance);
-let seenAt = steady();
-let stoodStillMs = 0;
+const originalNow = performance.now.bind(performance);
+let lastReadAt = originalNow();
+let suspendedMs = 0;
 
 performance.now = () => {
-  const now = steady();
-  if (now - seenAt > STANDSTILL_MS) stoodStillMs += now - seenAt;
-  seenAt = now;
-  return now - stoodStillMs;
+  const now = originalNow();
+  if (now - lastReadAt > MIN_SUSPENSION_MS) suspendedMs += now - lastReadAt;
+  lastReadAt = now;
+  return now - suspendedMs;
 };
-setInterval(() => performance.now(), LOOK_PERIOD_MS).unref();
+setInterval(() => performance.now(), CLOCK_POLL_INTERVAL_MS).unref();
