--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -1,4 +1,4 @@
-/** One soak: gateways as processes, stand-ins of everything else, faults drawn from a seed. */
+/** Runs one soak test: gateways as processes, stand-ins for everything else, and faults drawn from a seed. */
 import { appendFileSync, mkdirSync, rmSync } from 'node:fs';
 import path from 'node:path';
 import { sleep } from '../../src/common/process.js';
@@ -35,109 +35,109 @@
 import { SeededRandom } from './seeded-random.js';
 import { dutiesOf, metHotCounter, type StruckGateway } from './struck-gateways.js';
 
-/** Which kinds of faults are played: each has a generator of its own. */
+/** Groups of faults to inject. Each group has a separate random generator. */
 export type FaultKinds = 'first' | 'further' | 'both' | 'none';
 
-/** What to play. */
+/** Options of a soak test. */
 export interface SoakOptions {
   readonly seed: number;
-  /** Time in which faults begin. */
+  /** Length of the fault phase, in which faults start, in milliseconds. */
   readonly faultMs: number;
-  /** Folder for settings and logs. */
+  /** Folder for the settings and logs of the run. */
   readonly folder: string;
   readonly gateways?: number;
-  /** Two in three have models. */
+  /** Number of replicas; two thirds of them serve models. */
   readonly replicas?: number;
   readonly requestsPerSecond?: number;
-  /** Callers that keep a connection and use it until its gateway is gone; none by default. */
+  /** Number of callers that reuse a connection until its gateway closes it; none by default. */
   readonly keptCallers?: number;
-  /** Whether replicas refuse orders with too low an epoch; so by default. */
+  /** Whether replicas reject commands with a stale epoch; true by default. */
   readonly checksEpochs?: boolean;
   /**
-   * Whether gateways promise how soon a key that was taken away is served no more; so by default.
-   * Without it they confirm their configuration with nobody, and only watches tell of a new one.
+   * Whether gateways guarantee a maximum time until a revoked key is rejected; true by default.
+   * Without it, gateways do not confirm their configuration with each other, and learn of a new one only by watches.
    */
   readonly promisesRevocation?: boolean;
-  /** The first kinds by default. */
+  /** The basic kinds (`first`) by default. */
   readonly faultKinds?: FaultKinds;
-  /** Of the further kinds, only these, all by default; and kinds that are played only if they are named. */
+  /** Restricts the further kinds to these (all by default), and enables the opt-in kinds that are listed. */
   readonly only?: readonly (FurtherFault | NamedFault)['kind'][];
   /**
-   * Whether the limited tenant asks for many times its limit all the time; by turns by default, so that a fault
-   * meets a hot tenant in every second play only.
+   * Whether the limited tenant always sends far more than its limit allows. By default it alternates between hot and
+   * quiet periods, so that a fault coincides with a hot tenant in only about half of the runs.
    */
   readonly alwaysHot?: boolean;
-  /** Whether the seed also draws the gateways' ranks, and when the limited tenant is hot; not by default. */
+  /** Whether the seed also determines the ranks of the gateways and the hot periods of the limited tenant; false by default. */
   readonly drawsRanks?: boolean;
-  /** Whether replicas also leave in all ways that the platform allows; not by default. */
+  /** Whether replicas also leave in all ways that the platform allows; false by default. */
   readonly leaving?: boolean;
-  /** Kinds of series of signals, restarts and changes; none by default. */
+  /** Kinds of series of signals, restarts and configuration changes; none by default. */
   readonly series?: readonly SeriesFault['kind'][];
 }
 
-/** What came of it. */
+/** Result of a soak test. */
 export interface SoakResult {
   readonly violations: readonly Violation[];
-  /** What replicas saw and the faults around it excuse. */
+  /** Violations that replicas observed and that concurrent faults excuse. */
   readonly excused: readonly Violation[];
   readonly calls: number;
   readonly served: number;
   readonly faults: number;
   readonly loads: number;
   readonly storeCalls: number;
-  /** Faults that met the gateway that counts the limited tenant while that was hot. */
+  /** Number of faults that hit the counter of the limited tenant while the tenant was hot. */
   readonly hotCounterFaults: number;
   readonly limit: LimitMargin;
 }
 
 const MODELS = ['m1', 'm2', 'm3', 'm4', 'm5', 'm6', 'm7'];
 const REPLICAS = 6;
-/** The other replicas serve plain requests. */
-const SHARE_WITH_MODELS = 2 / 3;
-/** Added to a seed for the generator of the further faults. */
+/** Share of replicas that serve models. The others serve plain requests. */
+const MODEL_REPLICA_SHARE = 2 / 3;
+/** Offset added to the seed for the generator of further faults. */
 const FURTHER_SEED = 10_000;
-/** Added to a seed for the generator of departures of replicas. */
+/** Offset added to the seed for the generator of replica departures. */
 const LEAVING_SEED = 30_000;
-/** Added to a seed for the generator of series. */
+/** Offset added to the seed for the generator of fault series. */
 const SERIES_SEED = 40_000;
-/** Added to a seed for the generator of faults that are named. */
+/** Offset added to the seed for the generator of opt-in faults. */
 const NAMED_SEED = 50_000;
-/** Added to a seed for the generators of callers that keep connections. */
-const KEPT_CALLER_SEED = 20_000;
-/** Gateways that may join. */
-const MOST_JOINERS = 8;
-/** Added to a seed for the generator of ranks and of hot times. */
+/** Offset added to the seed for the generators of callers that reuse connections. */
+const PERSISTENT_CALLER_SEED = 20_000;
+/** Maximum number of gateways that join during a run. */
+const MAX_JOINERS = 8;
+/** Offset added to the seed for the generator of ranks and hot periods. */
 const RANK_SEED = 60_000;
-/** Eras in which the store may begin: 0 and 1, by the seed. */
-const FIRST_ERAS = 2;
-const KEPT_CALLER_PAUSE_MS = 300;
-/** Requests a second of each of them, rounded up. */
-const KEPT_CALLER_RATE = 3;
-const START_MS = 3_000;
-/** Named faults that also cut gateways off. */
+/** Number of eras in which the store may start: 0 or 1, depending on the seed. */
+const INITIAL_ERA_COUNT = 2;
+const PERSISTENT_CALLER_PAUSE_MS = 300;
+/** Approximate requests per second of each caller that reuses connections, rounded up. */
+const PERSISTENT_CALLER_RATE = 3;
+const STARTUP_MS = 3_000;
+/** Opt-in faults that also cut gateways off. */
 const CUTTING_KINDS: readonly NamedFault['kind'][] = [
   'backend_names_limit',
   'store_restored',
   'joined_during_cut',
 ];
-/** From the last fault's end until callers are served as before. */
+/** Time from the end of the last fault until callers must be served normally again. */
 const RECOVERY_MS = 9_000;
-const CALM_MS = 4_000;
-/** The entry sends new callers elsewhere so long after a stop was asked for. */
-const ENTRY_NOTICES_MS = 2_000;
+const CALM_PHASE_MS = 4_000;
+/** Time after a stop request until the load balancer routes new callers to other gateways. */
+const BALANCER_UPDATE_DELAY_MS = 2_000;
 const PROBE_PERIOD_MS = 250;
-const SHORTEST_PROBE_GAP_MS = 4;
-/** The newest versions whose routes are probed: a quick successor must not hide a late version. */
+const MIN_PROBE_GAP_MS = 4;
+/** Number of newest versions whose routes are probed, so that a quick successor does not hide a version that arrives late. */
 const PROBED_VERSIONS = 4;
 
-/** Plays one soak to its end. */
+/** Runs one soak test to completion. */
 export async function runSoak(options: SoakOptions): Promise<SoakResult> {
   const soak = new SoakRun(options);
   return soak.play();
 }
 
-/** What happens that is no fault. */
-type SoakNote =
+/** A logged event that is not a fault. */
+type SoakEvent =
   | { readonly kind: 'configuration_accepted'; readonly version: number }
   | { readonly kind: 'gateway_joined'; readonly gateway: string };
 
@@ -149,7 +149,7 @@
   private readonly log = new RunLog();
   readonly replicas: ReplicaStandIn[] = [];
   readonly gateways = new Map<string, GatewayProcess>();
-  /** Those that have not joined yet. */
+  /** Gateways that have not joined yet. */
   private readonly joiners: GatewayProcess[] = [];
   private readonly calls: CallRecord[] = [];
   private readonly probes: ConfigurationProbe[] = [];
@@ -157,8 +157,8 @@
   readonly storeFaults: StoreFault[] = [];
   readonly replicaFaults: TimeSpan[] = [];
   private readonly accepted = new Map<number, number>();
-  private begun = 0;
-  /** Where in its turns the limited tenant is when the faults begin, if the seed draws that. */
+  private faultsStartAt = 0;
+  /** Position in the hot cycle of the limited tenant at the start of the faults, used if the seed draws it. */
   private readonly hotPhaseMs: number;
   private hotCounterFaults = 0;
   private version = 0;
@@ -168,20 +168,20 @@
   constructor(private readonly options: SoakOptions) {
     this.random = new SeededRandom(options.seed);
     this.hotPhaseMs = new SeededRandom(options.seed + RANK_SEED).between(0, HOT_TURNS_MS);
-    const firstEra = options.seed % FIRST_ERAS;
+    const firstEra = options.seed % INITIAL_ERA_COUNT;
     this.store = new ObjectStoreStandIn(new SeededRandom(options.seed + 1), firstEra);
   }
 
   async play(): Promise<SoakResult> {
     await this.start();
-    const begun = Date.now() + START_MS;
-    this.begun = begun;
+    const faultsStart = Date.now() + STARTUP_MS;
+    this.faultsStartAt = faultsStart;
     const { faultMs, leaving = false } = this.options;
-    const calmSince = begun + faultMs + RECOVERY_MS + (leaving ? LONGEST_SERVICE_MS : 0);
-    this.endsAt = calmSince + CALM_MS;
-    const faults = this.planAll(begun);
-    await sleep(START_MS);
-    await Promise.all([this.sendRequests(), this.sendOnKeptConnections(), this.sendProbes()]);
+    const calmSince = faultsStart + faultMs + RECOVERY_MS + (leaving ? LONGEST_SERVICE_MS : 0);
+    this.endsAt = calmSince + CALM_PHASE_MS;
+    const faults = this.planAll(faultsStart);
+    await sleep(STARTUP_MS);
+    await Promise.all([this.sendRequests(), this.runPersistentCallers(), this.sendProbes()]);
     await Promise.all(this.pending);
     const evidence: SoakEvidence = {
       calls: this.calls,
@@ -220,81 +220,81 @@
     };
   }
 
-  /** The number of faults. */
-  private planAll(begun: number): number {
+  /** Schedules the faults and returns their number. */
+  private planAll(faultsStart: number): number {
     return (
-      this.planFirst(begun) +
-      this.planFurther(begun) +
-      this.planLeaving(begun) +
-      this.planNamed(begun) +
-      this.planSeries(begun)
+      this.planFirst(faultsStart) +
+      this.planFurther(faultsStart) +
+      this.planLeaving(faultsStart) +
+      this.planNamed(faultsStart) +
+      this.planSeries(faultsStart)
     );
   }
 
-  /** The number of faults. */
-  private planFirst(begun: number): number {
+  /** Schedules the faults and returns their number. */
+  private planFirst(faultsStart: number): number {
     const { faultMs, faultKinds = 'first' } = this.options;
     if (faultKinds === 'further' || faultKinds === 'none') return 0;
     const faults = new FaultInjector(this, this.random);
     const plan = planFaults(this.random, faultMs);
-    return this.schedule(plan, begun, (fault) => faults.strike(fault));
+    return this.schedule(plan, faultsStart, (fault) => faults.strike(fault));
   }
 
-  /** The number of faults. */
-  private planFurther(begun: number): number {
+  /** Schedules the faults and returns their number. */
+  private planFurther(faultsStart: number): number {
     const { seed, faultMs, faultKinds = 'first', only } = this.options;
     if (faultKinds === 'first' || faultKinds === 'none') return 0;
     const random = new SeededRandom(seed + FURTHER_SEED);
-    const faults = new FurtherFaultInjector(this, random, begun + faultMs);
+    const faults = new FurtherFaultInjector(this, random, faultsStart + faultMs);
     const kinds = FURTHER_FAULT_KINDS.filter((kind) => only?.includes(kind));
     const plan = planFurtherFaults(random, faultMs, kinds);
-    return this.schedule(plan, begun, (fault) => faults.strike(fault));
+    return this.schedule(plan, faultsStart, (fault) => faults.strike(fault));
   }
 
-  /** The number of departures. */
-  private planLeaving(begun: number): number {
+  /** Schedules the departures and returns their number. */
+  private planLeaving(faultsStart: number): number {
     const { seed, faultMs, leaving = false } = this.options;
     if (!leaving) return 0;
     const random = new SeededRandom(seed + LEAVING_SEED);
     const faults = new LeavingFaultInjector(this, random);
     const plan = planLeavingFaults(random, faultMs);
-    return this.schedule(plan, begun, (fault) => faults.strike(fault));
+    return this.schedule(plan, faultsStart, (fault) => faults.strike(fault));
   }
 
   private get namedKinds(): NamedFault['kind'][] {
     return NAMED_FAULT_KINDS.filter((kind) => this.options.only?.includes(kind));
   }
 
-  /** The number of faults. */
-  private planNamed(begun: number): number {
+  /** Schedules the faults and returns their number. */
+  private planNamed(faultsStart: number): number {
     const { seed, faultMs } = this.options;
     const random = new SeededRandom(seed + NAMED_SEED);
-    const faults = new NamedFaultInjector(this, random, begun + faultMs);
+    const faults = new NamedFaultInjector(this, random, faultsStart + faultMs);
     const plan = planNamedFaults(random, faultMs, this.namedKinds);
-    return this.schedule(plan, begun, (fault) => faults.strike(fault));
+    return this.schedule(plan, faultsStart, (fault) => faults.strike(fault));
   }
 
-  /** The number of series. */
-  private planSeries(begun: number): number {
+  /** Schedules the series and returns their number. */
+  private planSeries(faultsStart: number): number {
     const { seed, faultMs, series = [] } = this.options;
     if (series.length === 0) return 0;
     const random = new SeededRandom(seed + SERIES_SEED);
-    const faults = new SeriesFaultInjector(this, random, begun + faultMs);
+    const faults = new SeriesFaultInjector(this, random, faultsStart + faultMs);
     const plan = planSeriesFaults(random, faultMs, series);
-    return this.schedule(plan, begun, (fault) => faults.strike(fault));
+    return this.schedule(plan, faultsStart, (fault) => faults.strike(fault));
   }
 
   private schedule<Kind extends SoakFault>(
     plan: readonly { readonly at: number; readonly fault: Kind }[],
-    begun: number,
-    strike: (fault: Kind) => void,
+    faultsStart: number,
+    inject: (fault: Kind) => void,
   ): number {
     for (const { at, fault } of plan) {
-      const begin = (): void => {
-        this.note(fault);
-        strike(fault);
+      const startFault = (): void => {
+        this.logEvent(fault);
+        inject(fault);
       };
-      setTimeout(begin, begun + at - Date.now());
+      setTimeout(startFault, faultsStart + at - Date.now());
     }
     return plan.length;
   }
@@ -312,12 +312,12 @@
     await this.makeGateways(gateways);
   }
 
-  /** Starts the gateways, and makes those that may join. */
+  /** Starts the initial gateways, and prepares those that may join later. */
   private async makeGateways(count: number): Promise<void> {
-    const joiners = this.namedKinds.includes('joined_during_cut') ? MOST_JOINERS : 0;
+    const joiners = this.namedKinds.includes('joined_during_cut') ? MAX_JOINERS : 0;
     const all = count + joiners;
     const ports = await findSoakPorts(all * 3);
-    const peerPorts = [...this.orderOf(ports.slice(0, count)), ...ports.slice(count, all)];
+    const peerPorts = [...this.orderPeerPorts(ports.slice(0, count)), ...ports.slice(count, all)];
     for (const [index, peers] of peerPorts.entries()) {
       const [callers = 0, readiness = 0] = ports.slice(all + 2 * index);
       const where = { peers, callers, readiness, metrics: 0 };
@@ -346,40 +346,40 @@
       ...(checksEpochs === undefined ? {} : { backendsCheckEpochs: checksEpochs }),
       ...(this.hasCuts ? { silencedPorts: peerPorts } : {}),
       isSuspendable: this.namedKinds.includes('suspended'),
-      onStruck: (kind, milliseconds) => this.noteStruck(name, kind, milliseconds),
+      onStruck: (kind, milliseconds) => this.recordGatewayFault(name, kind, milliseconds),
     });
   }
 
-  /** Whether some fault may cut gateways off, or make their connections go silent. */
+  /** Whether a planned fault may cut gateways off or make their connections silent. */
   private get hasCuts(): boolean {
     const { faultKinds = 'first', leaving = false, series = [] } = this.options;
-    const cutsSome = this.namedKinds.some((kind) => CUTTING_KINDS.includes(kind));
+    const hasCuttingKind = this.namedKinds.some((kind) => CUTTING_KINDS.includes(kind));
     const hasFurther = faultKinds === 'further' || faultKinds === 'both';
-    return hasFurther || leaving || cutsSome || series.length > 0;
+    return hasFurther || leaving || hasCuttingKind || series.length > 0;
   }
 
   joinGateway(): void {
     const process = this.joiners.shift();
     if (process === undefined) return;
-    this.note({ kind: 'gateway_joined', gateway: process.name });
+    this.logEvent({ kind: 'gateway_joined', gateway: process.name });
     this.gateways.set(process.name, process);
     process.startLate();
   }
 
-  /** Ports of the gateways in their order. */
-  private orderOf(ports: readonly number[]): number[] {
+  /** Returns the peer ports in gateway order; if the seed draws ranks, in an order drawn from it. */
+  private orderPeerPorts(ports: readonly number[]): number[] {
     if (this.options.drawsRanks !== true) return [...ports];
     const random = new SeededRandom(this.options.seed + RANK_SEED);
-    const left = portsByCountRank(ports);
+    const remaining = portsByCountRank(ports);
     return ports.map(() => {
-      const [port = 0] = left.splice(Math.floor(random.between(0, left.length)), 1);
+      const [port = 0] = remaining.splice(Math.floor(random.between(0, remaining.length)), 1);
       return port;
     });
   }
 
   private makeReplica(index: number): ReplicaStandIn {
     const { seed, checksEpochs = true, replicas = REPLICAS } = this.options;
-    const hasModels = index < Math.round(replicas * SHARE_WITH_MODELS);
+    const hasModels = index < Math.round(replicas * MODEL_REPLICA_SHARE);
     const first = index % (MODELS.length - MODELS_THAT_FIT + 1);
     const models = hasModels ? MODELS.slice(first, first + MODELS_THAT_FIT) : [];
     return new ReplicaStandIn({
@@ -409,27 +409,31 @@
     return found;
   }
 
-  private noteStruck(gateway: string, struck: StruckGateway['struck'], milliseconds: number): void {
+  private recordGatewayFault(
+    gateway: string,
+    struck: StruckGateway['struck'],
+    milliseconds: number,
+  ): void {
     const duties = dutiesOf(this, gateway, Date.now());
-    const seen = { gateway, struck, milliseconds, duties, isHot: this.isHot() };
-    if (metHotCounter(seen)) this.hotCounterFaults += 1;
-    this.note(seen);
+    const gatewayFault = { gateway, struck, milliseconds, duties, isHot: this.isHot() };
+    if (metHotCounter(gatewayFault)) this.hotCounterFaults += 1;
+    this.logEvent(gatewayFault);
   }
 
-  /** Writes what happens beside the gateways' logs, to be read with them. */
-  private note(happened: SoakFault | StruckGateway | SoakNote): void {
-    const line = `${new Date().toISOString()} ${JSON.stringify(happened)}\n`;
+  /** Appends an event to `faults.log`, next to the logs of the gateways. */
+  private logEvent(event: SoakFault | StruckGateway | SoakEvent): void {
+    const line = `${new Date().toISOString()} ${JSON.stringify(event)}\n`;
     appendFileSync(path.join(this.options.folder, 'faults.log'), line);
   }
 
   changeConfiguration(): void {
     this.version += 1;
-    this.note({ kind: 'configuration_accepted', version: this.version });
+    this.logEvent({ kind: 'configuration_accepted', version: this.version });
     this.store.put('config', 'main', configurationOf(this.version, MODELS));
     this.accepted.set(this.version, Date.now());
   }
 
-  /** The same path, caller and body each time; only the attempt has another name. */
+  /** Sends the request with the same path, caller and body each time; only the attempt id differs. */
   sendPoison(name: string, backMs: number): void {
     this.sequence += 1;
     const attemptId = `a${this.options.seed}-${this.sequence}`;
@@ -441,32 +445,32 @@
 
   private async sendRequests(): Promise<void> {
     const { requestsPerSecond = 30, keptCallers = 0 } = this.options;
-    // The others are part of the callers: all together must leave the replicas room to recover.
-    const rate = Math.max(1, requestsPerSecond - keptCallers * KEPT_CALLER_RATE);
+    // Callers that reuse connections count toward the total rate, which must leave the replicas capacity to recover.
+    const rate = Math.max(1, requestsPerSecond - keptCallers * PERSISTENT_CALLER_RATE);
     while (Date.now() < this.endsAt) {
       this.send(this.drawRequest(this.random));
       await sleep(this.random.between(0.3, 1.7) * (1_000 / rate));
     }
   }
 
-  private async sendOnKeptConnections(): Promise<void> {
+  private async runPersistentCallers(): Promise<void> {
     const { seed, keptCallers = 0 } = this.options;
     const callers = Array.from({ length: keptCallers }, (_, index) => {
-      return this.keepConnections(new SeededRandom(seed + KEPT_CALLER_SEED + index));
+      return this.runPersistentCaller(new SeededRandom(seed + PERSISTENT_CALLER_SEED + index));
     });
     await Promise.all(callers);
   }
 
-  /** One caller that keeps to its gateway, also through a stop, until the connection ends. */
-  private async keepConnections(random: SeededRandom): Promise<void> {
+  /** Runs one caller that stays with its gateway, also while the gateway stops, until the connection ends. */
+  private async runPersistentCaller(random: SeededRandom): Promise<void> {
     while (Date.now() < this.endsAt) {
-      const gateway = random.pick(this.openGateways());
-      await sleep(random.between(20, KEPT_CALLER_PAUSE_MS));
+      const gateway = random.pick(this.routableGateways());
+      await sleep(random.between(20, PERSISTENT_CALLER_PAUSE_MS));
       if (gateway === undefined) continue;
       const connection = new KeptConnection(gateway.name, gateway.callers);
       do {
         this.calls.push(await connection.send(this.drawRequest(random)));
-        await sleep(random.between(0, KEPT_CALLER_PAUSE_MS));
+        await sleep(random.between(0, PERSISTENT_CALLER_PAUSE_MS));
       } while (connection.isOpen && Date.now() < this.endsAt);
       connection.close();
     }
@@ -476,8 +480,8 @@
     while (Date.now() < this.endsAt) {
       const versions = this.probedVersions();
       const probes = versions.length * this.gateways.size;
-      // At once they would take all places of the replicas from the callers.
-      const gapMs = Math.max(SHORTEST_PROBE_GAP_MS, PROBE_PERIOD_MS / probes);
+      // Simultaneous probes would occupy all slots of the replicas.
+      const gapMs = Math.max(MIN_PROBE_GAP_MS, PROBE_PERIOD_MS / probes);
       for (const version of versions) {
         for (const name of this.gateways.keys()) {
           this.probe(name, version);
@@ -487,7 +491,7 @@
     }
   }
 
-  /** The newest versions, and the newest one whose route is gone. */
+  /** Returns the newest versions, and the newest version whose route was dropped. */
   private probedVersions(): number[] {
     const newest = Array.from({ length: PROBED_VERSIONS }, (_, back) => this.version - back);
     return [...newest, newestDropped(this.version)].filter((version) => version > 0);
@@ -502,15 +506,15 @@
       {},
       1_000,
     );
-    const done = call(request, gateway, this.gateway(gateway).callers).then((seen) => {
-      this.probes.push({ call: seen, version });
+    const done = call(request, gateway, this.gateway(gateway).callers).then((record) => {
+      this.probes.push({ call: record, version });
     });
     this.track(done);
   }
 
   private drawRequest(random: SeededRandom): SoakRequest {
     const events = Math.ceil(random.between(1, 60));
-    // The busy models change with time.
+    // The most requested model changes every 8 s.
     const hot = Math.floor((Date.now() / 8_000) % MODELS.length);
     const model = random.chance(0.6) ? MODELS[hot] : random.pick(MODELS);
     const draw = random.between(0, 1);
@@ -545,24 +549,24 @@
     const { alwaysHot = false, drawsRanks = false } = this.options;
     if (alwaysHot) return true;
     if (!drawsRanks) return isHotByTurns(Date.now());
-    return isHotByTurns(Date.now() - this.begun + this.hotPhaseMs);
+    return isHotByTurns(Date.now() - this.faultsStartAt + this.hotPhaseMs);
   }
 
-  /** Gateways that the entry sends new callers to. */
-  private openGateways(): GatewayProcess[] {
+  /** Returns the gateways to which the load balancer routes new callers. */
+  private routableGateways(): GatewayProcess[] {
     const now = Date.now();
     return [...this.gateways.values()].filter((each) => {
       const stoppedAt = each.stopDuring(now, now);
-      return stoppedAt === undefined || now - stoppedAt < ENTRY_NOTICES_MS;
+      return stoppedAt === undefined || now - stoppedAt < BALANCER_UPDATE_DELAY_MS;
     });
   }
 
   private send(request: SoakRequest): void {
-    const gateway = this.random.pick(this.openGateways());
+    const gateway = this.random.pick(this.routableGateways());
     if (gateway === undefined) return;
     this.track(
-      call(request, gateway.name, gateway.callers).then((seen) => {
-        this.calls.push(seen);
+      call(request, gateway.name, gateway.callers).then((record) => {
+        this.calls.push(record);
       }),
     );
   }
@@ -573,7 +577,7 @@
   }
 }
 
-/** The folder of one soak's settings and logs. */
+/** Returns the folder for the settings and logs of one soak test. */
 export function soakFolder(seed: number): string {
   return path.join('results', `soak-${seed}`);
 }
--- a/test/soak/soak.test.ts
+++ b/test/soak/soak.test.ts
@@ -5,38 +5,41 @@
 
 const SEED = 21;
 const FAULT_MS = 10_000;
-/** Draws stops of the owner and connections that go silent. */
+/** Produces stops of the owner and connections that become silent. */
 const FURTHER_SEED = 50;
 const FURTHER_FAULT_MS = 12_000;
-/** Draws 24 faults that overlap: signals during stops, stops with changes, restarts of many at once. */
+/** Produces 24 overlapping faults: signals during stops, stops with configuration changes, simultaneous restarts. */
 const SERIES_SEED = 30_100;
 const SERIES_FAULT_MS = 20_000;
-/** Draws replicas that leave while a gateway is cut off, and a withdrawal just after its return. */
+/** Produces replicas that leave while a gateway is cut off, and a withdrawal just after its reconnection. */
 const LEAVING_SEED = 9_605;
 const LEAVING_FAULT_MS = 40_000;
 /**
- * Harms the daemon that counts a tenant's limit seven times, and those that count after it. Without a lease two
- * daemons counted for up to 2.9 s, and 2,800 of 2,600 units ran in a window.
+ * Disturbs the daemon that counts a tenant's limit, and its successors, seven times. Without a lease, two daemons
+ * counted at the same time for up to 2.9 s, and 2,800 units ran in a window that allows 2,600.
  */
 const COUNTER_SEED = 20_012;
 const COUNTER_FAULT_MS = 25_000;
 
-/** Harms the daemon that counts a hot tenant 13 times. Without a lease 2,700 of 2,600 units ran in a window. */
+/** Disturbs the daemon that counts a hot tenant 13 times. Without a lease, 2,700 units ran in a window that allows 2,600. */
 const HOT_COUNTER_SEED = 1_501;
 const HOT_COUNTER_FAULT_MS = 30_000;
-/** So many faults must have met it: else the run says nothing. */
-const LEAST_HOT_COUNTER_FAULTS = 5;
+/** Minimum number of faults that must hit the counter of the hot tenant for the run to be meaningful. */
+const MIN_HOT_COUNTER_FAULTS = 5;
 
-/** Draws requests that crash replicas, replicas that leave or ask for rest in answers, and suspended gateways, several of each. */
+/**
+ * Produces several of each: requests that crash replicas, replicas that announce their departure or request a
+ * backoff in responses, and suspended gateways.
+ */
 const NAMED_SEED = 53_001;
 const NAMED_FAULT_MS = 40_000;
-const TOLD_FAULT_KINDS: readonly NamedFault['kind'][] = [
+const RESPONSE_FAULT_KINDS: readonly NamedFault['kind'][] = [
   'poison_request',
   'answers_tell_leaving',
   'backend_asks_rest',
   'suspended',
 ];
-/** Draws replicas that name limits, gateways that are cut off, and stores that come back from copies. */
+/** Produces replicas that announce rate limits, gateways that are cut off, and stores that are restored from backups. */
 const RESTORED_SEED = 62_101;
 const RESTORED_FAULT_MS = 30_000;
 
@@ -97,7 +100,7 @@
       promisesRevocation: false,
     });
     expect(result.violations).toEqual([]);
-    expect(result.hotCounterFaults).toBeGreaterThanOrEqual(LEAST_HOT_COUNTER_FAULTS);
+    expect(result.hotCounterFaults).toBeGreaterThanOrEqual(MIN_HOT_COUNTER_FAULTS);
   });
 
   it('break no promise in series of signals, restarts and changes that overlap', async () => {
@@ -119,7 +122,7 @@
       faultMs: NAMED_FAULT_MS,
       folder: soakFolder(NAMED_SEED),
       faultKinds: 'none',
-      only: TOLD_FAULT_KINDS,
+      only: RESPONSE_FAULT_KINDS,
       keptCallers: 4,
       replicas: 8,
       checksEpochs: false,
