--- a/test/summary-reporter.ts
+++ b/test/summary-reporter.ts
@@ -17,7 +17,7 @@
     reason: TestRunEndReason,
   ): void {
     const counts = { passed: 0, failed: 0, skipped: 0 };
-    const failures = errors.map((error) => `error outside of any test: ${error.message}`);
+    const failures = errors.map((error) => `outside of a test: ${error.message}`);
     if (reason === 'interrupted') failures.push('the run was interrupted');
     for (const module of modules) {
       const tests = [...module.children.allTests()];
