--- a/src/chaos/scenarios.ts
+++ b/src/chaos/scenarios.ts
@@ -141,7 +141,9 @@
 
 async function operatorsRace(context: ChaosContext): Promise<void> {
   for (let round = 0; round < 5; round++) {
-    await Promise.all(context.cluster.daemons.slice(0, 3).map((daemon) => context.applyChange(daemon)));
+    await Promise.all(
+      context.cluster.daemons.slice(0, 3).map((daemon) => context.applyChange(daemon)),
+    );
     await sleep(300);
   }
 }
--- a/src/core/pool-owner.ts
+++ b/src/core/pool-owner.ts
@@ -8,12 +8,7 @@
  * the engine confirms the unload, and an engine that has not answered the seal
  * counts as holding a replica of every tenant.
  */
-import type {
-  EngineOrder,
-  OrderReply,
-  OrderFence,
-  ReplicaSpec,
-} from '../engines/engine-client.js';
+import type { EngineOrder, OrderReply, OrderFence, ReplicaSpec } from '../engines/engine-client.js';
 import { priorityNumber, type TenantSpec } from './documents.js';
 import { TenantDemand } from './tenant-demand.js';
 import { EngineLedger, type CountedReplica } from './engine-ledger.js';
@@ -209,12 +204,7 @@
     );
   }
 
-  private orderAnswered(
-    address: string,
-    fence: OrderFence,
-    answer: OrderReply,
-    now: number,
-  ): void {
+  private orderAnswered(address: string, fence: OrderFence, answer: OrderReply, now: number): void {
     const engine = this.engines.get(address);
     if (engine === undefined || fence.incarnation !== engine.incarnation) return;
     if (answer.accepted) {
--- a/src/daemon/caller-exchange.ts
+++ b/src/daemon/caller-exchange.ts
@@ -64,7 +64,8 @@
     }
     this.startStream();
     this.writeEvent(this.chunk({}, finishReason));
-    if (this.responseOptions.includeUsage) this.writeEvent({ ...this.frame([]), usage: this.usage() });
+    if (this.responseOptions.includeUsage)
+      this.writeEvent({ ...this.frame([]), usage: this.usage() });
     this.response.end('data: [DONE]\n\n');
   }
 
--- a/src/daemon/daemon-http-server.ts
+++ b/src/daemon/daemon-http-server.ts
@@ -19,7 +19,7 @@
   readonly port: number;
   readonly logger: Logger;
   readonly metrics: DaemonMetrics;
-  readonly callers: CallerApi;
+  readonly callerApi: CallerApi;
   readonly adminApi: AdminApi;
   /** Returns the error to refuse requests with; undefined if the daemon is ready. */
   readonly notReadyError: () => ServiceError | undefined;
@@ -70,8 +70,9 @@
 
   private async route(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     const path = (request.url ?? '/').split('?')[0] ?? '/';
-    if (this.options.notReadyError()?.kind === 'draining') response.setHeader('connection', 'close');
-    if (path.startsWith('/v1/')) return this.options.callers.handle(path, request, response);
+    if (this.options.notReadyError()?.kind === 'draining')
+      response.setHeader('connection', 'close');
+    if (path.startsWith('/v1/')) return this.options.callerApi.handle(path, request, response);
     if (path.startsWith('/admin/v1/')) {
       return this.options.adminApi.handle(path, request, response);
     }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -127,7 +127,7 @@
     );
     const { directory, membership, metrics } = this;
     const listed = (): Machine[] => this.listedDaemons();
-    this.keyClaims = new KeyClaims({ clock, membership, listed, send });
+    this.keyClaims = new KeyClaims({ clock, membership, listedDaemons: listed, send });
     const mayWrite = (): boolean =>
       this.configuration.isCurrent() && reachesHalf(membership.live(), listed());
     this.quotas = new QuotaReconciler({ self, membership, platform, directory, logger, mayWrite });
@@ -149,7 +149,7 @@
       platform,
       engines,
       directory,
-      listed,
+      listedDaemons: listed,
       configurationRevision: () => this.configuration.configuration.state.revision,
       startOwner: (record) => this.startOwner(record),
     });
@@ -256,7 +256,7 @@
       port: settings.callerPort,
       logger: dependencies.logger,
       metrics: this.metrics,
-      callers: new CallerApi({
+      callerApi: new CallerApi({
         clock,
         directory,
         requests: this.requests,
--- a/src/daemon/key-claims.ts
+++ b/src/daemon/key-claims.ts
@@ -64,7 +64,7 @@
    * live members: the live members differ on the two sides of a network partition, and
    * each side would reach its own quorum.
    */
-  readonly listed: () => readonly DutyMember[];
+  readonly listedDaemons: () => readonly DutyMember[];
   readonly send: (to: string, body: PeerBody) => void;
 }
 
@@ -87,7 +87,7 @@
 
   /** Claims a key for a request; resolves within {@link ROUND_TIMEOUT_MS}. */
   claim(tenant: string, key: string, request: string): Promise<SettledClaim> {
-    const voters = votersOf(tenant, key, this.options.listed(), CLAIM_VOTERS);
+    const voters = votersOf(tenant, key, this.options.listedDaemons(), CLAIM_VOTERS);
     this.voters.set(request, voters);
     return new Promise((resolve) => {
       const timer = setTimeout(() => settle('unavailable'), ROUND_TIMEOUT_MS);
@@ -201,7 +201,7 @@
     if (message.token !== this.pullToken || message.young) return;
     this.pulledFrom.add(from);
     const others = this.otherMembers();
-    const isMajority = this.pulledFrom.size + 1 > this.options.listed().length / 2;
+    const isMajority = this.pulledFrom.size + 1 > this.options.listedDaemons().length / 2;
     const hasAll = others.every((address) => this.pulledFrom.has(address));
     if (isMajority && hasAll) this.table.markComplete();
   }
@@ -242,7 +242,7 @@
   /** Sends this daemon's claims to the daemons that vote on their keys once it has left. */
   transferClaims(): void {
     const self = this.options.membership.ownView.address;
-    const remaining = this.options.listed().filter((member) => member.address !== self);
+    const remaining = this.options.listedDaemons().filter((member) => member.address !== self);
     const byVoter = new Map<string, KeyClaim[]>();
     for (const claim of this.table.all()) {
       for (const voter of votersOf(claim.tenant, claim.key, remaining, CLAIM_VOTERS)) {
--- a/src/daemon/pool-claims.ts
+++ b/src/daemon/pool-claims.ts
@@ -33,7 +33,7 @@
   readonly engines: EngineClient;
   readonly directory: Directory;
   /** The daemons in the platform's list. */
-  readonly listed: () => readonly DutyMember[];
+  readonly listedDaemons: () => readonly DutyMember[];
   /** Current revision of the configuration. */
   readonly configurationRevision: () => number;
   /** Starts an owner process for a pool record that names this daemon as owner. */
@@ -97,7 +97,7 @@
     if ((this.retryAt.get(pool.pool) ?? 0) > clock.now()) return false;
     const live = membership.live();
     if (preferredOwner(pool, live) !== self) return false;
-    if (!reachesHalfOfSite(pool, live, this.options.listed())) return false;
+    if (!reachesHalfOfSite(pool, live, this.options.listedDaemons())) return false;
     const owner = directory.pool(pool.pool)?.owner ?? '';
     return owner === '' || owner === self || !membership.isLive(owner);
   }
--- a/src/diagnosis/loss-report.ts
+++ b/src/diagnosis/loss-report.ts
@@ -159,7 +159,9 @@
   else known.push(value);
 }
 
-function percentilesByKey(values: ReadonlyMap<string, readonly number[]>): Map<string, Percentiles> {
+function percentilesByKey(
+  values: ReadonlyMap<string, readonly number[]>,
+): Map<string, Percentiles> {
   return new Map([...values].map(([key, list]) => [key, percentilesOf(list)]));
 }
 
--- a/src/gateway/backend-permits.ts
+++ b/src/gateway/backend-permits.ts
@@ -56,7 +56,7 @@
 
   /** Applies the decision. Returns false if the request no longer waits for it; a granted permit is then returned. */
   settle(decision: LimitDecision): boolean {
-    const { isWanted: isPending } = this;
+    const { isPending } = this;
     const isGranted = decision.type === 'granted';
     if (isPending) this.state = isGranted ? 'granted' : 'done';
     else if (isGranted) this.limits.giveBack(this.name, 1);
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -350,7 +350,8 @@
       send: (to, body) => peers.send(to, body),
       broadcast: (body) => peers.broadcast(body),
       onNewOwner: (service, now) => {
-        if (this.settings.policies.recallDemand) this.context.tracker.addRecentArrivals(service, now);
+        if (this.settings.policies.recallDemand)
+          this.context.tracker.addRecentArrivals(service, now);
       },
       onApplied: () => this.scheduleRecheck(),
     });
--- a/src/gateway/request-dispatch.ts
+++ b/src/gateway/request-dispatch.ts
@@ -36,7 +36,7 @@
 const MAX_OWNER_LOAD_AGE_MS = 1_500;
 
 /** Properties of a request that are sent to slot allocators. */
-export type SlotDetails = Omit<SlotClaimParams, 'backend' | 'ownerLoad' | 'onAnswer'>;
+export type SlotDetails = Omit<SlotClaimParams, 'backend' | 'ownerLoad' | 'onDecision'>;
 
 /** Options of {@link RequestDispatch}. */
 export interface DispatchOptions {
@@ -177,7 +177,12 @@
   }
 
   private count(backend: string, change: 1 | -1): void {
-    this.context.tracker.addInFlight(this.options.service.name, backend, this.options.model, change);
+    this.context.tracker.addInFlight(
+      this.options.service.name,
+      backend,
+      this.options.model,
+      change,
+    );
   }
 
   /**
--- a/src/gateway/service-ownerships.ts
+++ b/src/gateway/service-ownerships.ts
@@ -99,7 +99,14 @@
   }
 
   private makeState(service: string): ServiceState {
-    const { peers, store, logger, listed, settings, othersReachPlatform: platformAnswersOthers } = this.options;
+    const {
+      peers,
+      store,
+      logger,
+      listed,
+      settings,
+      othersReachPlatform: platformAnswersOthers,
+    } = this.options;
     const state: ServiceState = {
       owner: undefined,
       ownership: new Ownership({
--- a/test/chaos/auditor.test.ts
+++ b/test/chaos/auditor.test.ts
@@ -40,7 +40,10 @@
   return { at: 1, engine: 'e1', incarnation: 'i', event: 'hold', tenant: 'till', ...overrides };
 }
 
-function withAnswer(overrides: Partial<ModelResponse>, call: Partial<CallerRecord> = {}): AuditEvidence {
+function withAnswer(
+  overrides: Partial<ModelResponse>,
+  call: Partial<CallerRecord> = {},
+): AuditEvidence {
   return { ...CLEAN, callers: [{ ...CALL, ...call, answer: { ...ANSWER, ...overrides } }] };
 }
 
--- a/test/core/admission/holder-lease.test.ts
+++ b/test/core/admission/holder-lease.test.ts
@@ -58,7 +58,7 @@
     lease.recordRequest(1, 10, VOTERS, 0);
     for (const voter of ['a', 'b', 'b', 'x']) lease.recordVote(voter, 1, VOTE);
     expect(lease.isHeld(600)).toBe(false);
-    expect(lease.recordVote('c', 1, VOTE)).toEqual({ soleMs: 50_000, formers: [] });
+    expect(lease.recordVote('c', 1, VOTE)).toEqual({ soleMs: 50_000, previousHolders: [] });
     expect(lease.isHeld(600)).toBe(true);
     expect(lease.isHeld(LEASE_MS + 1)).toBe(false);
   });
--- a/test/gateway/ownership-scene.ts
+++ b/test/gateway/ownership-scene.ts
@@ -93,7 +93,8 @@
     for (const [from, { epoch }] of this.ownerships) {
       if (epoch === undefined) continue;
       for (const [to, ownership] of this.ownerships) {
-        if (to !== from && !this.cuts.has(`${to} ${from}`)) ownership.applyAnnouncement(from, epoch);
+        if (to !== from && !this.cuts.has(`${to} ${from}`))
+          ownership.applyAnnouncement(from, epoch);
       }
     }
   }
--- a/test/platform/object-store.test.ts
+++ b/test/platform/object-store.test.ts
@@ -127,7 +127,13 @@
     ];
     const pace = { periodMs: 10, stale: false, waitMs: 300, longestPauseMs: 100 };
     const onObjects = (received: KindCopy): void => void (copy = received);
-    const follower = new KindFollower({ store, logger, kind: 'servers', watchSettings: pace, onObjects });
+    const follower = new KindFollower({
+      store,
+      logger,
+      kind: 'servers',
+      watchSettings: pace,
+      onObjects,
+    });
     void follower.run();
     await sleep(500);
     follower.stop();
--- a/test/processes/signals-in-series.test.ts
+++ b/test/processes/signals-in-series.test.ts
@@ -78,23 +78,23 @@
   it('do not cut a stream that started before them', async () => {
     const running = stream(STREAM_EVENTS);
     await sleep(300);
-    gateway.stopInTurn();
+    gateway.stopGracefully();
     await sleep(200);
     gateway.signal('SIGHUP');
     gateway.signal('SIGTERM');
-    const { status, isWhole } = await running;
+    const { status, isComplete: isWhole } = await running;
     expect({ status, isWhole }).toEqual({ status: 200, isWhole: true });
-    expect(gateway.unaskedExits).toBe(0);
+    expect(gateway.unexpectedExits).toBe(0);
   });
 
   it('end the process only once, after its drain', async () => {
     const { pid } = gateway;
-    gateway.stopInTurn();
+    gateway.stopGracefully();
     gateway.signal('SIGTERM');
     await sleep(200);
     if (gateway.pid === pid) gateway.signal('SIGHUP');
     while (gateway.pid === pid) await sleep(20);
     await waitUntilServing();
-    expect(gateway.unaskedExits).toBe(0);
+    expect(gateway.unexpectedExits).toBe(0);
   });
 });
--- a/test/simulation/admission-policies.test.ts
+++ b/test/simulation/admission-policies.test.ts
@@ -12,7 +12,11 @@
 /** The table in docs/design uses the first seed. */
 const SEEDS = [37, 1];
 
-function line(way: AdmissionPolicy, name: string, { withinGoal: inAim, late, refused }: ResultCounts): string {
+function line(
+  way: AdmissionPolicy,
+  name: string,
+  { withinGoal: inAim, late, refused }: ResultCounts,
+): string {
   return `| ${way} | ${name} | ${inAim} | ${late} | ${refused} |`;
 }
 
@@ -61,7 +65,8 @@
       const queue = simulationOf('queue').byKind.get(name)!;
       expect(shareWithinGoal(queue)).toBeGreaterThan(shareWithinGoal(alone));
     }
-    const usual = (way: AdmissionPolicy): ResultCounts => simulationOf(way).byTenant.get('the four usual')!;
+    const usual = (way: AdmissionPolicy): ResultCounts =>
+      simulationOf(way).byTenant.get('the four usual')!;
     expect(shareWithinGoal(usual('queue'))).toBeGreaterThan(shareWithinGoal(usual('alone')));
     expect(shareWithinGoal(usual('queue'))).toBeGreaterThan(shareWithinGoal(usual('leases')));
   });
--- a/test/simulation/currency-proofs.test.ts
+++ b/test/simulation/currency-proofs.test.ts
@@ -9,7 +9,12 @@
 
 function print(name: string, outcome: ProofOutcome): void {
   if (process.env.PROOFS_TABLE === undefined) return;
-  const { shareWithoutLease: withoutLease, maxAgeMs: greatestAgeMs, storeCallsPerSecond, bytesPerSecond } = outcome;
+  const {
+    shareWithoutLease: withoutLease,
+    maxAgeMs: greatestAgeMs,
+    storeCallsPerSecond,
+    bytesPerSecond,
+  } = outcome;
   const calls = storeCallsPerSecond.toFixed(1);
   const bytes = bytesPerSecond.toFixed(0);
   const row = `${name}: without lease ${(withoutLease * 100).toFixed(2)}%, age ${greatestAgeMs} ms`;
--- a/test/simulation/partitioned-small-group.test.ts
+++ b/test/simulation/partitioned-small-group.test.ts
@@ -44,7 +44,10 @@
   overloadSeconds: number,
 ): Promise<SimulatedLimits> {
   const group = await warmGroup(daemons, seed);
-  await group.simulate({ seconds: overloadSeconds, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
+  await group.simulate({
+    seconds: overloadSeconds,
+    unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR,
+  });
   return group;
 }
 
@@ -58,7 +61,9 @@
           triggerEvent(group);
           partitionHolder(group);
           await group.simulate({ seconds: 10, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
-          expect(group.outcome().maxInWindow, `seed ${seed}`).toBeLessThanOrEqual(maxUnitsInWindow(LIMIT));
+          expect(group.outcome().maxInWindow, `seed ${seed}`).toBeLessThanOrEqual(
+            maxUnitsInWindow(LIMIT),
+          );
         }
       },
     );
@@ -71,7 +76,9 @@
         await group.simulate({ seconds: 4, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
         group.resetMaxInWindow();
         await group.simulate({ seconds: 8, unitsPerSecond: LIMIT.perSecond * OVERLOAD_FACTOR });
-        expect(group.outcome().maxInWindow, `seed ${seed}`).toBeLessThanOrEqual(maxUnitsInWindow(LOWERED));
+        expect(group.outcome().maxInWindow, `seed ${seed}`).toBeLessThanOrEqual(
+          maxUnitsInWindow(LOWERED),
+        );
       }
     });
   });
--- a/test/simulation/small-group.ts
+++ b/test/simulation/small-group.ts
@@ -13,7 +13,13 @@
 const USUAL_SECONDS = 4;
 
 /** Returns the most units that may be admitted in a window. */
-export function maxUnitsInWindow({ perSecond, burst }: { perSecond: number; burst: number }): number {
+export function maxUnitsInWindow({
+  perSecond,
+  burst,
+}: {
+  perSecond: number;
+  burst: number;
+}): number {
   const plain = (perSecond * WINDOW.windowMs) / 1_000 + burst;
   return plain * (1 + WINDOW.excess) + WINDOW.slack;
 }
@@ -29,6 +35,9 @@
   };
   const group = new SimulatedLimits(options);
   await group.simulate({ seconds: WARM_UP_SECONDS, unitsPerSecond: 0 });
-  await group.simulate({ seconds: USUAL_SECONDS, unitsPerSecond: LIMIT.perSecond * USUAL_LOAD_SHARE });
+  await group.simulate({
+    seconds: USUAL_SECONDS,
+    unitsPerSecond: LIMIT.perSecond * USUAL_LOAD_SHARE,
+  });
   return group;
 }
--- a/test/simulation/tenant-limits.test.ts
+++ b/test/simulation/tenant-limits.test.ts
@@ -36,7 +36,13 @@
 }
 
 function print(name: string, outcome: LimitOutcome, perSecond: number): void {
-  const { requested: asked, admitted, maxInWindow: mostInWindow, messagesPerSecond, bytesPerSecond } = outcome;
+  const {
+    requested: asked,
+    admitted,
+    maxInWindow: mostInWindow,
+    messagesPerSecond,
+    bytesPerSecond,
+  } = outcome;
   const row = [
     name,
     `asked ${asked}`,
--- a/test/soak/audit-told.ts
+++ b/test/soak/audit-announcements.ts
@@ -1,7 +1,7 @@
 /** Counts requests to replicas whose responses had announced to the gateway that it should send none. Pure. */
 import type { CallRecord } from './caller.js';
 import type { SoakEvidence, Violation } from './evidence.js';
-import type { ToldArrival } from './run-log.js';
+import type { AnnouncedArrival } from './run-log.js';
 
 /** A caller may still send requests this long after the gateway forwarded the announcement that the replica leaves. */
 const DRAIN_MS = 2_000;
@@ -10,17 +10,17 @@
 /** Requests during a backoff that are tolerated. */
 const BACKOFF_REQUESTS_ALLOWED = 2;
 
-interface AttributedArrival extends ToldArrival {
+interface AttributedArrival extends AnnouncedArrival {
   readonly call: CallRecord;
 }
 
 /** Returns requests sent to replicas that had announced that they leave, or had requested a backoff. */
-export function auditTold(evidence: SoakEvidence): Violation[] {
+export function auditAnnouncements(evidence: SoakEvidence): Violation[] {
   const calls = new Map<string, CallRecord>();
   const all = [...evidence.calls, ...evidence.probes.map(({ call }) => call)];
   for (const call of all) calls.set(call.request.attemptId, call);
   const groups = new Map<string, AttributedArrival[]>();
-  for (const arrival of evidence.toldArrivals) {
+  for (const arrival of evidence.announcedArrivals) {
     const call = calls.get(arrival.attemptId);
     if (call === undefined) continue;
     const key = `${arrival.replica} of ${call.gateway}`;
@@ -39,10 +39,10 @@
   { gateways }: SoakEvidence,
 ): Violation[] {
   const forwarded = sent.filter(
-    ({ saysLeaving, call }) => saysLeaving && call.status !== undefined,
+    ({ announcesLeaving: saysLeaving, call }) => saysLeaving && call.status !== undefined,
   );
   const announcedAt = Math.min(...forwarded.map(({ call }) => call.endedAt));
-  const late = sent.filter(({ saysLeaving, call }) => {
+  const late = sent.filter(({ announcesLeaving: saysLeaving, call }) => {
     if (!saysLeaving || call.sentAt <= announcedAt + DRAIN_MS) return false;
     return !gateways.wasInterrupted(call.gateway, { from: announcedAt, until: call.sentAt });
   });
@@ -56,7 +56,7 @@
   sent: readonly AttributedArrival[],
   { gateways }: SoakEvidence,
 ): Violation[] {
-  const most = sent.map(({ restMs, at, call }) => {
+  const most = sent.map(({ backoffMs: restMs, at, call }) => {
     if (restMs === 0) return 0;
     const span = { from: at + IN_FLIGHT_MS, until: at + restMs };
     if (gateways.wasDisturbed(call.gateway, { from: at, until: span.until })) return 0;
--- a/test/soak/audit-configuration.test.ts
+++ b/test/soak/audit-configuration.test.ts
@@ -1,19 +1,23 @@
 import { describe, expect, it } from 'vitest';
-import { auditConfiguration, CONFIGURATION_MS, CONTACT_MS } from './audit-configuration.js';
+import {
+  auditConfiguration,
+  CONFIGURATION_DEADLINE_MS,
+  CATCH_UP_MS,
+} from './audit-configuration.js';
 import type { ConfigurationProbe, SoakEvidence, TimeSpan } from './evidence.js';
-import { untouched } from './audit-fixtures.js';
-import { droppedBy } from './soak-configuration.js';
+import { undisturbedHistory } from './audit-fixtures.js';
+import { firstVersionWithoutRoute } from './soak-configuration.js';
 
 const VERSION = 2;
 const ACCEPTED_AT = 100_000;
-const LATE_AT = ACCEPTED_AT + CONFIGURATION_MS + 10;
+const LATE_AT = ACCEPTED_AT + CONFIGURATION_DEADLINE_MS + 10;
 
 function probeOf(status: number, sentAt: number, version = VERSION): ConfigurationProbe {
   const caller = { tenant: 't', key: 'k' };
   const named = { attemptId: 'a', kind: 'probe', path: '/', model: undefined, caller } as const;
   const request = { ...named, body: '', deadlineMs: 1_000 };
   const seen = {
-    isWhole: true,
+    isComplete: true,
     isSealed: true,
     errorKind: undefined,
     text: '',
@@ -29,17 +33,17 @@
     calls: [],
     probes,
     runs: [],
-    replicaViolations: [],
-    toldArrivals: [],
+    observedViolations: [],
+    announcedArrivals: [],
     limitedArrivals: [],
     poisonArrivals: [],
     poisonCrashes: [],
     accepted: new Map([[VERSION, ACCEPTED_AT]]),
-    gateways: untouched,
+    gateways: undisturbedHistory,
     storeFaults: [],
     replicaFaults: [],
-    calmSince: 0,
-    unaskedExits: 0,
+    faultFreeSince: 0,
+    unexpectedExits: 0,
     promisesRevocation: true,
     ...part,
   };
@@ -48,12 +52,12 @@
 
 function disturbedOnce(at: number): Partial<SoakEvidence> {
   const wasDisturbed = (_: string, { from, until }: TimeSpan): boolean => from <= at && at <= until;
-  return { gateways: { ...untouched, wasDisturbed } };
+  return { gateways: { ...undisturbedHistory, wasDisturbed } };
 }
 
 describe('the audit of configurations', () => {
   it('reports a version that is late after its own acknowledgement, even if a newer one followed', () => {
-    expect(rules([probeOf(404, ACCEPTED_AT + CONFIGURATION_MS)])).toEqual([]);
+    expect(rules([probeOf(404, ACCEPTED_AT + CONFIGURATION_DEADLINE_MS)])).toEqual([]);
     expect(rules([probeOf(404, LATE_AT)])).toEqual(['configuration_late']);
     const accepted = new Map([
       [VERSION, ACCEPTED_AT],
@@ -65,7 +69,7 @@
 
   it('no longer excuses a late version once the store has worked for the catch-up time', () => {
     const faultUntil = (until: number) => ({ storeFaults: [{ from: ACCEPTED_AT - 9_000, until }] });
-    const soundSince = LATE_AT - CONTACT_MS;
+    const soundSince = LATE_AT - CATCH_UP_MS;
     expect(rules([probeOf(404, LATE_AT)], faultUntil(soundSince))).toEqual([]);
     expect(rules([probeOf(404, LATE_AT)], faultUntil(soundSince - 1))).toEqual([
       'configuration_late',
@@ -82,7 +86,7 @@
   });
 
   it('no longer excuses a late version once the gateway was undisturbed for the catch-up time', () => {
-    const undisturbedSince = LATE_AT - CONTACT_MS;
+    const undisturbedSince = LATE_AT - CATCH_UP_MS;
     expect(rules([probeOf(404, LATE_AT)], disturbedOnce(undisturbedSince))).toEqual([]);
     expect(rules([probeOf(404, LATE_AT)], disturbedOnce(undisturbedSince - 1))).toEqual([
       'configuration_late',
@@ -92,10 +96,12 @@
   it('reports a route that is served after a version dropped it', () => {
     const accepted = new Map([
       [VERSION, ACCEPTED_AT - 9_000],
-      [droppedBy(VERSION), ACCEPTED_AT],
+      [firstVersionWithoutRoute(VERSION), ACCEPTED_AT],
     ]);
     expect(rules([probeOf(404, LATE_AT)], { accepted })).toEqual([]);
-    expect(rules([probeOf(200, ACCEPTED_AT + CONFIGURATION_MS)], { accepted })).toEqual([]);
+    expect(rules([probeOf(200, ACCEPTED_AT + CONFIGURATION_DEADLINE_MS)], { accepted })).toEqual(
+      [],
+    );
     expect(rules([probeOf(200, LATE_AT)], { accepted })).toEqual(['dropped_route_served']);
   });
 
--- a/test/soak/audit-configuration.ts
+++ b/test/soak/audit-configuration.ts
@@ -2,18 +2,18 @@
 import {
   describeCall,
   overlapsAny,
-  storeFaultsTowards,
+  storeFaultsAffecting,
   type ConfigurationProbe,
   type SoakEvidence,
   type TimeSpan,
   type Violation,
 } from './evidence.js';
-import { droppedBy } from './soak-configuration.js';
+import { firstVersionWithoutRoute } from './soak-configuration.js';
 
 /** Longest time from the acknowledgement of a version until it is in force, even if newer versions follow. */
-export const CONFIGURATION_MS = 2_000;
+export const CONFIGURATION_DEADLINE_MS = 2_000;
 /** Time without a fault of a gateway, or of the store towards it, after which the gateway must be up to date. */
-export const CONTACT_MS = 3_000;
+export const CATCH_UP_MS = 3_000;
 const OK = 200;
 const NOT_FOUND = 404;
 
@@ -32,7 +32,7 @@
     return lateSince(probe, evidence.accepted.get(version), 'configuration_late', evidence);
   }
   if (call.status === OK) {
-    const droppedAt = evidence.accepted.get(droppedBy(version));
+    const droppedAt = evidence.accepted.get(firstVersionWithoutRoute(version));
     return lateSince(probe, droppedAt, 'dropped_route_served', evidence);
   }
   return [];
@@ -46,8 +46,8 @@
 ): Violation[] {
   if (acceptedAt === undefined) return [];
   const lateMs = call.sentAt - acceptedAt;
-  if (lateMs <= CONFIGURATION_MS) return [];
-  const span = { from: call.sentAt - CONTACT_MS, until: call.endedAt };
+  if (lateMs <= CONFIGURATION_DEADLINE_MS) return [];
+  const span = { from: call.sentAt - CATCH_UP_MS, until: call.endedAt };
   if (!wasConnected(call.gateway, span, evidence)) return [];
   const when = new Date(call.sentAt).toISOString();
   const detail = `${describeCall(call)}, version ${version}, sent ${when}, ${lateMs} ms after the acknowledgement`;
@@ -56,13 +56,13 @@
 
 /** Whether a version that drops the route may have been in force before the response. */
 function mayBeDropped({ call, version }: ConfigurationProbe, evidence: SoakEvidence): boolean {
-  const droppedAt = evidence.accepted.get(droppedBy(version));
+  const droppedAt = evidence.accepted.get(firstVersionWithoutRoute(version));
   return droppedAt !== undefined && droppedAt <= call.endedAt;
 }
 
 function wasConnected(gateway: string, span: TimeSpan, evidence: SoakEvidence): boolean {
   if (evidence.gateways.wasDisturbed(gateway, span)) return false;
-  return !overlapsAny(span, storeFaultsTowards(gateway, evidence));
+  return !overlapsAny(span, storeFaultsAffecting(gateway, evidence));
 }
 
 /** A gateway process that has served the route of a version must not respond 404 to it, or to an older one, later. */
@@ -92,5 +92,5 @@
 }
 
 function hasRestarted(gateway: string, span: TimeSpan, { gateways }: SoakEvidence): boolean {
-  return gateways.wasHarmed(gateway, span) || gateways.stopDuring(gateway, span) !== undefined;
+  return gateways.hadFault(gateway, span) || gateways.stopDuring(gateway, span) !== undefined;
 }
--- a/test/soak/audit-crashes.ts
+++ b/test/soak/audit-crashes.ts
@@ -37,7 +37,7 @@
   if (call === undefined) return true;
   const span = { from: at - PROPAGATION_MS, until: at };
   const { gateways } = evidence;
-  return !gateways.wasHarmed(call.gateway, span) && !gateways.wasDisturbed(call.gateway, span);
+  return !gateways.hadFault(call.gateway, span) && !gateways.wasDisturbed(call.gateway, span);
 }
 
 /** A harmless request may be rejected as a crashing one only while replicas have faults. */
--- a/test/soak/audit-fixtures.ts
+++ b/test/soak/audit-fixtures.ts
@@ -2,10 +2,10 @@
 import type { GatewayHistory } from './evidence.js';
 
 /** History of gateways without any fault or stop. */
-export const untouched: GatewayHistory = {
+export const undisturbedHistory: GatewayHistory = {
   wasDisturbed: () => false,
   wasInterrupted: () => false,
-  wasJustFreed: () => false,
-  wasHarmed: () => false,
+  wasJustResumed: () => false,
+  hadFault: () => false,
   stopDuring: () => undefined,
 };
--- a/test/soak/audit-tenants.ts
+++ b/test/soak/audit-tenants.ts
@@ -3,7 +3,12 @@
 import type { CallRecord } from './caller.js';
 import type { RunRecord } from './run-log.js';
 import { fullestWindow } from './limit-margin.js';
-import { removedBy, REVOCATION_MS, UNITS, unitsAllowed } from './soak-tenants.js';
+import {
+  revokingVersion,
+  REVOCATION_MS,
+  UNITS_PER_REQUEST,
+  maxUnitsPerWindow,
+} from './soak-tenants.js';
 
 const UNAUTHORIZED = 401;
 
@@ -19,7 +24,7 @@
 
 /** A key that no configuration has removed must never be denied. */
 function auditDenial({ request, status, gateway }: CallRecord): Violation[] {
-  if (status !== UNAUTHORIZED || removedBy(request.caller) !== undefined) return [];
+  if (status !== UNAUTHORIZED || revokingVersion(request.caller) !== undefined) return [];
   return [{ rule: 'key_denied', detail: `${request.attemptId} at ${gateway}` }];
 }
 
@@ -34,7 +39,7 @@
   const detail = `${run.attemptId} at ${gateway}: tenant ${run.tenant ?? 'none'}`;
   if (run.tenant !== request.caller.tenant) found.push({ rule: 'wrong_tenant', detail });
   if (!evidence.promisesRevocation) return found;
-  const version = removedBy(request.caller);
+  const version = revokingVersion(request.caller);
   const removedAt = version === undefined ? undefined : evidence.accepted.get(version);
   if (removedAt !== undefined && sentAt > removedAt + REVOCATION_MS) {
     const late = `${detail}, sent ${sentAt - removedAt} ms after its key was removed`;
@@ -45,7 +50,7 @@
 
 /** Checks the fullest window of the limit; each request counts once, however often it ran. */
 function auditLimit(runs: readonly RunRecord[]): Violation[] {
-  const units = fullestWindow(runs).length * UNITS;
-  if (units <= unitsAllowed()) return [];
-  return [{ rule: 'limit_exceeded', detail: `${units} of ${unitsAllowed()} units` }];
+  const units = fullestWindow(runs).length * UNITS_PER_REQUEST;
+  if (units <= maxUnitsPerWindow()) return [];
+  return [{ rule: 'limit_exceeded', detail: `${units} of ${maxUnitsPerWindow()} units` }];
 }
--- a/test/soak/audit.test.ts
+++ b/test/soak/audit.test.ts
@@ -1,18 +1,18 @@
 import { describe, expect, it } from 'vitest';
 import { audit, excusedViolations } from './audit.js';
-import { untouched } from './audit-fixtures.js';
+import { undisturbedHistory } from './audit-fixtures.js';
 import type { CallRecord, RequestKind } from './caller.js';
 import type { SoakEvidence, TimeSpan } from './evidence.js';
 import { plainText, streamText } from './expected-events.js';
-import type { PoisonArrival, ToldArrival } from './run-log.js';
+import type { PoisonArrival, AnnouncedArrival } from './run-log.js';
 import {
   LIMIT_WINDOW_MS,
   LIMITED_TENANT,
   REVOCATION_MS,
   ROTATING_TENANT,
   STEADY_TENANT,
-  UNITS,
-  unitsAllowed,
+  UNITS_PER_REQUEST,
+  maxUnitsPerWindow,
 } from './soak-tenants.js';
 
 const CALM_FROM = 100_000;
@@ -26,7 +26,7 @@
   const request = { ...named, body, deadlineMs: 1_000 };
   const seen = {
     status: 200,
-    isWhole: true,
+    isComplete: true,
     isSealed: true,
     errorKind: undefined,
     text,
@@ -47,17 +47,17 @@
     calls: [],
     probes: [],
     runs: [],
-    replicaViolations: [],
-    toldArrivals: [],
+    observedViolations: [],
+    announcedArrivals: [],
     limitedArrivals: [],
     poisonArrivals: [],
     poisonCrashes: [],
     accepted: new Map(),
-    gateways: untouched,
+    gateways: undisturbedHistory,
     storeFaults: [],
     replicaFaults: [],
-    calmSince: CALM_FROM,
-    unaskedExits: 0,
+    faultFreeSince: CALM_FROM,
+    unexpectedExits: 0,
     promisesRevocation: true,
     ...part,
   };
@@ -98,25 +98,25 @@
 
   it('reports late and missing responses of a gateway without faults', () => {
     const late = callOf('any', { endedAt: 11_600 });
-    const missing = callOf('any', { status: undefined, isWhole: false });
+    const missing = callOf('any', { status: undefined, isComplete: false });
     expect(rules({ calls: [late, missing] })).toEqual(['late_end', 'no_answer']);
-    const gateways = { ...untouched, wasHarmed: () => true };
+    const gateways = { ...undisturbedHistory, hadFault: () => true };
     expect(rules({ calls: [late, missing], gateways })).toEqual([]);
   });
 
   it('reports a stream that a planned stop cut, unless a replica failed', () => {
-    const cut = callOf('resumable', { isWhole: false });
-    const gateways = { ...untouched, stopDuring: () => 10_050 };
+    const cut = callOf('resumable', { isComplete: false });
+    const gateways = { ...undisturbedHistory, stopDuring: () => 10_050 };
     expect(rules({ calls: [cut], gateways })).toEqual(['cut_by_planned_stop']);
     const replicaFaults = [{ from: 9_000, until: 10_010 }];
     expect(rules({ calls: [cut], gateways, replicaFaults })).toEqual([]);
   });
 
   it('reports a request that a planned stop cut on a persistent connection, unless it was in flight at the close', () => {
-    const unanswered = { status: undefined, isWhole: false, wasOnKeptConnection: true };
+    const unanswered = { status: undefined, isComplete: false, wasOnKeptConnection: true };
     const quick = callOf('once', unanswered);
     const slow = callOf('once', { ...unanswered, endedAt: 10_201 });
-    const gateways = { ...untouched, stopDuring: () => 10_000 };
+    const gateways = { ...undisturbedHistory, stopDuring: () => 10_000 };
     expect(rules({ calls: [quick], gateways })).toEqual([]);
     expect(rules({ calls: [quick], gateways, runs: [run] })).toEqual(['cut_by_planned_stop']);
     expect(rules({ calls: [slow], gateways })).toEqual(['cut_by_planned_stop']);
@@ -129,10 +129,10 @@
     const seen = (kind: 'memory_overcommitted' | 'work_while_leaving') => {
       return { kind, replica: 'r', detail: 'after 2500 ms', at: 10_050, attemptId: 'a' } as const;
     };
-    expect(rules({ replicaViolations: [seen('memory_overcommitted')] })).toEqual([
+    expect(rules({ observedViolations: [seen('memory_overcommitted')] })).toEqual([
       'memory_overcommitted',
     ]);
-    const late = { calls: [callOf('any')], replicaViolations: [seen('work_while_leaving')] };
+    const late = { calls: [callOf('any')], observedViolations: [seen('work_while_leaving')] };
     expect(rules(late)).toEqual(['work_while_leaving']);
     const storeFaults = [{ from: 8_000, until: 9_000 }];
     expect(rules({ ...late, storeFaults })).toEqual([]);
@@ -145,16 +145,22 @@
     const seen = { kind: 'work_while_leaving', replica: 'r', detail: '', at: 50_010 } as const;
     const early = callNamed('a1', { gateway: 'frozen' });
     const late = callNamed('a12', { gateway: 'sound', sentAt: 50_000, endedAt: 50_900 });
-    const gateways = { ...untouched, wasHarmed: (name: string) => name === 'frozen' };
+    const gateways = { ...undisturbedHistory, hadFault: (name: string) => name === 'frozen' };
     const replicaViolations = [{ ...seen, attemptId: 'a12' }];
     const calls = [early, late];
-    expect(rules({ calls, gateways, replicaViolations })).toEqual(['work_while_leaving']);
+    expect(rules({ calls, gateways, observedViolations: replicaViolations })).toEqual([
+      'work_while_leaving',
+    ]);
     const storeFaults = [{ from: 50_020, until: 50_100 }];
-    expect(rules({ calls, storeFaults, replicaViolations })).toEqual(['work_while_leaving']);
+    expect(rules({ calls, storeFaults, observedViolations: replicaViolations })).toEqual([
+      'work_while_leaving',
+    ]);
     const probes = [{ call: callNamed('a12', { gateway: 'frozen', sentAt: 50_000 }), version: 1 }];
-    const probed = { calls: [early], probes, replicaViolations };
+    const probed = { calls: [early], probes, observedViolations: replicaViolations };
     expect(rules({ ...probed, accepted: new Map(), gateways })).toEqual([]);
-    expect(rules({ calls: [early], replicaViolations })).toEqual(['work_while_leaving']);
+    expect(rules({ calls: [early], observedViolations: replicaViolations })).toEqual([
+      'work_while_leaving',
+    ]);
   });
 
   it('reports an order with a lower epoch, unless its sender just resumed', () => {
@@ -163,14 +169,18 @@
     const replicaViolations = [
       { kind: 'lower_epoch', replica: 'r', detail, at, sender: 'g' },
     ] as const;
-    expect(rules({ replicaViolations })).toEqual(['lower_epoch']);
+    expect(rules({ observedViolations: replicaViolations })).toEqual(['lower_epoch']);
     const resumedAt = (time: number) => {
-      const wasJustFreed = (name: string, { from, until }: TimeSpan) =>
+      const wasJustResumed = (name: string, { from, until }: TimeSpan) =>
         name === 'g' && from <= time && time <= until;
-      return { ...untouched, wasJustFreed };
+      return { ...undisturbedHistory, wasJustResumed };
     };
-    expect(rules({ replicaViolations, gateways: resumedAt(at - 300) })).toEqual([]);
-    expect(rules({ replicaViolations, gateways: resumedAt(at - 301) })).toEqual(['lower_epoch']);
+    expect(rules({ observedViolations: replicaViolations, gateways: resumedAt(at - 300) })).toEqual(
+      [],
+    );
+    expect(rules({ observedViolations: replicaViolations, gateways: resumedAt(at - 301) })).toEqual(
+      ['lower_epoch'],
+    );
   });
 
   it('reports a denied key, a wrong tenant, and a key that is served after its removal', () => {
@@ -191,7 +201,7 @@
   });
 
   it('reports a limit that is exceeded in a window, with each request counted once', () => {
-    const count = Math.floor(unitsAllowed() / UNITS);
+    const count = Math.floor(maxUnitsPerWindow() / UNITS_PER_REQUEST);
     const runsOf = (requests: number, spanMs: number) =>
       Array.from({ length: requests }, (_, index) => {
         const at = (index * spanMs) / requests;
@@ -205,7 +215,7 @@
   });
 
   it('reports unexpected exits, and a system that does not recover', () => {
-    expect(rules({ unaskedExits: 1 })).toEqual(['unasked_exit']);
+    expect(rules({ unexpectedExits: 1 })).toEqual(['unasked_exit']);
     const sentAt = CALM_FROM + 10;
     const refused = callOf('any', { status: 503, text: '', sentAt, endedAt: sentAt });
     expect(rules({ calls: [refused] })).toEqual(['not_recovered']);
@@ -224,7 +234,7 @@
     const calls = late.map(({ attemptId, at }) => {
       return callNamed(attemptId, { sentAt: at, endedAt: at, status: 502 });
     });
-    const gateways = { ...untouched, wasHarmed: () => true };
+    const gateways = { ...undisturbedHistory, hadFault: () => true };
     expect(rules({ poisonCrashes, poisonArrivals, calls, gateways })).toEqual([]);
   });
 
@@ -235,36 +245,44 @@
   });
 
   describe('of announcements in responses of replicas', () => {
-    const announced = (attemptId: string, at: number, part: Partial<ToldArrival>): ToldArrival => {
-      return { attemptId, replica: 'r', at, saysLeaving: false, restMs: 0, ...part };
+    const announced = (
+      attemptId: string,
+      at: number,
+      part: Partial<AnnouncedArrival>,
+    ): AnnouncedArrival => {
+      return { attemptId, replica: 'r', at, announcesLeaving: false, backoffMs: 0, ...part };
     };
 
     it('reports requests that a gateway received after it had forwarded that the replica leaves', () => {
-      const leaving = { saysLeaving: true };
+      const leaving = { announcesLeaving: true };
       const toldArrivals = [announced('b', 10_010, leaving), announced('c', 12_200, leaving)];
       const first = callNamed('b', { sentAt: 10_000, endedAt: 10_100 });
       const later = callNamed('c', { sentAt: 12_150, endedAt: 12_300 });
-      expect(rules({ toldArrivals, calls: [first, later] })).toEqual(['work_after_told']);
+      expect(rules({ announcedArrivals: toldArrivals, calls: [first, later] })).toEqual([
+        'work_after_told',
+      ]);
       const elsewhere = { ...later, gateway: 'other' };
-      expect(rules({ toldArrivals, calls: [first, elsewhere] })).toEqual([]);
+      expect(rules({ announcedArrivals: toldArrivals, calls: [first, elsewhere] })).toEqual([]);
       const earlier = { ...later, sentAt: 12_050 };
-      expect(rules({ toldArrivals, calls: [first, earlier] })).toEqual([]);
-      const gateways = { ...untouched, wasInterrupted: () => true };
-      expect(rules({ toldArrivals, calls: [first, later], gateways })).toEqual([]);
+      expect(rules({ announcedArrivals: toldArrivals, calls: [first, earlier] })).toEqual([]);
+      const gateways = { ...undisturbedHistory, wasInterrupted: () => true };
+      expect(rules({ announcedArrivals: toldArrivals, calls: [first, later], gateways })).toEqual(
+        [],
+      );
     });
 
     it('reports more than two requests during a backoff', () => {
       const times = [10_000, 10_300, 10_600, 10_900, 11_200];
       const toldArrivals = times.map((at, index) =>
-        announced(`d${index}`, at, { restMs: index === 0 ? 3_000 : 0 }),
+        announced(`d${index}`, at, { backoffMs: index === 0 ? 3_000 : 0 }),
       );
       const calls = times.map((at, index) =>
         callNamed(`d${index}`, { sentAt: at, endedAt: at + 5 }),
       );
-      expect(rules({ toldArrivals, calls })).toEqual(['work_while_resting']);
-      expect(rules({ toldArrivals: toldArrivals.slice(0, 4), calls })).toEqual([]);
-      const gateways = { ...untouched, wasDisturbed: () => true };
-      expect(rules({ toldArrivals, calls, gateways })).toEqual([]);
+      expect(rules({ announcedArrivals: toldArrivals, calls })).toEqual(['work_while_resting']);
+      expect(rules({ announcedArrivals: toldArrivals.slice(0, 4), calls })).toEqual([]);
+      const gateways = { ...undisturbedHistory, wasDisturbed: () => true };
+      expect(rules({ announcedArrivals: toldArrivals, calls, gateways })).toEqual([]);
     });
   });
 
@@ -300,7 +318,7 @@
         (at) => `g${at}`,
       );
       expect(rules(evidence)).toEqual([]);
-      const gateways = { ...untouched, wasDisturbed: () => true };
+      const gateways = { ...undisturbedHistory, wasDisturbed: () => true };
       expect(rules({ ...evidenceAt(() => 1), gateways })).toEqual([]);
     });
 
--- a/test/soak/audit.ts
+++ b/test/soak/audit.ts
@@ -3,13 +3,13 @@
 import { auditConfiguration } from './audit-configuration.js';
 import { auditCrashes } from './audit-crashes.js';
 import { auditRateLimits } from './audit-rate-limits.js';
-import { auditTold } from './audit-told.js';
+import { auditAnnouncements } from './audit-announcements.js';
 import { auditTenants } from './audit-tenants.js';
 import { plainText, streamText } from './expected-events.js';
 import {
   describeCall,
   overlapsAny,
-  storeFaultsTowards,
+  storeFaultsAffecting,
   type SoakEvidence,
   type TimeSpan,
   type Violation,
@@ -34,15 +34,15 @@
   const runs = countRuns(evidence.runs);
   return [
     ...evidence.calls.flatMap((call) => auditCall(call, runs, evidence)),
-    ...evidence.replicaViolations.flatMap((seen) => auditReplica(seen, evidence)),
+    ...evidence.observedViolations.flatMap((seen) => auditReplica(seen, evidence)),
     ...auditConfiguration(evidence),
     ...auditRecovery(evidence),
     ...auditTenants(evidence),
     ...auditCrashes(evidence),
     ...auditRateLimits(evidence),
-    ...auditTold(evidence),
-    ...(evidence.unaskedExits > 0
-      ? [{ rule: 'unasked_exit', detail: String(evidence.unaskedExits) }]
+    ...auditAnnouncements(evidence),
+    ...(evidence.unexpectedExits > 0
+      ? [{ rule: 'unasked_exit', detail: String(evidence.unexpectedExits) }]
       : []),
   ];
 }
@@ -65,10 +65,10 @@
   const isAtMostOnce = AT_MOST_ONCE.has(request.kind);
   if (isAtMostOnce && ran > 1) report('repeated_run');
   if (isAtMostOnce && NOT_EXECUTED_STATUSES.has(status) && ran > 0) report('false_promise');
-  if (status === 200 && call.isWhole && !isCorrect(call)) report('wrong_answer');
+  if (status === 200 && call.isComplete && !isCorrect(call)) report('wrong_answer');
   if (call.wasRefused) return found;
   const span = { from: call.sentAt, until: call.endedAt };
-  if (evidence.gateways.wasHarmed(call.gateway, span)) return found;
+  if (evidence.gateways.hadFault(call.gateway, span)) return found;
   if (call.endedAt > call.sentAt + request.deadlineMs + END_TOLERANCE_MS) report('late_end');
   if (wasCutByPlannedStop(call, span, evidence)) report('cut_by_planned_stop');
   if (status === 0) found.push(...auditMissingResponse(call, ran, evidence));
@@ -91,7 +91,7 @@
 }
 
 function wasCutByPlannedStop(call: CallRecord, span: TimeSpan, evidence: SoakEvidence): boolean {
-  if (call.status !== 200 || call.isWhole) return false;
+  if (call.status !== 200 || call.isComplete) return false;
   const stoppedAt = evidence.gateways.stopDuring(call.gateway, span);
   return stoppedAt !== undefined && !overlapsAny(span, evidence.replicaFaults);
 }
@@ -112,7 +112,7 @@
 
 /** Violations that replicas observed but that concurrent faults excuse: reported for inspection only. */
 export function excusedViolations(evidence: SoakEvidence): Violation[] {
-  return evidence.replicaViolations
+  return evidence.observedViolations
     .filter((seen) => isExcused(seen, evidence))
     .map((seen) => describeReplicaViolation(seen, evidence));
 }
@@ -139,7 +139,7 @@
   { sender = '', at }: ReplicaViolation,
   { gateways }: SoakEvidence,
 ): boolean {
-  return gateways.wasJustFreed(sender, { from: at - RESUME_GRACE_MS, until: at });
+  return gateways.wasJustResumed(sender, { from: at - RESUME_GRACE_MS, until: at });
 }
 
 /**
@@ -150,8 +150,8 @@
   const call = findCall(seen.attemptId, evidence);
   if (call === undefined) return false;
   const span = { from: call.sentAt - STORE_RECOVERY_MS, until: seen.at };
-  const storeFaults = storeFaultsTowards(call.gateway, evidence);
-  return evidence.gateways.wasHarmed(call.gateway, span) || overlapsAny(span, storeFaults);
+  const storeFaults = storeFaultsAffecting(call.gateway, evidence);
+  return evidence.gateways.hadFault(call.gateway, span) || overlapsAny(span, storeFaults);
 }
 
 /** Finds a call by its attempt id, also among the probes of the configuration. */
@@ -164,8 +164,8 @@
   const steady = evidence.calls.filter(({ request }) => {
     return request.caller.tenant === STEADY_TENANT && request.kind !== 'poison';
   });
-  const calm = steady.filter((call) => call.sentAt >= evidence.calmSince);
-  const isServed = (call: CallRecord): boolean => call.status === 200 && call.isWhole;
+  const calm = steady.filter((call) => call.sentAt >= evidence.faultFreeSince);
+  const isServed = (call: CallRecord): boolean => call.status === 200 && call.isComplete;
   const served = calm.filter(isServed).length;
   if (served >= calm.length * RECOVERY_SHARE) return [];
   const others = countOutcomes(calm.filter((call) => !isServed(call)));
@@ -175,7 +175,7 @@
 /** Summarizes how many calls had each outcome. */
 function countOutcomes(calls: readonly CallRecord[]): string {
   const counts = new Map<string, number>();
-  for (const { request, status = 'no answer', errorKind = '', isWhole } of calls) {
+  for (const { request, status = 'no answer', errorKind = '', isComplete: isWhole } of calls) {
     const end = `${request.kind} ${status} ${errorKind}${isWhole ? '' : ' cut'}`;
     counts.set(end, (counts.get(end) ?? 0) + 1);
   }
--- a/test/soak/caller.ts
+++ b/test/soak/caller.ts
@@ -1,7 +1,7 @@
 /** Sends one request of a soak caller and records its outcome. */
 import http from 'node:http';
 import { splitAddress } from '../../src/common/http-client.js';
-import { UNITS, type Caller } from './soak-tenants.js';
+import { UNITS_PER_REQUEST, type Caller } from './soak-tenants.js';
 
 /** Whether and how a request may be repeated or resumed; also the second part of its path. */
 export type RequestKind = 'resumable' | 'stream_once' | 'once' | 'any' | 'probe' | 'poison';
@@ -27,7 +27,7 @@
   readonly endedAt: number;
   /** Undefined if the connection ended without a response, or could not be opened. */
   readonly status: number | undefined;
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
   readonly isSealed: boolean;
   /** Error kind that the gateway reported; undefined if none. */
   readonly errorKind: string | undefined;
@@ -55,12 +55,20 @@
     let isSealed = false;
     let errorKind: string | undefined;
     let text = '';
-    const end = (isWhole: boolean, wasRefused = false): void => {
+    const end = (isComplete: boolean, wasRefused = false): void => {
       clearTimeout(timer);
       // A persistent connection returns to its agent after a complete response.
-      if (!isWhole || agent === false) outgoing.destroy();
+      if (!isComplete || agent === false) outgoing.destroy();
       const wasOnKeptConnection = outgoing.reusedSocket;
-      const seen = { status, isWhole, isSealed, errorKind, text, wasRefused, wasOnKeptConnection };
+      const seen = {
+        status,
+        isComplete,
+        isSealed,
+        errorKind,
+        text,
+        wasRefused,
+        wasOnKeptConnection,
+      };
       resolve({ request, gateway, sentAt, endedAt: Date.now(), ...seen });
     };
     const outgoing = http.request({ ...optionsOf(request, address), agent }, (response) => {
@@ -88,7 +96,7 @@
     'x-deadline-ms': request.deadlineMs,
     'content-length': Buffer.byteLength(request.body),
     authorization: `Token ${request.caller.key}`,
-    'x-token-counts': `${UNITS / 2},${UNITS / 2}`,
+    'x-token-counts': `${UNITS_PER_REQUEST / 2},${UNITS_PER_REQUEST / 2}`,
     // The gateway must replace a tenant that the caller sets.
     'x-tenant': 'forged',
   };
--- a/test/soak/evidence.ts
+++ b/test/soak/evidence.ts
@@ -5,7 +5,7 @@
   PoisonArrival,
   ReplicaViolation,
   RunRecord,
-  ToldArrival,
+  AnnouncedArrival,
 } from './run-log.js';
 
 /** A span of time, in Unix milliseconds. */
@@ -26,9 +26,9 @@
   /** The same without network cuts: the process may have lost its state, or hold stale state. */
   wasInterrupted(gateway: string, span: TimeSpan): boolean;
   /** Whether the process had a disturbance other than a planned stop, including the time to recover from it. */
-  wasHarmed(gateway: string, span: TimeSpan): boolean;
+  hadFault(gateway: string, span: TimeSpan): boolean;
   /** Whether the process was paused during a part of the span, or its links were restored in it. */
-  wasJustFreed(gateway: string, span: TimeSpan): boolean;
+  wasJustResumed(gateway: string, span: TimeSpan): boolean;
   /** When a planned stop began that overlaps the span; undefined without one. */
   stopDuring(gateway: string, span: TimeSpan): number | undefined;
 }
@@ -44,9 +44,9 @@
   readonly calls: readonly CallRecord[];
   readonly probes: readonly ConfigurationProbe[];
   readonly runs: readonly RunRecord[];
-  readonly replicaViolations: readonly ReplicaViolation[];
+  readonly observedViolations: readonly ReplicaViolation[];
   /** Arrivals at replicas that announced that they leave or requested a backoff, now or lately. */
-  readonly toldArrivals: readonly ToldArrival[];
+  readonly announcedArrivals: readonly AnnouncedArrival[];
   /** Arrivals at replicas that announce a rate limit, or have announced one. */
   readonly limitedArrivals: readonly LimitedArrival[];
   /** Arrivals of requests that crash every replica that runs them. */
@@ -60,8 +60,8 @@
   /** Spans in which some replica had a fault. */
   readonly replicaFaults: readonly TimeSpan[];
   /** Start of the final phase without faults, in Unix milliseconds. */
-  readonly calmSince: number;
-  readonly unaskedExits: number;
+  readonly faultFreeSince: number;
+  readonly unexpectedExits: number;
   /** Whether the gateways were started with a bound on how long a removed key is still served. */
   readonly promisesRevocation: boolean;
 }
@@ -81,11 +81,11 @@
 export function describeCall(call: CallRecord): string {
   const { request, gateway, status, sentAt, endedAt } = call;
   const outcome = status === undefined ? 'no answer' : `status ${status}`;
-  const whole = call.isWhole ? 'whole' : 'cut';
+  const whole = call.isComplete ? 'whole' : 'cut';
   return `${request.attemptId} ${request.kind} at ${gateway}: ${outcome}, ${whole}, ${endedAt - sentAt} ms`;
 }
 
 /** Spans in which the store had a fault that affected the gateway. */
-export function storeFaultsTowards(gateway: string, { storeFaults }: SoakEvidence): StoreFault[] {
+export function storeFaultsAffecting(gateway: string, { storeFaults }: SoakEvidence): StoreFault[] {
   return storeFaults.filter(({ gateways }) => gateways === undefined || gateways.has(gateway));
 }
--- a/test/soak/fault-injector.ts
+++ b/test/soak/fault-injector.ts
@@ -4,7 +4,7 @@
 import type { ReplicaStandIn } from './replica-stand-in.js';
 import type { SeededRandom } from './seeded-random.js';
 import type { SoakSystem } from './soak-system.js';
-import { strikeStore } from './store-outage.js';
+import { simulateStoreOutage } from './store-outage.js';
 
 /** Injects faults into gateways, the store and replicas. */
 export class FaultInjector {
@@ -13,7 +13,7 @@
     private readonly random: SeededRandom,
   ) {}
 
-  strike(fault: Fault): void {
+  inject(fault: Fault): void {
     switch (fault.kind) {
       case 'gateway_killed':
         for (let count = 0; count < fault.count; count++) this.pickUndisturbedGateway()?.kill();
@@ -21,9 +21,9 @@
       case 'gateway_frozen':
         return this.pickUndisturbedGateway()?.freeze(fault.milliseconds);
       case 'gateway_stopped':
-        return this.pickUndisturbedGateway()?.stopInTurn();
+        return this.pickUndisturbedGateway()?.stopGracefully();
       case 'store':
-        return void strikeStore(this.system, fault.condition, fault.milliseconds);
+        return void simulateStoreOutage(this.system, fault.condition, fault.milliseconds);
       case 'store_compacted':
         return this.system.store.compact();
       case 'replica_crashed':
--- a/test/soak/further-fault-injector.ts
+++ b/test/soak/further-fault-injector.ts
@@ -1,11 +1,11 @@
 /** Injects the further kinds of faults into a running soak test. */
 import { sleep } from '../../src/common/process.js';
 import { ownerOf } from './gateway-roles.js';
-import type { FurtherFault, SilentSide, StoreOutage } from './further-fault-plan.js';
+import type { FurtherFault, SilentPeers, StoreOutage } from './further-fault-plan.js';
 import type { GatewayProcess } from './gateway-process.js';
 import type { SeededRandom } from './seeded-random.js';
 import { undisturbedGateways, type SoakSystem } from './soak-system.js';
-import { strikeStore } from './store-outage.js';
+import { simulateStoreOutage } from './store-outage.js';
 
 type FaultOf<Kind extends FurtherFault['kind']> = Extract<FurtherFault, { kind: Kind }>;
 
@@ -22,7 +22,7 @@
     private readonly endsAt: number,
   ) {}
 
-  strike(fault: FurtherFault): void {
+  inject(fault: FurtherFault): void {
     switch (fault.kind) {
       case 'connections_silent':
         return this.silence(fault.side, fault.share);
@@ -33,7 +33,7 @@
       case 'rolling_stop':
         return void this.stopAllInTurn(fault.gapMs);
       case 'settings_changed':
-        for (const gateway of this.system.gateways.values()) gateway.signalSettings();
+        for (const gateway of this.system.gateways.values()) gateway.signalSettingsChange();
         return;
       case 'owner_killed':
         return void this.killOwners(fault);
@@ -42,12 +42,12 @@
       case 'owner_cut_off':
         return this.expendableOwner()?.cutOff(fault.milliseconds);
       case 'owner_stopped':
-        return this.expendableOwner()?.stopInTurn();
+        return this.expendableOwner()?.stopGracefully();
     }
   }
 
   /** Makes open connections silent. The audit treats this like a reset of all connections. */
-  private silence(side: SilentSide, share: number): void {
+  private silence(side: SilentPeers, share: number): void {
     const { gateways, store, replicas, storeFaults, replicaFaults } = this.system;
     const now = Date.now();
     storeFaults.push({ from: now, until: now });
@@ -62,13 +62,13 @@
 
   private async rejectGateways(fault: FaultOf<'store_turns_away'>): Promise<void> {
     const { store, gateways, storeFaults } = this.system;
-    if (store.turnedAway.size > 0) return;
+    if (store.callerConditions.size > 0) return;
     const names = new Set([...gateways.keys()].filter(() => this.random.chance(fault.share)));
     const span = { from: Date.now(), until: Infinity, gateways: names };
     storeFaults.push(span);
-    for (const name of names) store.turnedAway.set(name, fault.condition);
+    for (const name of names) store.callerConditions.set(name, fault.condition);
     await sleep(fault.milliseconds);
-    for (const name of names) store.turnedAway.delete(name);
+    for (const name of names) store.callerConditions.delete(name);
     span.until = Date.now();
   }
 
@@ -82,7 +82,7 @@
 
   private async runOutage({ condition, milliseconds }: StoreOutage): Promise<void> {
     const { store } = this.system;
-    await strikeStore(this.system, condition, milliseconds);
+    await simulateStoreOutage(this.system, condition, milliseconds);
     // strikeStore returns at once if another outage is already in progress.
     while (store.condition !== 'sound') await sleep(POLL_INTERVAL_MS);
   }
@@ -94,7 +94,7 @@
       while (undisturbedGateways(this.system).length <= 1 && this.mayStartFault())
         await sleep(POLL_INTERVAL_MS);
       if (!this.mayStartFault()) return;
-      if (undisturbedGateways(this.system).includes(gateway)) gateway.stopInTurn();
+      if (undisturbedGateways(this.system).includes(gateway)) gateway.stopGracefully();
       await sleep(pauseMs);
     }
   }
--- a/test/soak/further-fault-plan.ts
+++ b/test/soak/further-fault-plan.ts
@@ -6,22 +6,19 @@
 import type { SeededRandom } from './seeded-random.js';
 
 /** How the store treats the gateways that it rejects. */
-export type TurnedAwayCondition = Extract<
-  StoreCondition,
-  'busy' | 'throttled' | 'reset' | 'silent'
->;
+export type RejectionCondition = Extract<StoreCondition, 'busy' | 'throttled' | 'reset' | 'silent'>;
 
 /** Peers of the gateways whose open connections become silent. */
-export type SilentSide = 'gateways' | 'store' | 'replicas' | 'all';
+export type SilentPeers = 'gateways' | 'store' | 'replicas' | 'all';
 
 /** A fault of the further kinds. */
 export type FurtherFault =
   /** A share of the open connections passes no more data; new connections work. */
-  | { readonly kind: 'connections_silent'; readonly side: SilentSide; readonly share: number }
+  | { readonly kind: 'connections_silent'; readonly side: SilentPeers; readonly share: number }
   /** The store rejects a share of the gateways, and serves the others and the operator. */
   | {
       readonly kind: 'store_turns_away';
-      readonly condition: TurnedAwayCondition;
+      readonly condition: RejectionCondition;
       readonly share: number;
       readonly milliseconds: number;
     }
@@ -55,14 +52,14 @@
   readonly fault: FurtherFault;
 }
 
-const REJECTION_CONDITIONS: readonly TurnedAwayCondition[] = [
+const REJECTION_CONDITIONS: readonly RejectionCondition[] = [
   'busy',
   'throttled',
   'reset',
   'silent',
 ];
 const OUTAGE_CONDITIONS: readonly StoreCondition[] = ['silent', 'silent', 'busy', 'reset'];
-const SIDES: readonly SilentSide[] = ['gateways', 'store', 'replicas', 'all'];
+const SIDES: readonly SilentPeers[] = ['gateways', 'store', 'replicas', 'all'];
 /** Fault kinds to draw from. A kind that is listed twice is drawn twice as often. */
 export const FURTHER_FAULT_KINDS: readonly FurtherFault['kind'][] = [
   'connections_silent',
--- a/test/soak/gateway-process.ts
+++ b/test/soak/gateway-process.ts
@@ -57,7 +57,7 @@
   /** Whether its monotonic clock stops while the process is paused; false by default. */
   readonly isSuspendable?: boolean;
   /** Called before a fault or signal is injected into the process. */
-  readonly onStruck?: (kind: Disturbance['kind'] | 'SIGHUP' | 'SIGTERM', forMs: number) => void;
+  readonly onFault?: (kind: Disturbance['kind'] | 'SIGHUP' | 'SIGTERM', forMs: number) => void;
 }
 
 /** All running children: killed when the soak process exits, so that none outlives it. */
@@ -97,7 +97,7 @@
   readonly disturbances: Disturbance[] = [];
   private child: ChildProcess | undefined;
   /** Exits that no fault or stop of the soak caused. */
-  unaskedExits = 0;
+  unexpectedExits = 0;
   private isExpectedToEnd = false;
   private isEnded = false;
 
@@ -208,13 +208,13 @@
   }
 
   /** Sends SIGHUP, which notifies the process that its settings file has changed. */
-  signalSettings(): void {
+  signalSettingsChange(): void {
     this.signal('SIGHUP');
   }
 
   /** Sends a signal without excusing any failure; SIGTERM only to a process that is already stopping. */
   signal(signal: 'SIGHUP' | 'SIGTERM'): void {
-    this.options.onStruck?.(signal, 0);
+    this.options.onFault?.(signal, 0);
     this.child?.kill(signal);
   }
 
@@ -239,7 +239,7 @@
   }
 
   /** Stops the process gracefully, and kills it after STOP_SECONDS; it is restarted automatically. */
-  stopInTurn(): void {
+  stopGracefully(): void {
     this.recordDisturbance('stopped', STOP_SECONDS * 1_000 + 1_500);
     this.isExpectedToEnd = true;
     const { child } = this;
@@ -291,7 +291,7 @@
   }
 
   /** Whether the process was paused during a part of a span, or its links were restored in it. */
-  wasJustFreed(from: number, until: number): boolean {
+  wasJustResumed(from: number, until: number): boolean {
     return this.disturbances.some((each) => {
       if (each.kind === 'frozen') return each.from <= until && each.endedAt >= from;
       return each.kind === 'cut_off' && each.endedAt >= from && each.endedAt <= until;
@@ -299,7 +299,7 @@
   }
 
   /** Whether the process had a disturbance other than a planned stop in a span, including its recovery. */
-  wasHarmed(from: number, until: number): boolean {
+  hadFault(from: number, until: number): boolean {
     return this.disturbances.some(
       (each) => each.kind !== 'stopped' && each.from <= until && each.until >= from,
     );
@@ -314,7 +314,7 @@
   }
 
   private recordDisturbance(kind: Disturbance['kind'], milliseconds: number): void {
-    this.options.onStruck?.(kind, milliseconds);
+    this.options.onFault?.(kind, milliseconds);
     const from = Date.now();
     this.disturbances.push({ kind, from, until: from + milliseconds, endedAt: Infinity });
   }
@@ -327,7 +327,7 @@
 
   private handleExit(): void {
     if (this.isEnded) return;
-    if (!this.isExpectedToEnd) this.unaskedExits += 1;
+    if (!this.isExpectedToEnd) this.unexpectedExits += 1;
     setTimeout(() => {
       if (!this.isEnded) this.start();
     }, 150);
--- a/test/soak/gateway-roles.ts
+++ b/test/soak/gateway-roles.ts
@@ -20,14 +20,14 @@
 }
 
 /** The gateway that ranks first for counting the requests of the limited tenant, among those given. */
-export function counterOf(gateways: readonly GatewayProcess[]): GatewayProcess | undefined {
+export function limitCounterOf(gateways: readonly GatewayProcess[]): GatewayProcess | undefined {
   const addresses = gateways.map(({ peers }) => peers).sort();
   const first = firstCandidate(COUNT_RANKING_KEY, addresses);
   return gateways.find(({ peers }) => peers === first);
 }
 
 /** Ports of gateways, by their rank for counting the requests of the limited tenant. */
-export function portsByCountRank(ports: readonly number[]): number[] {
+export function portsByLimitCounterRank(ports: readonly number[]): number[] {
   const addresses = ports.map((port) => `127.0.0.1:${port}`).sort();
   return rankCandidates(COUNT_RANKING_KEY, addresses).map((address) =>
     Number(address.split(':')[1]),
--- a/test/soak/leaving-fault-injector.ts
+++ b/test/soak/leaving-fault-injector.ts
@@ -18,7 +18,7 @@
     private readonly random: SeededRandom,
   ) {}
 
-  strike(fault: LeavingFault): void {
+  inject(fault: LeavingFault): void {
     switch (fault.kind) {
       case 'released':
         return void this.release(fault.count, fault.gapMs, fault);
--- a/test/soak/leaving-fault-plan.ts
+++ b/test/soak/leaving-fault-plan.ts
@@ -45,7 +45,7 @@
 const MAX_GAP_MS = 4_000;
 const MIN_SERVICE_MS = 2_500;
 /** Upper bound of the time for which a leaving replica continues to serve. */
-export const LONGEST_SERVICE_MS = 12_000;
+export const MAX_SERVICE_MS = 12_000;
 
 /** Plans departures that start within the given number of milliseconds. */
 export function planLeavingFaults(
@@ -64,7 +64,7 @@
 function drawFault(random: SeededRandom): LeavingFault {
   const departure = {
     isAnnounced: random.chance(0.5),
-    serveMs: random.between(MIN_SERVICE_MS, LONGEST_SERVICE_MS),
+    serveMs: random.between(MIN_SERVICE_MS, MAX_SERVICE_MS),
   };
   const count = Math.ceil(random.between(0, 4));
   const milliseconds = random.between(1_500, 5_000);
--- a/test/soak/limit-margin.test.ts
+++ b/test/soak/limit-margin.test.ts
@@ -1,7 +1,12 @@
 import { describe, expect, it } from 'vitest';
 import type { CallRecord } from './caller.js';
 import { limitMargin } from './limit-margin.js';
-import { LIMIT_WINDOW_MS, LIMITED_TENANT, UNITS, unitsAllowed } from './soak-tenants.js';
+import {
+  LIMIT_WINDOW_MS,
+  LIMITED_TENANT,
+  UNITS_PER_REQUEST,
+  maxUnitsPerWindow,
+} from './soak-tenants.js';
 
 const runAt = (attemptId: string, at: number) => ({
   attemptId,
@@ -17,15 +22,15 @@
     const runs = [runAt('a', 0), runAt('b', LIMIT_WINDOW_MS), runAt('c', LIMIT_WINDOW_MS + 1)];
     const calls = [callAt('a', 'g0'), callAt('b', 'g0'), callAt('c', 'g1')];
     expect(limitMargin(runs, calls)).toEqual({
-      mostUnits: 2 * UNITS,
-      allowedUnits: unitsAllowed(),
+      mostUnits: 2 * UNITS_PER_REQUEST,
+      allowedUnits: maxUnitsPerWindow(),
       until: new Date(LIMIT_WINDOW_MS + 1).toISOString(),
-      unitsByGateway: { g0: UNITS, g1: UNITS },
+      unitsByGateway: { g0: UNITS_PER_REQUEST, g1: UNITS_PER_REQUEST },
     });
   });
 
   it('counts a request once, at its first run', () => {
     const runs = [runAt('a', 0), runAt('a', 1), runAt('b', 2)];
-    expect(limitMargin(runs, []).mostUnits).toBe(2 * UNITS);
+    expect(limitMargin(runs, []).mostUnits).toBe(2 * UNITS_PER_REQUEST);
   });
 });
--- a/test/soak/limit-margin.ts
+++ b/test/soak/limit-margin.ts
@@ -1,7 +1,12 @@
 /** Computes how close the runs of a soak came to the limit of the limited tenant. Pure. */
 import type { CallRecord } from './caller.js';
 import type { RunRecord } from './run-log.js';
-import { LIMIT_WINDOW_MS, LIMITED_TENANT, UNITS, unitsAllowed } from './soak-tenants.js';
+import {
+  LIMIT_WINDOW_MS,
+  LIMITED_TENANT,
+  UNITS_PER_REQUEST,
+  maxUnitsPerWindow,
+} from './soak-tenants.js';
 
 /** The window with the most units of the limited tenant. */
 export interface LimitMargin {
@@ -20,12 +25,12 @@
   const unitsByGateway: Record<string, number> = {};
   for (const { attemptId } of fullest) {
     const gateway = gatewayOf.get(attemptId) ?? 'unknown';
-    unitsByGateway[gateway] = (unitsByGateway[gateway] ?? 0) + UNITS;
+    unitsByGateway[gateway] = (unitsByGateway[gateway] ?? 0) + UNITS_PER_REQUEST;
   }
   const last = fullest.at(-1);
   return {
-    mostUnits: fullest.length * UNITS,
-    allowedUnits: unitsAllowed(),
+    mostUnits: fullest.length * UNITS_PER_REQUEST,
+    allowedUnits: maxUnitsPerWindow(),
     until: last && new Date(last.at).toISOString(),
     unitsByGateway,
   };
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -1,7 +1,7 @@
 /** Command line of the soak: runs one seed after the other, and exits with 1 if a guarantee was violated. */
 import { Command, Option } from 'commander';
 import { FURTHER_FAULT_KINDS, type FurtherFault } from './further-fault-plan.js';
-import { NAMED_FAULT_KINDS, type NamedFault } from './named-fault-plan.js';
+import { OPT_IN_FAULT_KINDS, type OptInFault } from './opt-in-fault-plan.js';
 import { SERIES_FAULT_KINDS, type SeriesFault } from './series-fault-plan.js';
 import { runSoak, soakFolder, type FaultKinds } from './soak-run.js';
 
@@ -16,7 +16,7 @@
   readonly epochs: string;
   readonly revocation: string;
   readonly faults: FaultKinds;
-  readonly only: (FurtherFault | NamedFault)['kind'][];
+  readonly only: (FurtherFault | OptInFault)['kind'][];
   readonly leaving: boolean;
   readonly alwaysHot: boolean;
   readonly drawnRanks: boolean;
@@ -48,7 +48,7 @@
       '--only <kinds...>',
       'restrict the further kinds to these; also enables kinds that are injected only if listed here',
     )
-      .choices([...new Set([...FURTHER_FAULT_KINDS, ...NAMED_FAULT_KINDS])])
+      .choices([...new Set([...FURTHER_FAULT_KINDS, ...OPT_IN_FAULT_KINDS])])
       .default([]),
   )
   .option('--always-hot', 'the limited tenant always sends many times its limit', false)
--- a/test/soak/object-store-stand-in.test.ts
+++ b/test/soak/object-store-stand-in.test.ts
@@ -47,7 +47,7 @@
   it('rejects some callers and serves the others', async () => {
     const store = startStore();
     const [served, refused] = [await store.listenFor('a'), await store.listenFor('b')];
-    store.turnedAway.set('b', 'throttled');
+    store.callerConditions.set('b', 'throttled');
     expect(await callerAt(served)()).toBe(200);
     expect(await callerAt(refused)()).toBe(429);
   });
--- a/test/soak/object-store-stand-in.ts
+++ b/test/soak/object-store-stand-in.ts
@@ -64,7 +64,7 @@
   /** Behaviour towards all callers. */
   condition: StoreCondition = 'sound';
   /** Behaviour towards single callers, by name; applies while `condition` is `sound`. */
-  readonly turnedAway = new Map<string, StoreCondition>();
+  readonly callerConditions = new Map<string, StoreCondition>();
   readonly connections = new ServerConnections();
   calls = 0;
   private readonly kinds = new Map<string, Map<string, StoredObject>>();
@@ -88,7 +88,7 @@
     const server = http.createServer(
       (request, response) => void this.handle(caller, request, response),
     );
-    this.connections.follow(server);
+    this.connections.track(server);
     this.servers.push(server);
     return `127.0.0.1:${await listen(server, '127.0.0.1', 0)}`;
   }
@@ -155,7 +155,7 @@
   }
 
   /** Repeats lost writes, except for objects that were written after the restore. */
-  writeAgain(lost: readonly LostWrite[]): void {
+  repeatLostWrites(lost: readonly LostWrite[]): void {
     const newest = new Map(lost.map((write) => [`${write.kind}/${write.name}`, write]));
     const since = this.changes.filter(({ revision }) => revision > this.restoredAt);
     for (const { kind, object } of since) newest.delete(`${kind}/${object.metadata.name}`);
@@ -203,7 +203,7 @@
 
   private conditionFor(caller: string): StoreCondition {
     if (this.condition !== 'sound') return this.condition;
-    return this.turnedAway.get(caller) ?? 'sound';
+    return this.callerConditions.get(caller) ?? 'sound';
   }
 
   private execute(call: Call, reply: (status: number, body: object) => void): void {
--- a/test/soak/named-fault-injector.ts
+++ b/test/soak/opt-in-fault-injector.ts
@@ -1,8 +1,8 @@
 /** Injects the opt-in kinds of faults into a running soak test. */
 import { sleep } from '../../src/common/process.js';
 import type { GatewayProcess } from './gateway-process.js';
-import { counterOf, ownerOf } from './gateway-roles.js';
-import type { NamedFault, SuspendedGateway } from './named-fault-plan.js';
+import { limitCounterOf, ownerOf } from './gateway-roles.js';
+import type { OptInFault, SuspendedGateway } from './opt-in-fault-plan.js';
 import type { ReplicaStandIn } from './replica-stand-in.js';
 import type { SeededRandom } from './seeded-random.js';
 import { spareReplicas, undisturbedGateways, type SoakSystem } from './soak-system.js';
@@ -12,7 +12,7 @@
 /** Time for which a leaving replica continues to serve. */
 const LEAVING_MS = 4_000;
 
-type FaultOf<Kind extends NamedFault['kind']> = Extract<NamedFault, { kind: Kind }>;
+type FaultOf<Kind extends OptInFault['kind']> = Extract<OptInFault, { kind: Kind }>;
 
 /** Sends requests that crash the replicas that run them. */
 export interface PoisonSender {
@@ -27,7 +27,7 @@
 }
 
 /** Injects faults into gateways, replicas and the store. */
-export class NamedFaultInjector {
+export class OptInFaultInjector {
   private poisonCount = 0;
   /** Whether a restore is in progress. Restores do not overlap. */
   private isRestoring = false;
@@ -39,7 +39,7 @@
     private readonly endsAt: number,
   ) {}
 
-  strike(fault: NamedFault): void {
+  inject(fault: OptInFault): void {
     switch (fault.kind) {
       case 'poison_request':
         return void this.repeatPoisonRequest(fault);
@@ -61,7 +61,7 @@
 
   private async joinDuringCut(fault: FaultOf<'joined_during_cut'>): Promise<void> {
     const undisturbed = undisturbedGateways(this.system);
-    const counter = counterOf(undisturbed);
+    const counter = limitCounterOf(undisturbed);
     const others = undisturbed.filter((gateway) => gateway !== counter);
     const cut = [fault.cutsCounter ? counter : this.random.pick(others)];
     if (fault.cutCount > 1) cut.push(others.find((gateway) => !cut.includes(gateway)));
@@ -86,7 +86,7 @@
     const replica = this.random.pick(spareReplicas(this.system));
     if (replica === undefined) return;
     this.system.replicaFaults.push({ from: Date.now(), until: Date.now() + serveMs });
-    void replica.leaveByAnswers(serveMs, listedAfterMs).then(() => replica.start());
+    void replica.leaveByResponses(serveMs, listedAfterMs).then(() => replica.start());
   }
 
   private requestBackoff(fault: FaultOf<'backend_asks_rest'>): void {
@@ -94,7 +94,7 @@
     const until = Date.now() + milliseconds + restSeconds * 1_000;
     this.system.replicaFaults.push({ from: Date.now(), until });
     for (const replica of this.system.replicas) {
-      if (this.random.chance(share)) replica.askForRest(milliseconds, restSeconds);
+      if (this.random.chance(share)) replica.requestBackoff(milliseconds, restSeconds);
     }
   }
 
@@ -103,14 +103,14 @@
     const until = Math.min(Date.now() + limits.length * eachMs, this.endsAt);
     this.system.replicaFaults.push({ from: Date.now(), until });
     const limited = this.system.replicas
-      .filter((replica) => this.random.chance(share) && !replica.namesRateLimit)
+      .filter((replica) => this.random.chance(share) && !replica.hasRateLimit)
       .map((replica) => ({ replica, id: replica.id }));
     if (crashAfterMs > 0) setTimeout(() => this.crashAndRestart(limited[0]?.replica), crashAfterMs);
     if (cutMs > 0) this.random.pick([...this.system.gateways.values()])?.cutOff(cutMs);
     const announce = (perSecond: number | undefined): void => {
       for (const { replica, id } of limited) {
         // A restarted replica has a new id and does not take over the rate limit of the earlier process.
-        if (replica.id === id) replica.nameRateLimit(perSecond);
+        if (replica.id === id) replica.setRateLimit(perSecond);
       }
     };
     for (const perSecond of limits) {
@@ -143,7 +143,7 @@
     store.condition = 'sound';
     setTimeout(() => this.changeAfterRestore(), fault.changesAfterMs);
     await sleep(fault.rewrittenAfterMs);
-    store.writeAgain(lostRecords);
+    store.repeatLostWrites(lostRecords);
     for (let write = 0; write < fault.otherWrites; write++) store.put('other', 'x', { write });
     this.isRestoring = false;
   }
@@ -167,6 +167,6 @@
     const undisturbed = undisturbedGateways(this.system);
     if (undisturbed.length < 2) return undefined;
     if (who === 'owner') return ownerOf(this.system, undisturbed);
-    return who === 'counter' ? counterOf(undisturbed) : this.random.pick(undisturbed);
+    return who === 'counter' ? limitCounterOf(undisturbed) : this.random.pick(undisturbed);
   }
 }
--- a/test/soak/named-fault-plan.test.ts
+++ b/test/soak/opt-in-fault-plan.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { NAMED_FAULT_KINDS, planNamedFaults } from './named-fault-plan.js';
+import { OPT_IN_FAULT_KINDS, planOptInFaults } from './opt-in-fault-plan.js';
 import { SeededRandom } from './seeded-random.js';
 
 const SEED_COUNT = 20;
@@ -9,30 +9,30 @@
 const MAX_DEVIATION = 0.25;
 
 const kindsOf = (seed: number): string[] => {
-  return planNamedFaults(new SeededRandom(seed), PLAN_MS, NAMED_FAULT_KINDS).map(
+  return planOptInFaults(new SeededRandom(seed), PLAN_MS, OPT_IN_FAULT_KINDS).map(
     ({ fault }) => fault.kind,
   );
 };
 
 describe('plan of opt-in faults', () => {
   it('is reproducible from its seed, has only the requested kinds, and is empty without kinds', () => {
-    const planOf = (seed: number, kinds = NAMED_FAULT_KINDS): unknown[] => {
-      return planNamedFaults(new SeededRandom(seed), 60_000, kinds);
+    const planOf = (seed: number, kinds = OPT_IN_FAULT_KINDS): unknown[] => {
+      return planOptInFaults(new SeededRandom(seed), 60_000, kinds);
     };
     expect(planOf(1)).toEqual(planOf(1));
     expect(planOf(1)).not.toEqual(planOf(2));
     for (let seed = 1; seed <= SEED_COUNT; seed += 1) {
-      expect(new Set(kindsOf(seed))).toEqual(new Set(NAMED_FAULT_KINDS));
+      expect(new Set(kindsOf(seed))).toEqual(new Set(OPT_IN_FAULT_KINDS));
     }
-    const only = planNamedFaults(new SeededRandom(3), 60_000, ['suspended']);
+    const only = planOptInFaults(new SeededRandom(3), 60_000, ['suspended']);
     expect(only.every(({ fault }) => fault.kind === 'suspended')).toBe(true);
     expect(planOf(1, [])).toEqual([]);
   });
 
   it('draws all kinds about equally often', () => {
     const drawn = Array.from({ length: SEED_COUNT }, (_, index) => kindsOf(index + 1)).flat();
-    const evenShare = drawn.length / NAMED_FAULT_KINDS.length;
-    for (const kind of NAMED_FAULT_KINDS) {
+    const evenShare = drawn.length / OPT_IN_FAULT_KINDS.length;
+    for (const kind of OPT_IN_FAULT_KINDS) {
       const count = drawn.filter((each) => each === kind).length;
       expect(Math.abs(count - evenShare)).toBeLessThan(evenShare * MAX_DEVIATION);
     }
--- a/test/soak/named-fault-plan.ts
+++ b/test/soak/opt-in-fault-plan.ts
@@ -8,7 +8,7 @@
 export type SuspendedGateway = 'owner' | 'counter' | 'any';
 
 /** A fault of the opt-in kinds. */
-export type NamedFault =
+export type OptInFault =
   /** A request that crashes every replica that runs it is repeated at random gateways, sometimes several at once. */
   | {
       readonly kind: 'poison_request';
@@ -81,13 +81,13 @@
     };
 
 /** A fault and its start time, in milliseconds after the start of the fault phase. */
-export interface PlannedNamedFault {
+export interface PlannedOptInFault {
   readonly at: number;
-  readonly fault: NamedFault;
+  readonly fault: OptInFault;
 }
 
 /** All kinds of opt-in faults. */
-export const NAMED_FAULT_KINDS: readonly NamedFault['kind'][] = [
+export const OPT_IN_FAULT_KINDS: readonly OptInFault['kind'][] = [
   'poison_request',
   'answers_tell_leaving',
   'backend_asks_rest',
@@ -106,12 +106,12 @@
 const SUSPENDED_GATEWAYS: readonly SuspendedGateway[] = ['owner', 'owner', 'counter', 'any'];
 
 /** Plans faults of the given kinds that start within the given number of milliseconds; none without a kind. */
-export function planNamedFaults(
+export function planOptInFaults(
   random: SeededRandom,
   milliseconds: number,
-  kinds: readonly NamedFault['kind'][],
-): PlannedNamedFault[] {
-  const plan: PlannedNamedFault[] = [];
+  kinds: readonly OptInFault['kind'][],
+): PlannedOptInFault[] {
+  const plan: PlannedOptInFault[] = [];
   let at = 0;
   for (;;) {
     at += random.between(MIN_GAP_MS, MAX_GAP_MS);
@@ -121,7 +121,7 @@
   }
 }
 
-function drawFault(random: SeededRandom, kind: NamedFault['kind']): NamedFault {
+function drawFault(random: SeededRandom, kind: OptInFault['kind']): OptInFault {
   switch (kind) {
     case 'poison_request':
       return {
--- a/test/soak/replica-stand-in.ts
+++ b/test/soak/replica-stand-in.ts
@@ -30,7 +30,7 @@
   /** Whether to reject orders with a lower epoch than one already seen; true by default. */
   readonly checksEpochs?: boolean;
   /** Called when a request crashed the replica; it restarts after `backMs` milliseconds. */
-  readonly onPoisoned?: (backMs: number) => void;
+  readonly onCrashedByRequest?: (backMs: number) => void;
 }
 
 interface OrderBody {
@@ -42,7 +42,7 @@
 }
 
 /** Models that fit into memory at the same time. */
-export const MODELS_THAT_FIT = 2;
+export const MAX_LOADED_MODELS = 2;
 const SLOTS = 6;
 const LOAD_MS = 250;
 const UNLOAD_MS = 30;
@@ -136,7 +136,7 @@
     this.rateLimit = undefined;
     this.hasAnnouncedLimit = false;
     const server = http.createServer((request, response) => void this.receive(request, response));
-    this.connections.follow(server);
+    this.connections.track(server);
     await new Promise<void>((resolve) => server.listen(port, '127.0.0.1', resolve));
     this.address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
     this.server = server;
@@ -169,7 +169,7 @@
    * Leaves and announces it in each response. Its list entry shows it after `listedAfterMs`, or is only
    * removed when the replica ends.
    */
-  async leaveByAnswers(serveMs: number, listedAfterMs: number): Promise<void> {
+  async leaveByResponses(serveMs: number, listedAfterMs: number): Promise<void> {
     this.saysLeaving = true;
     const { id } = this;
     const list = (): void => {
@@ -185,18 +185,18 @@
   }
 
   /** Rejects requests for a time, and requests a backoff (Retry-After) in each rejection. */
-  askForRest(milliseconds: number, restSeconds: number): void {
+  requestBackoff(milliseconds: number, restSeconds: number): void {
     this.rejectsUntil = Date.now() + milliseconds;
     this.backoffMs = restSeconds * 1_000;
     this.backoffEndsAt = this.rejectsUntil + this.backoffMs;
   }
 
-  get namesRateLimit(): boolean {
+  get hasRateLimit(): boolean {
     return this.rateLimit !== undefined;
   }
 
   /** Sets the rate limit that its responses announce from now on; undefined for none. */
-  nameRateLimit(perSecond: number | undefined): void {
+  setRateLimit(perSecond: number | undefined): void {
     this.rateLimit = perSecond;
     this.hasAnnouncedLimit ||= perSecond !== undefined;
   }
@@ -276,7 +276,8 @@
     if (this.busy) return 409;
     if (this.models.has(model) === isLoad) return 200;
     if (expectedCount !== this.sequence) return 409;
-    if (isLoad && this.models.size >= MODELS_THAT_FIT) this.violated('memory_overcommitted', model);
+    if (isLoad && this.models.size >= MAX_LOADED_MODELS)
+      this.violated('memory_overcommitted', model);
     this.sequence += 1;
     this.busy = true;
     if (!isLoad) this.models.delete(model);
@@ -314,7 +315,7 @@
     detail: string,
     about: Pick<ReplicaViolation, 'sender' | 'attemptId'> = {},
   ): void {
-    this.options.log.violated({ kind, replica: this.id, detail, ...about });
+    this.options.log.recordViolation({ kind, replica: this.id, detail, ...about });
   }
 
   private serve(request: http.IncomingMessage, body: string, response: http.ServerResponse): void {
@@ -331,7 +332,11 @@
     if (this.options.hasModels && !this.models.has(String(model))) return refuse(response, 421);
     if (this.running >= SLOTS) return refuse(response, 503);
     const tenant = request.headers['x-tenant'];
-    this.options.log.run(attemptId, this.id, tenant === undefined ? undefined : String(tenant));
+    this.options.log.recordRun(
+      attemptId,
+      this.id,
+      tenant === undefined ? undefined : String(tenant),
+    );
     if (condition === 'answers_lost' && random.chance(0.2)) return void request.socket.destroy();
     const seal = { 'x-attempt-id': attemptId, 'x-server-seal': `${this.id}.${attemptId}` };
     if (condition === 'fails_some' && random.chance(0.3)) {
@@ -352,7 +357,13 @@
     const rejects = at < this.rejectsUntil;
     const restMs = rejects ? this.backoffMs : 0;
     if (saysLeaving || at < this.backoffEndsAt) {
-      this.options.log.toldArrivals.push({ attemptId, replica: id, at, saysLeaving, restMs });
+      this.options.log.announcedArrivals.push({
+        attemptId,
+        replica: id,
+        at,
+        announcesLeaving: saysLeaving,
+        backoffMs: restMs,
+      });
     }
     if (saysLeaving) response.setHeader('server-leaving', '1');
     if (rejects) refuse(response, 503, { 'retry-after': (restMs / 1_000).toFixed(3) });
@@ -380,7 +391,7 @@
     const crash = (): void => {
       if (this.id !== id || !this.isUp) return;
       options.log.poisonCrashes.push({ name, attemptId, replica: id, at: Date.now() });
-      options.onPoisoned?.(backMs);
+      options.onCrashedByRequest?.(backMs);
       this.crash();
       setTimeout(() => void this.start(), backMs);
     };
--- a/test/soak/run-log.ts
+++ b/test/soak/run-log.ts
@@ -40,14 +40,14 @@
 }
 
 /** Arrival at a replica whose responses announce that it leaves, or request a backoff. */
-export interface ToldArrival {
+export interface AnnouncedArrival {
   readonly attemptId: string;
   readonly replica: string;
   /** Unix milliseconds. */
   readonly at: number;
-  readonly saysLeaving: boolean;
+  readonly announcesLeaving: boolean;
   /** Backoff that the response requests, in milliseconds; 0 for none. */
-  readonly restMs: number;
+  readonly backoffMs: number;
 }
 
 /** Arrival at a replica whose responses announce a rate limit, or have announced one. */
@@ -64,17 +64,17 @@
 export class RunLog {
   readonly runs: RunRecord[] = [];
   readonly violations: ReplicaViolation[] = [];
-  readonly toldArrivals: ToldArrival[] = [];
+  readonly announcedArrivals: AnnouncedArrival[] = [];
   readonly limitedArrivals: LimitedArrival[] = [];
   readonly poisonArrivals: PoisonArrival[] = [];
   readonly poisonCrashes: PoisonArrival[] = [];
   loads = 0;
 
-  run(attemptId: string, replica: string, tenant: string | undefined): void {
+  recordRun(attemptId: string, replica: string, tenant: string | undefined): void {
     this.runs.push({ attemptId, replica, tenant, at: Date.now() });
   }
 
-  violated(violation: Omit<ReplicaViolation, 'at'>): void {
+  recordViolation(violation: Omit<ReplicaViolation, 'at'>): void {
     this.violations.push({ ...violation, at: Date.now() });
   }
 }
--- a/test/soak/series-fault-injector.ts
+++ b/test/soak/series-fault-injector.ts
@@ -2,8 +2,8 @@
 import { sleep } from '../../src/common/process.js';
 import type { GatewayProcess } from './gateway-process.js';
 import type { SeededRandom } from './seeded-random.js';
-import type { CounterHarm, FollowingSignal, SeriesFault } from './series-fault-plan.js';
-import { counterOf } from './gateway-roles.js';
+import type { CounterDisturbance, FollowingSignal, SeriesFault } from './series-fault-plan.js';
+import { limitCounterOf } from './gateway-roles.js';
 import { undisturbedGateways, type SoakSystem } from './soak-system.js';
 
 type FaultOf<Kind extends SeriesFault['kind']> = Extract<SeriesFault, { kind: Kind }>;
@@ -17,7 +17,7 @@
     private readonly endsAt: number,
   ) {}
 
-  strike(fault: SeriesFault): void {
+  inject(fault: SeriesFault): void {
     switch (fault.kind) {
       case 'signals_at_stop':
         return void this.signalWhileStopping(fault.following);
@@ -37,7 +37,7 @@
     const gateway = this.pickUndisturbedGateway();
     if (gateway === undefined) return;
     const { pid } = gateway;
-    gateway.stopInTurn();
+    gateway.stopGracefully();
     for (const { signal, gapMs } of following) {
       await sleep(gapMs);
       // A restarted process has another pid and must not receive the signals meant for the stopping one.
@@ -59,7 +59,7 @@
 
   private async stopInSeries({ stops, gapMs }: FaultOf<'stops_and_changes'>): Promise<void> {
     for (let count = 0; count < stops && this.mayStartFault(); count++) {
-      this.pickUndisturbedGateway()?.stopInTurn();
+      this.pickUndisturbedGateway()?.stopGracefully();
       await sleep(gapMs);
     }
   }
@@ -89,7 +89,7 @@
   /** Returns the counter of the limited tenant by the rank among undisturbed gateways, or undefined if only one is left. */
   private currentCounter(): GatewayProcess | undefined {
     const gateways = undisturbedGateways(this.system);
-    return gateways.length < 2 ? undefined : counterOf(gateways);
+    return gateways.length < 2 ? undefined : limitCounterOf(gateways);
   }
 
   /** Returns undefined if no other undisturbed gateway would remain to serve callers. */
@@ -105,7 +105,7 @@
 
 function disturbGateway(
   gateway: GatewayProcess,
-  disturbance: CounterHarm,
+  disturbance: CounterDisturbance,
   milliseconds: number,
 ): void {
   switch (disturbance) {
@@ -116,6 +116,6 @@
     case 'killed':
       return gateway.kill();
     case 'stopped':
-      return gateway.stopInTurn();
+      return gateway.stopGracefully();
   }
 }
--- a/test/soak/series-fault-plan.ts
+++ b/test/soak/series-fault-plan.ts
@@ -5,7 +5,7 @@
 import type { SeededRandom } from './seeded-random.js';
 
 /** Kinds of disturbance of the gateway that counts the limited tenant. */
-export type CounterHarm = 'cut_off' | 'frozen' | 'killed' | 'stopped';
+export type CounterDisturbance = 'cut_off' | 'frozen' | 'killed' | 'stopped';
 
 /** A signal that follows an earlier one. */
 export interface FollowingSignal {
@@ -30,7 +30,7 @@
   /** The gateway that counts the limited tenant is disturbed, and then its successor as counter. */
   | {
       readonly kind: 'counter_harmed';
-      readonly harms: readonly CounterHarm[];
+      readonly harms: readonly CounterDisturbance[];
       readonly milliseconds: number;
       readonly gapMs: number;
     }
@@ -52,7 +52,7 @@
   'many_killed',
 ];
 
-const COUNTER_DISTURBANCES: readonly CounterHarm[] = [
+const COUNTER_DISTURBANCES: readonly CounterDisturbance[] = [
   'cut_off',
   'cut_off',
   'frozen',
--- a/test/soak/server-connections.ts
+++ b/test/soak/server-connections.ts
@@ -12,7 +12,7 @@
   private readonly silent = new WeakSet<Socket>();
 
   /** Tracks the connections of a server. */
-  follow(server: http.Server): void {
+  track(server: http.Server): void {
     server.on('connection', (socket: Socket) => {
       this.open.add(socket);
       socket.once('close', () => this.open.delete(socket));
--- a/test/soak/soak-configuration.ts
+++ b/test/soak/soak-configuration.ts
@@ -6,12 +6,12 @@
 const RETAINED_VERSION_ROUTES = 8;
 
 /** Returns the first version whose configuration no longer has the route of the given version. */
-export function droppedBy(version: number): number {
+export function firstVersionWithoutRoute(version: number): number {
   return version + RETAINED_VERSION_ROUTES;
 }
 
 /** Returns the newest version whose route the given version no longer has; below 1 if there is none. */
-export function newestDropped(version: number): number {
+export function newestVersionWithoutRoute(version: number): number {
   return version - RETAINED_VERSION_ROUTES;
 }
 
@@ -20,7 +20,7 @@
   version: number,
   modelNames: readonly string[],
 ): Record<string, unknown> {
-  const oldest = Math.max(1, newestDropped(version) + 1);
+  const oldest = Math.max(1, newestVersionWithoutRoute(version) + 1);
   const versions = Array.from({ length: version - oldest + 1 }, (_, index) => oldest + index);
   const models = modelNames.map((name) => {
     const times = { loadS: 0.25, diskS: 0.25, warmS: 0.25 };
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -17,23 +17,23 @@
 import { FurtherFaultInjector } from './further-fault-injector.js';
 import { FURTHER_FAULT_KINDS, planFurtherFaults, type FurtherFault } from './further-fault-plan.js';
 import { LeavingFaultInjector } from './leaving-fault-injector.js';
-import { NamedFaultInjector } from './named-fault-injector.js';
-import { NAMED_FAULT_KINDS, planNamedFaults, type NamedFault } from './named-fault-plan.js';
-import { LONGEST_SERVICE_MS, planLeavingFaults, type LeavingFault } from './leaving-fault-plan.js';
+import { OptInFaultInjector } from './opt-in-fault-injector.js';
+import { OPT_IN_FAULT_KINDS, planOptInFaults, type OptInFault } from './opt-in-fault-plan.js';
+import { MAX_SERVICE_MS, planLeavingFaults, type LeavingFault } from './leaving-fault-plan.js';
 import { limitMargin, type LimitMargin } from './limit-margin.js';
 import { GatewayProcess, type GatewayPorts } from './gateway-process.js';
-import { portsByCountRank } from './gateway-roles.js';
+import { portsByLimitCounterRank } from './gateway-roles.js';
 import { KeptConnection } from './kept-connection.js';
 import { ObjectStoreStandIn } from './object-store-stand-in.js';
-import { MODELS_THAT_FIT, ReplicaStandIn } from './replica-stand-in.js';
+import { MAX_LOADED_MODELS, ReplicaStandIn } from './replica-stand-in.js';
 import { RunLog } from './run-log.js';
 import { SeriesFaultInjector } from './series-fault-injector.js';
 import { planSeriesFaults, type SeriesFault } from './series-fault-plan.js';
-import { configurationOf, newestDropped } from './soak-configuration.js';
-import { drawCaller, HOT_TURNS_MS, isHotByTurns, STEADY_TENANT } from './soak-tenants.js';
+import { configurationOf, newestVersionWithoutRoute } from './soak-configuration.js';
+import { drawCaller, HOT_CYCLE_MS, isInHotPeriod, STEADY_TENANT } from './soak-tenants.js';
 import type { SoakSystem } from './soak-system.js';
 import { SeededRandom } from './seeded-random.js';
-import { dutiesOf, metHotCounter, type StruckGateway } from './struck-gateways.js';
+import { rolesOf, hitHotLimitCounter, type GatewayFault } from './gateway-faults.js';
 
 /** Groups of faults to inject. Each group has a separate random generator. */
 export type FaultKinds = 'first' | 'further' | 'both' | 'none';
@@ -61,7 +61,7 @@
   /** The basic kinds (`first`) by default. */
   readonly faultKinds?: FaultKinds;
   /** Restricts the further kinds to these (all by default), and enables the opt-in kinds that are listed. */
-  readonly only?: readonly (FurtherFault | NamedFault)['kind'][];
+  readonly only?: readonly (FurtherFault | OptInFault)['kind'][];
   /**
    * Whether the limited tenant always sends far more than its limit allows. By default it alternates between hot and
    * quiet periods, so that a fault coincides with a hot tenant in only about half of the runs.
@@ -115,7 +115,7 @@
 const PERSISTENT_CALLER_RATE = 3;
 const STARTUP_MS = 3_000;
 /** Opt-in faults that also cut gateways off. */
-const CUTTING_KINDS: readonly NamedFault['kind'][] = [
+const CUTTING_KINDS: readonly OptInFault['kind'][] = [
   'backend_names_limit',
   'store_restored',
   'joined_during_cut',
@@ -141,7 +141,7 @@
   | { readonly kind: 'configuration_accepted'; readonly version: number }
   | { readonly kind: 'gateway_joined'; readonly gateway: string };
 
-type SoakFault = Fault | FurtherFault | LeavingFault | NamedFault | SeriesFault;
+type SoakFault = Fault | FurtherFault | LeavingFault | OptInFault | SeriesFault;
 
 class SoakRun implements SoakSystem {
   private readonly random: SeededRandom;
@@ -167,7 +167,7 @@
 
   constructor(private readonly options: SoakOptions) {
     this.random = new SeededRandom(options.seed);
-    this.hotPhaseMs = new SeededRandom(options.seed + RANK_SEED).between(0, HOT_TURNS_MS);
+    this.hotPhaseMs = new SeededRandom(options.seed + RANK_SEED).between(0, HOT_CYCLE_MS);
     const firstEra = options.seed % INITIAL_ERA_COUNT;
     this.store = new ObjectStoreStandIn(new SeededRandom(options.seed + 1), firstEra);
   }
@@ -177,7 +177,7 @@
     const faultsStart = Date.now() + STARTUP_MS;
     this.faultsStartAt = faultsStart;
     const { faultMs, leaving = false } = this.options;
-    const calmSince = faultsStart + faultMs + RECOVERY_MS + (leaving ? LONGEST_SERVICE_MS : 0);
+    const calmSince = faultsStart + faultMs + RECOVERY_MS + (leaving ? MAX_SERVICE_MS : 0);
     this.endsAt = calmSince + CALM_PHASE_MS;
     const faults = this.planAll(faultsStart);
     await sleep(STARTUP_MS);
@@ -187,8 +187,8 @@
       calls: this.calls,
       probes: this.probes,
       runs: this.log.runs,
-      replicaViolations: this.log.violations,
-      toldArrivals: this.log.toldArrivals,
+      observedViolations: this.log.violations,
+      announcedArrivals: this.log.announcedArrivals,
       limitedArrivals: this.log.limitedArrivals,
       poisonArrivals: this.log.poisonArrivals,
       poisonCrashes: this.log.poisonCrashes,
@@ -196,22 +196,25 @@
       gateways: {
         wasDisturbed: (name, { from, until }) => this.gateway(name).wasDisturbed(from, until),
         wasInterrupted: (name, { from, until }) => this.gateway(name).wasInterrupted(from, until),
-        wasJustFreed: (name, { from, until }) => this.gateway(name).wasJustFreed(from, until),
-        wasHarmed: (name, { from, until }) => this.gateway(name).wasHarmed(from, until),
+        wasJustResumed: (name, { from, until }) => this.gateway(name).wasJustResumed(from, until),
+        hadFault: (name, { from, until }) => this.gateway(name).hadFault(from, until),
         stopDuring: (name, { from, until }) => this.gateway(name).stopDuring(from, until),
       },
       storeFaults: this.storeFaults,
       replicaFaults: this.replicaFaults,
-      calmSince,
+      faultFreeSince: calmSince,
       promisesRevocation: this.options.promisesRevocation ?? true,
-      unaskedExits: [...this.gateways.values()].reduce((sum, each) => sum + each.unaskedExits, 0),
+      unexpectedExits: [...this.gateways.values()].reduce(
+        (sum, each) => sum + each.unexpectedExits,
+        0,
+      ),
     };
     await this.stop();
     return {
       violations: audit(evidence),
       excused: excusedViolations(evidence),
       calls: this.calls.length,
-      served: this.calls.filter((each) => each.status === 200 && each.isWhole).length,
+      served: this.calls.filter((each) => each.status === 200 && each.isComplete).length,
       faults,
       loads: this.log.loads,
       storeCalls: this.store.calls,
@@ -237,7 +240,7 @@
     if (faultKinds === 'further' || faultKinds === 'none') return 0;
     const faults = new FaultInjector(this, this.random);
     const plan = planFaults(this.random, faultMs);
-    return this.schedule(plan, faultsStart, (fault) => faults.strike(fault));
+    return this.schedule(plan, faultsStart, (fault) => faults.inject(fault));
   }
 
   /** Schedules the faults and returns their number. */
@@ -248,7 +251,7 @@
     const faults = new FurtherFaultInjector(this, random, faultsStart + faultMs);
     const kinds = FURTHER_FAULT_KINDS.filter((kind) => only?.includes(kind));
     const plan = planFurtherFaults(random, faultMs, kinds);
-    return this.schedule(plan, faultsStart, (fault) => faults.strike(fault));
+    return this.schedule(plan, faultsStart, (fault) => faults.inject(fault));
   }
 
   /** Schedules the departures and returns their number. */
@@ -258,20 +261,20 @@
     const random = new SeededRandom(seed + LEAVING_SEED);
     const faults = new LeavingFaultInjector(this, random);
     const plan = planLeavingFaults(random, faultMs);
-    return this.schedule(plan, faultsStart, (fault) => faults.strike(fault));
+    return this.schedule(plan, faultsStart, (fault) => faults.inject(fault));
   }
 
-  private get namedKinds(): NamedFault['kind'][] {
-    return NAMED_FAULT_KINDS.filter((kind) => this.options.only?.includes(kind));
+  private get namedKinds(): OptInFault['kind'][] {
+    return OPT_IN_FAULT_KINDS.filter((kind) => this.options.only?.includes(kind));
   }
 
   /** Schedules the faults and returns their number. */
   private planNamed(faultsStart: number): number {
     const { seed, faultMs } = this.options;
     const random = new SeededRandom(seed + NAMED_SEED);
-    const faults = new NamedFaultInjector(this, random, faultsStart + faultMs);
-    const plan = planNamedFaults(random, faultMs, this.namedKinds);
-    return this.schedule(plan, faultsStart, (fault) => faults.strike(fault));
+    const faults = new OptInFaultInjector(this, random, faultsStart + faultMs);
+    const plan = planOptInFaults(random, faultMs, this.namedKinds);
+    return this.schedule(plan, faultsStart, (fault) => faults.inject(fault));
   }
 
   /** Schedules the series and returns their number. */
@@ -281,7 +284,7 @@
     const random = new SeededRandom(seed + SERIES_SEED);
     const faults = new SeriesFaultInjector(this, random, faultsStart + faultMs);
     const plan = planSeriesFaults(random, faultMs, series);
-    return this.schedule(plan, faultsStart, (fault) => faults.strike(fault));
+    return this.schedule(plan, faultsStart, (fault) => faults.inject(fault));
   }
 
   private schedule<Kind extends SoakFault>(
@@ -346,7 +349,7 @@
       ...(checksEpochs === undefined ? {} : { backendsCheckEpochs: checksEpochs }),
       ...(this.hasCuts ? { silencedPorts: peerPorts } : {}),
       isSuspendable: this.namedKinds.includes('suspended'),
-      onStruck: (kind, milliseconds) => this.recordGatewayFault(name, kind, milliseconds),
+      onFault: (kind, milliseconds) => this.recordGatewayFault(name, kind, milliseconds),
     });
   }
 
@@ -370,7 +373,7 @@
   private orderPeerPorts(ports: readonly number[]): number[] {
     if (this.options.drawsRanks !== true) return [...ports];
     const random = new SeededRandom(this.options.seed + RANK_SEED);
-    const remaining = portsByCountRank(ports);
+    const remaining = portsByLimitCounterRank(ports);
     return ports.map(() => {
       const [port = 0] = remaining.splice(Math.floor(random.between(0, remaining.length)), 1);
       return port;
@@ -380,8 +383,8 @@
   private makeReplica(index: number): ReplicaStandIn {
     const { seed, checksEpochs = true, replicas = REPLICAS } = this.options;
     const hasModels = index < Math.round(replicas * MODEL_REPLICA_SHARE);
-    const first = index % (MODELS.length - MODELS_THAT_FIT + 1);
-    const models = hasModels ? MODELS.slice(first, first + MODELS_THAT_FIT) : [];
+    const first = index % (MODELS.length - MAX_LOADED_MODELS + 1);
+    const models = hasModels ? MODELS.slice(first, first + MAX_LOADED_MODELS) : [];
     return new ReplicaStandIn({
       name: `replica-${index}`,
       service: hasModels ? 'models' : 'plain',
@@ -391,7 +394,7 @@
       log: this.log,
       random: new SeededRandom(seed + 100 + index),
       checksEpochs,
-      onPoisoned: (backMs) => {
+      onCrashedByRequest: (backMs) => {
         this.replicaFaults.push({ from: Date.now(), until: Date.now() + backMs });
       },
     });
@@ -411,17 +414,17 @@
 
   private recordGatewayFault(
     gateway: string,
-    struck: StruckGateway['struck'],
+    struck: GatewayFault['struck'],
     milliseconds: number,
   ): void {
-    const duties = dutiesOf(this, gateway, Date.now());
+    const duties = rolesOf(this, gateway, Date.now());
     const gatewayFault = { gateway, struck, milliseconds, duties, isHot: this.isHot() };
-    if (metHotCounter(gatewayFault)) this.hotCounterFaults += 1;
+    if (hitHotLimitCounter(gatewayFault)) this.hotCounterFaults += 1;
     this.logEvent(gatewayFault);
   }
 
   /** Appends an event to `faults.log`, next to the logs of the gateways. */
-  private logEvent(event: SoakFault | StruckGateway | SoakEvent): void {
+  private logEvent(event: SoakFault | GatewayFault | SoakEvent): void {
     const line = `${new Date().toISOString()} ${JSON.stringify(event)}\n`;
     appendFileSync(path.join(this.options.folder, 'faults.log'), line);
   }
@@ -494,7 +497,7 @@
   /** Returns the newest versions, and the newest version whose route was dropped. */
   private probedVersions(): number[] {
     const newest = Array.from({ length: PROBED_VERSIONS }, (_, back) => this.version - back);
-    return [...newest, newestDropped(this.version)].filter((version) => version > 0);
+    return [...newest, newestVersionWithoutRoute(this.version)].filter((version) => version > 0);
   }
 
   private probe(gateway: string, version: number): void {
@@ -548,8 +551,8 @@
   private isHot(): boolean {
     const { alwaysHot = false, drawsRanks = false } = this.options;
     if (alwaysHot) return true;
-    if (!drawsRanks) return isHotByTurns(Date.now());
-    return isHotByTurns(Date.now() - this.faultsStartAt + this.hotPhaseMs);
+    if (!drawsRanks) return isInHotPeriod(Date.now());
+    return isInHotPeriod(Date.now() - this.faultsStartAt + this.hotPhaseMs);
   }
 
   /** Returns the gateways to which the load balancer routes new callers. */
--- a/test/soak/soak-tenants.ts
+++ b/test/soak/soak-tenants.ts
@@ -16,7 +16,7 @@
 const LIMIT_PER_SECOND = 400;
 const LIMIT_BURST = 400;
 /** Units (tokens) that each request of the limited tenant costs. */
-export const UNITS = 100;
+export const UNITS_PER_REQUEST = 100;
 /** Number of keys of the rotating tenant that are valid at the same time. */
 const VALID_ROTATING_KEYS = 2;
 /** Number of latest keys that callers of the rotating tenant try, including revoked ones. */
@@ -24,7 +24,7 @@
 /** Length of the alternating periods in which the limited tenant sends far more, or less, than its limit allows. */
 const HOT_PERIOD_MS = 6_000;
 /** Time from the start of one hot period to the start of the next. */
-export const HOT_TURNS_MS = 2 * HOT_PERIOD_MS;
+export const HOT_CYCLE_MS = 2 * HOT_PERIOD_MS;
 
 /** Tenant and API key of a caller. */
 export interface Caller {
@@ -33,7 +33,7 @@
 }
 
 /** Returns the maximum number of units that the limited tenant may use in one window. */
-export function unitsAllowed(): number {
+export function maxUnitsPerWindow(): number {
   const plain = (LIMIT_PER_SECOND * LIMIT_WINDOW_MS) / 1_000 + LIMIT_BURST;
   return plain * (1 + LIMIT_EXCESS) + LIMIT_SLACK;
 }
@@ -43,7 +43,7 @@
   const rotating = Array.from({ length: VALID_ROTATING_KEYS }, (_, back) =>
     rotatingKey(version - back),
   );
-  const limit = { unit: 'tokens', plainTokens: UNITS };
+  const limit = { unit: 'tokens', plainTokens: UNITS_PER_REQUEST };
   return [
     { name: STEADY_TENANT, apiKeys: [`${STEADY_TENANT}-key`], priority: 1 },
     {
@@ -58,13 +58,13 @@
 }
 
 /** Returns the configuration version that revokes a key, or undefined if the key is never revoked. */
-export function removedBy({ tenant, key }: Caller): number | undefined {
+export function revokingVersion({ tenant, key }: Caller): number | undefined {
   if (tenant !== ROTATING_TENANT) return undefined;
   return Number(key.slice(ROTATING_TENANT.length + 1)) + VALID_ROTATING_KEYS;
 }
 
 /** Returns whether the limited tenant is in a hot period, far above its limit, at a time in Unix milliseconds. */
-export function isHotByTurns(now: number): boolean {
+export function isInHotPeriod(now: number): boolean {
   return Math.floor(now / HOT_PERIOD_MS) % 2 === 1;
 }
 
--- a/test/soak/soak.test.ts
+++ b/test/soak/soak.test.ts
@@ -1,6 +1,6 @@
 import { beforeAll, describe, expect, it } from 'vitest';
 import { buildGateway } from './gateway-process.js';
-import type { NamedFault } from './named-fault-plan.js';
+import type { OptInFault } from './opt-in-fault-plan.js';
 import { runSoak, soakFolder } from './soak-run.js';
 
 const SEED = 21;
@@ -33,7 +33,7 @@
  */
 const NAMED_SEED = 53_001;
 const NAMED_FAULT_MS = 40_000;
-const RESPONSE_FAULT_KINDS: readonly NamedFault['kind'][] = [
+const RESPONSE_FAULT_KINDS: readonly OptInFault['kind'][] = [
   'poison_request',
   'answers_tell_leaving',
   'backend_asks_rest',
--- a/test/soak/store-outage.ts
+++ b/test/soak/store-outage.ts
@@ -3,7 +3,7 @@
 import type { SoakSystem } from './soak-system.js';
 
 /** Puts the store into a faulty condition for all clients for a time; returns at once if it is already faulty. */
-export async function strikeStore(
+export async function simulateStoreOutage(
   { store, storeFaults }: Pick<SoakSystem, 'store' | 'storeFaults'>,
   condition: StoreCondition,
   milliseconds: number,
