--- a/src/core/policies.ts
+++ b/src/core/policies.ts
@@ -40,7 +40,7 @@
    * freed for it.
    */
   'relieveCrowdedCopies',
-  /** One keeper per backend counts its slots over all daemons and orders the waiting requests. */
+  /** One slot allocator per backend counts its slots over all daemons and orders the waiting requests. */
   'sharedSlots',
   /** Backend speeds are learned from streams and used to place models and requests. */
   'learnedCapacity',
--- a/src/gateway/slot-admission.ts
+++ b/src/gateway/slot-admission.ts
@@ -289,7 +289,7 @@
     this.options.logger.warn('slot_keeper_silent', {
       request: params.request,
       backend,
-      allocators: allocator,
+      keeper: allocator,
       waitedMs,
     });
     known.status = undefined;
@@ -445,7 +445,7 @@
     this.options.logger.info('slot_keeper_changed', {
       backend: id,
       former,
-      allocators: allocator,
+      keeper: allocator,
       inFlight,
       waiting,
     });
--- a/test/platform/kind-follower.test.ts
+++ b/test/platform/kind-follower.test.ts
@@ -60,7 +60,7 @@
     store: store as unknown as ObjectStore,
     logger: silentLogger,
     kind: 'servers',
-    watchSettings: pace,
+    pace: pace,
     onObjects: (copy) => {
       copies.push(copy);
       seen.push(copy.objects.get('x')?.spec);
--- a/test/platform/object-store.test.ts
+++ b/test/platform/object-store.test.ts
@@ -131,7 +131,7 @@
       store,
       logger,
       kind: 'servers',
-      watchSettings: pace,
+      pace: pace,
       onObjects,
     });
     void follower.run();
