--- a/spec/directory.pml
+++ b/spec/directory.pml
@@ -40,7 +40,7 @@
 bit heard;
 bit heardAnswered;
 
-/* DirectoryDuty.takeList: a first list is compared with nothing. */
+/* DirectoryFollower.applyList: a first list is compared with nothing. */
 inline read(reader) {
   if
   :: hasRead[reader] && copy[reader] && !listed -> ended[reader] = 1; endedAge[reader] = 0
@@ -49,7 +49,7 @@
   copy[reader] = listed; hasRead[reader] = 1; skipped[reader] = 0
 }
 
-/* DirectoryDuty.hear, KnownReaders.hear */
+/* DirectoryFollower.applyUpdate, KnownReaders.recordStatus */
 inline hear(reader) {
   heard = 1;
   held = held && !ended[reader];
--- a/spec/idempotency.pml
+++ b/spec/idempotency.pml
@@ -72,7 +72,7 @@
   crashes = crashes + 1
 }
 
-/* ClaimTable.adopt: when two voters know the key for different requests, either may have
+/* ClaimTable.merge: when two voters know the key for different requests, either may have
  * its quorum, so neither is granted any more. */
 #define CONTESTED 3
 #ifdef FIRST_CLAIM_ADOPTED
--- a/spec/leaving.pml
+++ b/spec/leaving.pml
@@ -13,7 +13,7 @@
 /* What a list may still show, late or not: a start, as taking requests. */
 byte listedStart[DAEMONS] = 1;
 bit isListed[DAEMONS] = 1;
-/* Starts of which a daemon holds that they leave. DeclaredLeavings.note */
+/* Starts of which a daemon holds that they leave. AnnouncedShutdowns.add */
 byte declared[DAEMONS];
 /* Starts of which an answer has told a daemon so. */
 byte answered[DAEMONS];
--- a/spec/orders.pml
+++ b/spec/orders.pml
@@ -61,7 +61,7 @@
 #define MAY_ADOPT (!reportBusy)
 #endif
 
-/* BackendLedger.send: the room is worked out from what is believed. */
+/* BackendLedger.recordSent: the room is worked out from what is believed. */
 inline give(owner, operation, which) {
   sent[owner * ORDERS + given[owner]] = operation;
   sentIncarnation[owner * ORDERS + given[owner]] = believedIncarnation[owner];
@@ -92,7 +92,7 @@
   sent[slot] = 0; sentIncarnation[slot] = 0; sentSequence[slot] = 0; sentModel[slot] = 0
 }
 
-/* BackendLedger.adopt. An older report does no harm: its sequence is no longer expected. */
+/* BackendLedger.applyReport. An older report does no harm: its sequence is no longer expected. */
 inline adopt(owner) {
 #ifdef MODELS_OF_OTHER_SEQUENCE
   believedSequence[owner] = sequence;
--- a/spec/pool.pml
+++ b/spec/pool.pml
@@ -327,7 +327,7 @@
   fi
 }
 
-/* EngineLedger.adopt and PoolOwner.orderAnswered: the answer to an order is a report too. */
+/* EngineLedger.applyReport and PoolOwner.orderAnswered: the answer to an order is a report too. */
 inline adoptReport(d, e, ofEpoch, order, first, second) {
   if
   :: ofEpoch > epoch[d] -> forget(d)
--- a/spec/rate-limit-news.pml
+++ b/spec/rate-limit-news.pml
@@ -65,7 +65,7 @@
        if
        :: request[d] == 0 -> request[d] = 1; sentUnder[d] = serial[d]
        :: request[d] == 1 -> request[d] = 2; answerNames[d] = names; answerCause[d] = changes
-       /* BackendRateLimits.noteAnswer */
+       /* BackendRateLimits.recordAnswer */
        :: request[d] == 2 && generation[d] < MOST_GENERATION ->
           request[d] = 0;
           if
@@ -84,7 +84,7 @@
           newsLimited[1 - d] = isLimited[d];
           newsGeneration[1 - d] = generation[d];
           newsCause[1 - d] = cause[d]
-       /* BackendRateLimits.hear */
+       /* BackendRateLimits.merge */
        :: hasNews[d] ->
           hasNews[d] = 0;
           if
--- a/spec/revocation.pml
+++ b/spec/revocation.pml
@@ -63,7 +63,7 @@
 #define MAY_SEND(d) (IS_CURRENT(d) && !version[d])
 #endif
 
-/* ConfigurationLease.prove: proofs only grow. */
+/* ConfigurationLease.addProof: proofs only grow. */
 inline prove(d, at) {
   if
   :: at > proven[d] -> proven[d] = at
