--- a/src/core/capacity/capacity-estimate.ts
+++ b/src/core/capacity/capacity-estimate.ts
@@ -3,7 +3,7 @@
  * daemons. The statistical model is log(gap) = log(the model's usual gap) - log(the backend's speed). Statistics of
  * each pair of a backend and a model decay exponentially. Speeds and gaps are fitted to them in
  * alternation (alternating least squares); ridge regression pulls each towards its prior while there is
- * little data. Outlying reports are winsorized, so that spells (short slow periods of a backend) hardly
+ * little data. Outlying reports are winsorized, so that short slow periods of a backend hardly
  * move its speed. A separate short-term average tracks backends that are temporarily slow.
  *
  * One unit of weight stands for {@link GAPS_PER_WEIGHT} gaps. Logarithms are natural. No I/O; times are
@@ -19,7 +19,7 @@
 const SLOWNESS_TIME_CONSTANT_MS = 2_000;
 /** Log slowdown from which a backend counts as temporarily slow: a smaller one ends before daemons learn of it. */
 const SLOWNESS_DEADBAND = Math.log(1.35);
-/** Consecutive gaps fall into the same spell, so this many of them carry as much information as one independent gap. */
+/** Consecutive gaps fall into the same slow period, so this many of them carry as much information as one independent gap. */
 const GAPS_PER_WEIGHT = 8;
 /** Maximum weight of one daemon's report on a pair, so that no single daemon determines the estimate. */
 const MAX_REPORT_WEIGHT = 4;
@@ -27,7 +27,7 @@
 const SPEED_PRIOR_WEIGHT = 0.5;
 /** Prior weight of a model's gap: almost none, because nothing is known in advance. */
 const MODEL_PRIOR_WEIGHT = 0.001;
-/** Standard deviation of the log gap at weight 1, including spells. */
+/** Standard deviation of the log gap at weight 1, including slow periods. */
 const GAP_SPREAD = 0.5;
 /** A speed within this many of its standard errors of the usual speed counts as usual. */
 const SIGNIFICANT_STANDARD_ERRORS = 1.5;
@@ -37,18 +37,18 @@
 const PUBLISH_TOLERANCE = Math.log(1.1);
 /** Weight of a pair from which its expected gap is accurate enough to judge a report. */
 const MIN_JUDGING_WEIGHT = 2;
-/** Log deviations of reports are clamped to this size when slowness is measured: a larger deviation counts as a spell. */
+/** Log deviations of reports are clamped to this size when slowness is measured: a larger deviation counts as a slow period. */
 const MAX_DEVIATION = Math.log(3);
 /**
  * Log deviations are clamped to this size when the speed is estimated. Like a median, the speed is then
- * that of most of the time, and spells hardly move it. While there is little data, the wider initial limit
- * applies, so that the speed of a backend that was first seen in a spell is corrected soon.
+ * that of most of the time, and slow periods hardly move it. While there is little data, the wider initial limit
+ * applies, so that the speed of a backend that was first seen in a slow period is corrected soon.
  */
 const MAX_SPEED_DEVIATION = 0.15;
 const MAX_INITIAL_SPEED_DEVIATION = 0.6;
 /** Weight of a pair from which the narrow limit applies; below it the limit is interpolated between the two. */
 const NARROW_LIMIT_WEIGHT = 15;
-/** A daemon whose mean log deviation exceeds this gets less weight; spells alone cause half of this deviation. */
+/** A daemon whose mean log deviation exceeds this gets less weight; slow periods alone cause half of this deviation. */
 const CREDIBLE_DEVIATION = 0.7;
 /** Weight of a new report in a daemon's mean deviation. */
 const DEVIATION_SMOOTHING = 0.1;
@@ -161,7 +161,7 @@
     return new LearnedCapacity(this.figures);
   }
 
-  /** Capacity view for placing model copies, which stay for longer than a spell: leaves temporary slowness out. */
+  /** Capacity view for placing model copies, which stay for longer than a slow period: leaves temporary slowness out. */
   steadyView(): LearnedCapacity {
     return new LearnedCapacity({ ...this.figures, speeds: this.steadySpeeds });
   }
--- a/src/core/hold-policy-expected-service.ts
+++ b/src/core/hold-policy-expected-service.ts
@@ -41,9 +41,9 @@
    * Records the ratio of actual to forecast wait. For a request that ended unsent, the time spent is only a lower bound
    * of the wait, so it counts only if it exceeds the forecast.
    */
-  recordWait({ forecastMs: toldMs, spentMs, wasSent }: ObservedWait): void {
-    if (!wasSent && spentMs <= toldMs) return;
-    this.ratios[this.nextIndex] = (spentMs + ROUND_MS) / (toldMs + ROUND_MS);
+  recordWait({ forecastMs, spentMs, wasSent }: ObservedWait): void {
+    if (!wasSent && spentMs <= forecastMs) return;
+    this.ratios[this.nextIndex] = (spentMs + ROUND_MS) / (forecastMs + ROUND_MS);
     this.nextIndex = (this.nextIndex + 1) % MAX_REMEMBERED_RATIOS;
   }
 
--- a/src/core/membership.ts
+++ b/src/core/membership.ts
@@ -87,7 +87,7 @@
     return this.self;
   }
 
-  /** Members that may be given duties, including this daemon: neither dead nor leaving. */
+  /** Members that may be given roles, including this daemon: neither dead nor leaving. */
   live(): MemberView[] {
     const others = [...this.members.values()].map((entry) => entry.view);
     return [this.self, ...others].filter(isLive);
@@ -98,7 +98,7 @@
     return this.all().filter(({ address }) => this.isReachable(address));
   }
 
-  /** Whether a daemon may be given duties. */
+  /** Whether a daemon may be given roles. */
   isLive(address: string): boolean {
     if (address === this.self.address) return isLive(this.self);
     const entry = this.members.get(address);
@@ -174,7 +174,7 @@
     for (const view of message.members) {
       const wasLive = this.isLive(view.address);
       // The sender of the state spreads its members itself, so this daemon need not forward them.
-      this.applyUpdate(view, now, 'told');
+      this.applyUpdate(view, now, 'announced');
       foundMembers ||= !wasLive && this.isLive(view.address);
     }
     if (foundMembers) this.exchanges.recordNewMembers(now);
@@ -299,7 +299,7 @@
   }
 
   private receiveProbe(from: string, message: ProbeMessage, now: number): void {
-    for (const update of message.updates) this.applyUpdate(update, now, 'news');
+    for (const update of message.updates) this.applyUpdate(update, now, 'update');
     if (message.type === 'ping') this.acknowledge(from, message.sequence, now);
     if (message.type === 'ping_request') {
       this.probe(message.target, now, { address: from, sequence: message.sequence });
@@ -325,13 +325,13 @@
   }
 
   /** Applies a member's view if it supersedes the current one. */
-  private applyUpdate(update: MemberView, now: number, origin: 'news' | 'told'): void {
+  private applyUpdate(update: MemberView, now: number, origin: 'update' | 'announced'): void {
     if (update.address === this.self.address) return this.refute(update);
     const known = this.members.get(update.address)?.view;
     if (known === undefined && update.state === 'dead') return;
     if (known !== undefined && !supersedes(update, known)) return;
     this.setMember(update, now);
-    if (origin === 'news') this.queueUpdate(update.address);
+    if (origin === 'update') this.queueUpdate(update.address);
     else this.pendingUpdates.remove(update.address);
   }
 
@@ -353,7 +353,7 @@
   private setMember(view: MemberView, now: number): void {
     const before = this.members.get(view.address)?.view;
     this.members.set(view.address, { view, since: now });
-    // A suspicion alone changes no duty. Suspicions are frequent and short when machines are busy.
+    // A suspicion alone changes no role. Suspicions are frequent and short when machines are busy.
     if (before === undefined || isLive(before) !== isLive(view)) this.changed = true;
   }
 
@@ -374,7 +374,7 @@
   }
 }
 
-/** Whether a member may be given duties. A suspect may, until it counts as dead. */
+/** Whether a member may be given roles. A suspect may, until it counts as dead. */
 function isLive(view: MemberView): boolean {
   return view.state === 'alive' || view.state === 'suspect';
 }
--- a/src/core/duties.ts
+++ b/src/core/roles.ts
@@ -1,7 +1,7 @@
 /**
- * Assigns duties to daemons. Every daemon computes the assignment from the list of
+ * Assigns roles to daemons. Every daemon computes the assignment from the list of
  * live members by rendezvous hashing, without an election. If the lists of two
- * daemons differ, both may take the same duty; the compare-and-swap on the record
+ * daemons differ, both may take the same role; the compare-and-swap on the record
  * and the sealing of engines keep that safe. Performs no I/O.
  */
 import { firstCandidate, rankCandidates, rendezvousWeight } from '../common/rendezvous.js';
@@ -10,21 +10,24 @@
 const QUOTA_PARTITIONS = 256;
 
 /** The properties of a daemon that the assignment depends on. */
-export interface DutyMember {
+export interface RoleCandidate {
   readonly address: string;
   readonly zone: string;
   readonly site: string;
 }
 
 /** The properties of a pool that the assignment depends on. */
-export interface DutyPool {
+export interface RolePool {
   readonly pool: string;
   readonly zone: string;
   readonly site: string;
 }
 
 /** The daemon that should own a pool: one in the pool's zone if possible, else in its site, else any. */
-export function preferredOwner(pool: DutyPool, members: readonly DutyMember[]): string | undefined {
+export function preferredOwner(
+  pool: RolePool,
+  members: readonly RoleCandidate[],
+): string | undefined {
   const inZone = members.filter((m) => m.zone === pool.zone && m.site === pool.site);
   const inSite = members.filter((m) => m.site === pool.site);
   const nearest = [inZone, inSite, members].find((group) => group.length > 0) ?? [];
@@ -37,18 +40,18 @@
  * would take pools from owners that are still running.
  */
 export function reachesHalfOfSite(
-  pool: DutyPool,
-  members: readonly DutyMember[],
-  listed: readonly DutyMember[],
+  pool: RolePool,
+  members: readonly RoleCandidate[],
+  listed: readonly RoleCandidate[],
 ): boolean {
-  const isInSite = (member: DutyMember): boolean => member.site === pool.site;
+  const isInSite = (member: RoleCandidate): boolean => member.site === pool.site;
   return reachesHalf(members.filter(isInSite), listed.filter(isInSite));
 }
 
 /** Whether the live members are at least half of those that the platform lists. */
 export function reachesHalf(
-  members: readonly DutyMember[],
-  listed: readonly DutyMember[],
+  members: readonly RoleCandidate[],
+  listed: readonly RoleCandidate[],
 ): boolean {
   return members.length * 2 >= listed.length;
 }
@@ -57,7 +60,7 @@
 const HIGH_CAPACITY_SHARE = 0.75;
 
 /**
- * The daemons on the most powerful machines. If machines differ, duties whose load
+ * The daemons on the most powerful machines. If machines differ, roles whose load
  * grows with the size of the system go to these while at least one is live.
  */
 export function highCapacityMembers<Member extends { readonly capacity: number }>(
@@ -70,7 +73,7 @@
 /** Addresses of the daemons in a zone that read the platform's object API. */
 export function readersOf(
   zone: string,
-  members: readonly DutyMember[],
+  members: readonly RoleCandidate[],
   readersPerZone: number,
 ): string[] {
   const inZone = members.filter((member) => member.zone === zone);
@@ -79,8 +82,8 @@
 
 /** Addresses of the daemons from which `self` receives the configuration, preferred first. */
 export function upstreamsOf(
-  self: DutyMember,
-  members: readonly DutyMember[],
+  self: RoleCandidate,
+  members: readonly RoleCandidate[],
   readersPerZone: number,
   upstreams: number,
 ): string[] {
@@ -103,7 +106,7 @@
 }
 
 /** The quota partitions for which `self` is responsible. */
-export function quotaPartitionsOf(self: string, members: readonly DutyMember[]): Set<number> {
+export function quotaPartitionsOf(self: string, members: readonly RoleCandidate[]): Set<number> {
   const addresses = addressesOf(members);
   const parts = new Set<number>();
   for (let part = 0; part < QUOTA_PARTITIONS; part++) {
@@ -116,7 +119,7 @@
 export function votersOf(
   tenant: string,
   key: string,
-  members: readonly DutyMember[],
+  members: readonly RoleCandidate[],
   count: number,
 ): string[] {
   const ranked = rankCandidates(`${tenant}\n${key}`, addressesOf(members));
@@ -133,6 +136,6 @@
   return [...chosen, ...remaining].slice(0, count);
 }
 
-function addressesOf(members: readonly DutyMember[]): string[] {
+function addressesOf(members: readonly RoleCandidate[]): string[] {
   return members.map((member) => member.address);
 }
--- a/src/daemon/configuration-service.ts
+++ b/src/daemon/configuration-service.ts
@@ -6,7 +6,7 @@
 import { create } from '@bufbuild/protobuf';
 import type { Clock } from '../common/clock.js';
 import type { Logger } from '../common/logger.js';
-import { readersOf, upstreamsOf, type DutyMember } from '../core/duties.js';
+import { readersOf, upstreamsOf, type RoleCandidate } from '../core/roles.js';
 import type { Membership } from '../core/membership.js';
 import type { PlatformClient } from '../platform/platform-client.js';
 import {
@@ -34,7 +34,7 @@
 
 /** Dependencies and settings of {@link ConfigurationService}. */
 export interface ConfigurationServiceOptions {
-  readonly self: DutyMember;
+  readonly self: RoleCandidate;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly membership: Membership;
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -7,7 +7,7 @@
 import { LinkFaults } from '../common/link-faults.js';
 import { faultText, type Logger } from '../common/logger.js';
 import { startTicker, type Ticker } from '../common/process.js';
-import { reachesHalf } from '../core/duties.js';
+import { reachesHalf } from '../core/roles.js';
 import { AdaptiveKeepAlive } from '../core/keep-alive-adaptive.js';
 import { Membership } from '../core/membership.js';
 import type { MembershipEvent } from '../core/membership-messages.js';
@@ -41,10 +41,10 @@
 
 /** Milliseconds between two ticks of the membership protocol. */
 const MEMBERSHIP_TICK_MS = 50;
-/** Capacity value that excludes the capacity of the machine from the ranking for duties. */
+/** Capacity value that excludes the capacity of the machine from the ranking for roles. */
 const UNKNOWN_CAPACITY = 0;
 /** Milliseconds between two evaluations of pool ownership and peers. */
-const DUTY_TICK_MS = 500;
+const ROLE_TICK_MS = 500;
 /** Milliseconds between two deletions of expired claims. */
 const CLEANUP_MS = 30_000;
 /**
@@ -177,7 +177,7 @@
     };
     this.tickers.push(
       startTicker(MEMBERSHIP_TICK_MS, () => this.membershipTick(), onError),
-      startTicker(DUTY_TICK_MS, () => this.evaluateDuties(), onError),
+      startTicker(ROLE_TICK_MS, () => this.evaluateRoles(), onError),
       startTicker(RELAY_HEARTBEAT_MS, () => this.configuration.sendHeartbeats(), onError),
       startTicker(CLEANUP_MS, () => this.keyClaims.deleteExpired(), onError),
     );
@@ -367,7 +367,7 @@
     if (this.configuration.isCurrent()) this.claims.evaluate();
   }
 
-  private evaluateDuties(): void {
+  private evaluateRoles(): void {
     this.configuration.queryPeerRevisions();
     this.configuration.resubscribeSilentUpstreams();
     this.keyClaims.pullClaims();
--- a/src/daemon/key-claims.ts
+++ b/src/daemon/key-claims.ts
@@ -8,7 +8,7 @@
   type ClaimOutcome,
   type KeyClaim,
 } from '../core/claim-table.js';
-import { votersOf, type DutyMember } from '../core/duties.js';
+import { votersOf, type RoleCandidate } from '../core/roles.js';
 import type { Membership } from '../core/membership.js';
 import {
   ClaimKeyAnswerSchema,
@@ -64,7 +64,7 @@
    * live members: the live members differ on the two sides of a network partition, and
    * each side would reach its own quorum.
    */
-  readonly listedDaemons: () => readonly DutyMember[];
+  readonly listedDaemons: () => readonly RoleCandidate[];
   readonly send: (to: string, body: PeerBody) => void;
 }
 
--- a/src/daemon/pool-claims.ts
+++ b/src/daemon/pool-claims.ts
@@ -9,9 +9,9 @@
 import {
   preferredOwner,
   reachesHalfOfSite,
-  type DutyMember,
-  type DutyPool,
-} from '../core/duties.js';
+  type RoleCandidate,
+  type RolePool,
+} from '../core/roles.js';
 import type { Membership } from '../core/membership.js';
 import type { PoolRecord, RegisteredEngine } from '../core/records.js';
 import type { EngineClient } from '../engines/engine-client.js';
@@ -33,7 +33,7 @@
   readonly engines: EngineClient;
   readonly directory: Directory;
   /** The daemons in the platform's list. */
-  readonly listedDaemons: () => readonly DutyMember[];
+  readonly listedDaemons: () => readonly RoleCandidate[];
   /** Current revision of the configuration. */
   readonly configurationRevision: () => number;
   /** Starts an owner process for a pool record that names this daemon as owner. */
@@ -81,8 +81,8 @@
   }
 
   /** The pools that have a record, and those of the engines in the platform's list. */
-  private knownPools(): DutyPool[] {
-    const pools = new Map<string, DutyPool>();
+  private knownPools(): RolePool[] {
+    const pools = new Map<string, RolePool>();
     for (const record of this.options.directory.pools()) pools.set(record.pool, record);
     for (const machine of this.options.directory.machines()) {
       if (machine.kind !== 'engine' || pools.has(machine.pool)) continue;
@@ -91,7 +91,7 @@
     return [...pools.values()];
   }
 
-  private shouldClaim(pool: DutyPool): boolean {
+  private shouldClaim(pool: RolePool): boolean {
     const { self, membership, clock, directory } = this.options;
     if (this.claiming.has(pool.pool) || this.owners.has(pool.pool)) return false;
     if ((this.retryAt.get(pool.pool) ?? 0) > clock.now()) return false;
@@ -102,7 +102,7 @@
     return owner === '' || owner === self || !membership.isLive(owner);
   }
 
-  private async claim(pool: DutyPool): Promise<void> {
+  private async claim(pool: RolePool): Promise<void> {
     this.claiming.add(pool.pool);
     const record = await this.writeClaim(pool);
     if (record !== undefined && !this.stopped) this.startWhenCurrent(record);
@@ -110,7 +110,7 @@
     this.claiming.delete(pool.pool);
   }
 
-  private async writeClaim(pool: DutyPool): Promise<PoolRecord | undefined> {
+  private async writeClaim(pool: RolePool): Promise<PoolRecord | undefined> {
     const { self, platform, logger, membership } = this.options;
     const registered = this.options.directory.pool(pool.pool)?.engines ?? [];
     const found = await this.findEngines(pool.pool, registered);
@@ -132,7 +132,7 @@
   }
 
   private claimOf(
-    pool: DutyPool,
+    pool: RolePool,
     current: PoolRecord | undefined,
     found: readonly RegisteredEngine[],
   ): PoolRecord {
--- a/src/daemon/quota-reconciler.ts
+++ b/src/daemon/quota-reconciler.ts
@@ -6,7 +6,7 @@
 import type { Logger } from '../common/logger.js';
 import { faultText } from '../common/logger.js';
 import { Mailbox, sleep, startSerialWorker } from '../common/process.js';
-import { quotaPartition, quotaPartitionsOf } from '../core/duties.js';
+import { quotaPartition, quotaPartitionsOf } from '../core/roles.js';
 import type { Membership } from '../core/membership.js';
 import { reconcileQuota, type QuotaPool } from '../core/quota.js';
 import type { PlatformClient } from '../platform/platform-client.js';
--- a/src/gateway/configuration-lease-renewal.ts
+++ b/src/gateway/configuration-lease-renewal.ts
@@ -10,7 +10,7 @@
 import type { Logger } from '../common/logger.js';
 import { rankCandidates } from '../common/rendezvous.js';
 import { ConfigurationLease } from '../core/configuration-lease.js';
-import { highCapacityMembers } from '../core/duties.js';
+import { highCapacityMembers } from '../core/roles.js';
 import type { MemberView } from '../core/membership-messages.js';
 import type { PeerBody } from '../daemon/peer-transport.js';
 import { CurrencyAnswerSchema, CurrencyQuestionSchema } from '../proto/gen/internal_pb.js';
--- a/src/gateway/directory-follower.ts
+++ b/src/gateway/directory-follower.ts
@@ -14,7 +14,7 @@
 import { rankCandidates } from '../common/rendezvous.js';
 import type { BackendDirectory } from '../core/backend-directory.js';
 import type { BackendList, PresenceChanges } from '../core/backend-presence.js';
-import { highCapacityMembers } from '../core/duties.js';
+import { highCapacityMembers } from '../core/roles.js';
 import type { BackendRecord } from '../core/service-configuration.js';
 import { eraOf, revisionOf, type StorePosition } from '../core/store-position.js';
 import { RecentChanges } from '../core/recent-changes.js';
--- a/src/gateway/limit-group.ts
+++ b/src/gateway/limit-group.ts
@@ -3,7 +3,7 @@
 import { firstCandidate } from '../common/rendezvous.js';
 import type { LimitShares } from '../core/admission/limit-shares.js';
 import type { HolderView, RateLimit } from '../core/admission/rate-ledger.js';
-import { highCapacityMembers } from '../core/duties.js';
+import { highCapacityMembers } from '../core/roles.js';
 import type { MemberView } from '../core/membership-messages.js';
 import { resourceName, type LimitKind } from './limit-kind.js';
 
--- a/src/gateway/member-list.ts
+++ b/src/gateway/member-list.ts
@@ -3,7 +3,7 @@
 import { faultText, type Logger } from '../common/logger.js';
 import { startTicker, type Ticker } from '../common/process.js';
 import { PREVIOUS_ENTRY_VALID_MS, RENEWAL_EXPIRY_MS } from '../core/admission/limit-shares.js';
-import type { DutyMember } from '../core/duties.js';
+import type { RoleCandidate } from '../core/roles.js';
 import { MemberEntries } from '../core/member-entries.js';
 import type { StorePosition } from '../core/store-position.js';
 import type { GatewaySettings } from './gateway-settings.js';
@@ -27,7 +27,7 @@
 /** Maintains this daemon's entry in the list and reads the entries of the others. */
 export class MemberList {
   /** Daemons in the list as last read. */
-  listed: readonly DutyMember[] = [];
+  listed: readonly RoleCandidate[] = [];
   private ticker: Ticker | undefined;
   private isListed = false;
   /** Era of the store in which this daemon wrote its entry; 0 before that. */
--- a/src/gateway/ownership.ts
+++ b/src/gateway/ownership.ts
@@ -7,7 +7,7 @@
  */
 import { faultText, type Logger } from '../common/logger.js';
 import { rankCandidates } from '../common/rendezvous.js';
-import { highCapacityMembers, reachesHalf, type DutyMember } from '../core/duties.js';
+import { highCapacityMembers, reachesHalf, type RoleCandidate } from '../core/roles.js';
 import type { Membership } from '../core/membership.js';
 import type { MemberView } from '../core/membership-messages.js';
 import { TAKEOVER_DELAY_MS, ORDER_LEASE_MS, OwnershipLease } from '../core/ownership-lease.js';
@@ -71,7 +71,7 @@
   /** Whether this daemon receives messages from another one that the platform responds to. */
   readonly othersReachPlatform: () => boolean;
   /** Daemons that the platform's store lists. */
-  readonly listed: () => readonly DutyMember[];
+  readonly listed: () => readonly RoleCandidate[];
   /** Called with the epoch when this daemon becomes the owner, and with undefined when it no longer is. */
   readonly onChange: (epoch: number | undefined) => void;
 }
--- a/src/gateway/service-ownerships.ts
+++ b/src/gateway/service-ownerships.ts
@@ -1,7 +1,7 @@
 /** The services that this daemon owns or may claim. */
 import type { Logger } from '../common/logger.js';
 import type { BackendDirectory } from '../core/backend-directory.js';
-import type { DutyMember } from '../core/duties.js';
+import type { RoleCandidate } from '../core/roles.js';
 import type { DemandReport } from '../core/demand-report.js';
 import type { PlacementUpdate } from '../core/placement-update.js';
 import type { ServiceConfiguration } from '../core/service-configuration.js';
@@ -25,7 +25,7 @@
   readonly directory: BackendDirectory;
   readonly logger: Logger;
   readonly metrics: GatewayMetrics;
-  readonly listed: () => readonly DutyMember[];
+  readonly listed: () => readonly RoleCandidate[];
   /** Whether this daemon receives messages from another one that the platform responds to. */
   readonly othersReachPlatform: () => boolean;
   readonly publish: (update: PlacementUpdate) => void;
--- a/src/gateway/share-agreement.ts
+++ b/src/gateway/share-agreement.ts
@@ -13,7 +13,7 @@
   ShareChanges,
   type ShareChangeView,
 } from '../core/admission/share-changes.js';
-import type { DutyMember } from '../core/duties.js';
+import type { RoleCandidate } from '../core/roles.js';
 import type { PeerBody } from '../daemon/peer-transport.js';
 import {
   ShareAnswerSchema,
@@ -55,7 +55,7 @@
   readonly shares: LimitShares;
   readonly store: Pick<RecordStore, 'read' | 'write'>;
   /** Returns the daemons that may have shares, including this one. */
-  readonly live: () => readonly DutyMember[];
+  readonly live: () => readonly RoleCandidate[];
   /** Returns whether a daemon that is not live has ended, according to the platform's list. */
   readonly hasEnded: (address: string) => boolean;
   readonly send: (to: string, body: PeerBody) => void;
--- a/src/gateway/slot-admission.ts
+++ b/src/gateway/slot-admission.ts
@@ -14,7 +14,7 @@
   type SlotStatus,
 } from '../core/admission/slot-allocator.js';
 import { fractionOfPerMille } from '../core/admission/failure-rate.js';
-import { highCapacityMembers } from '../core/duties.js';
+import { highCapacityMembers } from '../core/roles.js';
 import type { MemberView } from '../core/membership-messages.js';
 import type { BackendRecord } from '../core/service-configuration.js';
 import type { PeerBody } from '../daemon/peer-transport.js';
--- a/src/gateway/slot-allocators.ts
+++ b/src/gateway/slot-allocators.ts
@@ -120,7 +120,7 @@
     if (entry === undefined) {
       this.options.logger.info('slot_backend_unknown', { backend, peer: from });
       const reply = create(SlotWordSchema, { backend, ticket, verdict: SlotVerdict.UNKNOWN });
-      return this.options.enqueue(from, { kind: 'word', value: reply });
+      return this.options.enqueue(from, { kind: 'reply', value: reply });
     }
     addUser(entry, from);
     const dueAt = now + slotRequest.dueInMs;
@@ -207,7 +207,7 @@
       newcomerWaitMs: Math.ceil(expectedWaitMs),
       failurePerMille: Math.round(queue.failureShare(now) * 1_000),
     });
-    this.options.enqueue(to, { kind: 'word', value });
+    this.options.enqueue(to, { kind: 'reply', value });
   }
 }
 
--- a/src/gateway/slot-outbox.ts
+++ b/src/gateway/slot-outbox.ts
@@ -20,7 +20,7 @@
   | { readonly kind: 'taken'; readonly value: SlotUse }
   | { readonly kind: 'ended'; readonly value: SlotEnd }
   | { readonly kind: 'list'; readonly value: SlotList }
-  | { readonly kind: 'word'; readonly value: SlotWord };
+  | { readonly kind: 'reply'; readonly value: SlotWord };
 
 /** Collects entries until the end of the turn. */
 export class SlotOutbox {
--- a/test/core/capacity/capacity-estimate.test.ts
+++ b/test/core/capacity/capacity-estimate.test.ts
@@ -42,7 +42,7 @@
 }
 
 describe('CapacityEstimate', () => {
-  it('estimates 95% of speeds within 15% after 3 s of load with slow spells, and 98% after 10 s', () => {
+  it('estimates 95% of speeds within 15% after 3 s of load with slow periods, and 98% after 10 s', () => {
     expect(errorQuantile(simulate(3_000), 0.95)).toBeLessThan(0.15);
     expect(errorQuantile(simulate(10_000), 0.98)).toBeLessThan(0.15);
   });
--- a/test/core/capacity/simulated-streams.ts
+++ b/test/core/capacity/simulated-streams.ts
@@ -1,4 +1,4 @@
-/** Seeded simulation of a service's streams: backends differ in speed and have slow spells. */
+/** Seeded simulation of a service's streams: backends differ in speed and have short slow periods. */
 import { CapacityEstimate } from '../../../src/core/capacity/capacity-estimate.js';
 import { GapSamples, type GapReport } from '../../../src/core/capacity/gap-samples.js';
 import { SeededRandom } from '../../soak/seeded-random.js';
@@ -6,9 +6,9 @@
 /** Interval between two reports of a daemon, and between two fits by the owner. */
 const REPORT_MS = 250;
 const USUAL_GAP_MS = 40;
-const SPELL_MS = 600;
-const SPELL_SHARE = 0.15;
-const SPELL_FACTOR = 2.5;
+const SLOW_PERIOD_MS = 600;
+const SLOW_PERIOD_SHARE = 0.15;
+const SLOW_PERIOD_FACTOR = 2.5;
 const PAUSE_GOAL_MS = 200;
 
 /** Parameters of the load. */
@@ -23,7 +23,7 @@
   readonly eventsEach: number;
 }
 
-/** A period during which a backend is slow, in addition to its spells. */
+/** A period during which a backend is slow, in addition to its short slow periods. */
 export interface SlowTime {
   readonly backend: string;
   readonly from: number;
@@ -46,7 +46,7 @@
   streams = 0;
   late = 0;
   private readonly samples: GapSamples[];
-  private readonly spellEnds = new Map<string, number[]>();
+  private readonly slowPeriodEnds = new Map<string, number[]>();
   /** Slow periods; add each one before it starts. */
   readonly slowTimes: SlowTime[] = [];
   private reads: Read[] = [];
@@ -137,22 +137,25 @@
   }
 
   private slowness(backend: string, at: number): number {
-    const spell = this.isInSpell(backend, at) ? SPELL_FACTOR : 1;
+    const slowdown = this.isInSlowPeriod(backend, at) ? SLOW_PERIOD_FACTOR : 1;
     const slowTime = this.slowTimes.find((time) => {
       return time.backend === backend && at >= time.from && at < time.until;
     });
-    return spell * (slowTime?.factor ?? 1);
+    return slowdown * (slowTime?.factor ?? 1);
   }
 
-  /** Whether a backend is in a slow spell. Spells start at random and take {@link SPELL_SHARE} of the time on average. */
-  private isInSpell(backend: string, at: number): boolean {
-    const ends = this.spellEnds.get(backend) ?? [];
-    this.spellEnds.set(backend, ends);
+  /** Whether a backend is in a short slow period. They start at random and take {@link SLOW_PERIOD_SHARE} of the time on average. */
+  private isInSlowPeriod(backend: string, at: number): boolean {
+    const ends = this.slowPeriodEnds.get(backend) ?? [];
+    this.slowPeriodEnds.set(backend, ends);
     while ((ends.at(-1) ?? 0) <= at) {
-      const idleMs = this.random.between(0, (2 * SPELL_MS * (1 - SPELL_SHARE)) / SPELL_SHARE);
-      ends.push((ends.at(-1) ?? 0) + idleMs + SPELL_MS);
+      const idleMs = this.random.between(
+        0,
+        (2 * SLOW_PERIOD_MS * (1 - SLOW_PERIOD_SHARE)) / SLOW_PERIOD_SHARE,
+      );
+      ends.push((ends.at(-1) ?? 0) + idleMs + SLOW_PERIOD_MS);
     }
-    return ends.some((end) => at < end && at >= end - SPELL_MS);
+    return ends.some((end) => at < end && at >= end - SLOW_PERIOD_MS);
   }
 }
 
--- a/test/gateway/directory-follower.test.ts
+++ b/test/gateway/directory-follower.test.ts
@@ -69,7 +69,7 @@
     expect(last.follower.isCurrent()).toBe(true);
     setAnswered(ADDRESSES, false);
     await group.run(2_000);
-    expect([...group.members.values()].map(({ follower: duty }) => duty.isCurrent())).not.toContain(
+    expect([...group.members.values()].map(({ follower }) => follower.isCurrent())).not.toContain(
       true,
     );
     expect(attentionsByRank().slice(6)).toEqual(Array<string>(6).fill('relaxed'));
